--- /dev/null
+++ b/src/test/kotlin/cleathitch/formats/PeerFormatTest.kt
@@ -0,0 +1,94 @@
+package cleathitch.formats
+
+import cleathitch.core.ExitReason
+import cleathitch.core.JobId
+import cleathitch.core.MachineId
+import cleathitch.core.TaskState
+import cleathitch.peers.DecisionMessage
+import cleathitch.peers.DirectMessage
+import cleathitch.peers.DirectResultMessage
+import cleathitch.peers.HeartbeatMessage
+import cleathitch.peers.OrderMessage
+import cleathitch.peers.PeerCodec
+import cleathitch.peers.PeerReply
+import cleathitch.peers.PeerRequest
+import cleathitch.peers.ReportMessage
+import cleathitch.peers.StatusMessage
+import cleathitch.peers.TaskMessage
+import org.junit.jupiter.api.Assertions.assertArrayEquals
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.DynamicTest
+import org.junit.jupiter.api.Test
+import org.junit.jupiter.api.TestFactory
+
+/** What controllers send each other is written and read byte for byte as by the version that pinned it. */
+class PeerFormatTest {
+    private val job = JobId("j-000412")
+    private val machine = MachineId("vm-000017")
+    private val body = byteArrayOf(-127, 1, 2)
+    private val tasks = TaskState.entries.mapIndexed { index, state -> TaskMessage(job, index, 40L + index, state, null, false) } +
+        ExitReason.entries.mapIndexed { index, reason -> TaskMessage(job, index, 60L + index, TaskState.EXITED, reason, true) }
+    private val report = ReportMessage(machine, "10.1.0.7:9000", "m4", "a", true, 2, 40, 9_437_185, 4.5, tasks)
+    private val quietReport = report.copy(spot = false, noticeS = null, tasks = emptyList())
+    private val heartbeats = listOf(HeartbeatMessage(machine, 2, 41, 9_437_185, 4.5, 40), HeartbeatMessage(machine, 2, 42, 9, null, 40))
+    private val orders = OrderMessage.Kind.entries.map { OrderMessage(it, job, 3, 7, 2.5) }
+
+    private val requests = mapOf(
+        "request-leads" to PeerRequest.Leads("n1", "n2", 812),
+        "request-leads-nobody" to PeerRequest.Leads("n1", null, 812),
+        "request-images" to PeerRequest.Images(
+            listOf("img-1", "img-2"), listOf(0.5, 3.25), listOf(PeerRequest.Images.Holder(machine, 2, listOf(1, 0))),
+        ),
+        "request-batch" to PeerRequest.Batch(
+            "n1", 812, listOf(report, quietReport), heartbeats, listOf(job, JobId("j-7")), listOf(DirectResultMessage(5, report)),
+        ),
+        "request-deliver" to PeerRequest.Deliver(
+            "n1", 812,
+            listOf(
+                DirectMessage(1, machine, "10.1.0.7:9000", 2, 9_437_185, orders),
+                DirectMessage(2, machine, "10.1.0.7:9000", 0, 0, emptyList()),
+            ),
+        ),
+    )
+
+    private val reply = PeerReply(
+        200,
+        null,
+        3,
+        "n2",
+        812,
+        DecisionMessage.Kind.entries.map { DecisionMessage(it, 9_437_185, orders) },
+        StatusMessage.Kind.entries.map { StatusMessage(it, 3, 1) },
+    )
+    private val emptyReply = PeerReply(503)
+
+    @TestFactory
+    fun `requests keep their form`() = requests.map { (name, request) ->
+        DynamicTest.dynamicTest(name) {
+            PinnedBytes.assertUnchanged(name, PeerCodec.encode(request))
+            assertEquals(request, PeerCodec.decodeRequest(PinnedBytes.read(name)))
+        }
+    }
+
+    @Test
+    fun `a forwarded user request keeps its form`() {
+        PinnedBytes.assertUnchanged("request-user", PeerCodec.encode(PeerRequest.User("POST", "/submissions", body)))
+        val read = PeerCodec.decodeRequest(PinnedBytes.read("request-user")) as PeerRequest.User
+        assertEquals("POST" to "/submissions", read.method to read.path)
+        assertArrayEquals(body, read.body)
+    }
+
+    @Test
+    fun `a reply with a body keeps its form`() {
+        PinnedBytes.assertUnchanged("reply-body", PeerCodec.encode(reply.copy(body = body)))
+        val read = PeerCodec.decodeReply(PinnedBytes.read("reply-body"))
+        assertArrayEquals(body, read.body)
+        assertEquals(reply, read.copy(body = null))
+    }
+
+    @Test
+    fun `a reply without details keeps its form`() {
+        PinnedBytes.assertUnchanged("reply-empty", PeerCodec.encode(emptyReply))
+        assertEquals(emptyReply, PeerCodec.decodeReply(PinnedBytes.read("reply-empty")))
+    }
+}
