--- a/src/test/kotlin/cleathitch/formats/PeerFormatTest.kt
+++ b/src/test/kotlin/cleathitch/formats/PeerFormatTest.kt
@@ -37,13 +37,21 @@
         "request-leads" to PeerRequest.Leads("n1", "n2", 812),
         "request-leads-nobody" to PeerRequest.Leads("n1", null, 812),
         "request-images" to PeerRequest.Images(
-            listOf("img-1", "img-2"), listOf(0.5, 3.25), listOf(PeerRequest.Images.Holder(machine, 2, listOf(1, 0))),
+            listOf("img-1", "img-2"),
+            listOf(0.5, 3.25),
+            listOf(PeerRequest.Images.Holder(machine, 2, listOf(1, 0))),
         ),
         "request-batch" to PeerRequest.Batch(
-            "n1", 812, listOf(report, quietReport), heartbeats, listOf(job, JobId("j-7")), listOf(DirectResultMessage(5, report)),
+            "n1",
+            812,
+            listOf(report, quietReport),
+            heartbeats,
+            listOf(job, JobId("j-7")),
+            listOf(DirectResultMessage(5, report)),
         ),
         "request-deliver" to PeerRequest.Deliver(
-            "n1", 812,
+            "n1",
+            812,
             listOf(
                 DirectMessage(1, machine, "10.1.0.7:9000", 2, 9_437_185, orders),
                 DirectMessage(2, machine, "10.1.0.7:9000", 0, 0, emptyList()),
--- a/src/test/kotlin/cleathitch/formats/StoredFormatTest.kt
+++ b/src/test/kotlin/cleathitch/formats/StoredFormatTest.kt
@@ -53,7 +53,13 @@
     )
     private val done = byteArrayOf(5, -128)
     private val jobCell = JobCell(
-        91, fullSpec, 1_764_000_000_123, true, done, listOf(LiveAttempt(3, 8, machine), LiveAttempt(5, 9, MachineId("vm-2"))), 9,
+        91,
+        fullSpec,
+        1_764_000_000_123,
+        true,
+        done,
+        listOf(LiveAttempt(3, 8, machine), LiveAttempt(5, 9, MachineId("vm-2"))),
+        9,
     )
     private val fleetCell = FleetCell(92, listOf(rental), listOf(machine))
     private val finalsCell = FinalsCell(listOf(JobId("j-1"), JobId("j-2")), listOf(JobId("j-3")))
