--- a/src/main/kotlin/cleathitch/App.kt
+++ b/src/main/kotlin/cleathitch/cli/Application.kt
@@ -1,18 +1,23 @@
-package cleathitch
+package cleathitch.cli
 
-import cleathitch.cloud.CallBudget
+import cleathitch.cloud.CallPacer
 import cleathitch.cloud.CloudClient
 import cleathitch.config.OperatorSettings
 import cleathitch.config.Settings
-import cleathitch.core.Tuning
+import cleathitch.controller.Controller
+import cleathitch.election.LeaderElection
 import cleathitch.http.ConnectionLimit
 import cleathitch.http.HttpEndpoint
+import cleathitch.http.HttpReply
+import cleathitch.leader.Clocks
+import cleathitch.leader.LeaderDependencies
+import cleathitch.metrics.MetricsText
+import cleathitch.metrics.ProcessingTimes
 import cleathitch.peers.PeerClient
 import cleathitch.peers.PeerCodec
-import cleathitch.protocol.HttpReply
-import cleathitch.protocol.Wire
-import cleathitch.state.Leadership
-import cleathitch.state.StateClient
+import cleathitch.protocol.MessageCodec
+import cleathitch.scheduler.api.SchedulerTimings
+import cleathitch.storage.KeyValueStoreClient
 import cleathitch.workers.WorkerClient
 import io.micrometer.core.instrument.MeterRegistry
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry
@@ -28,7 +33,7 @@
 import kotlin.math.ceil
 
 /** Puts a node together and runs it until the process is killed. */
-class App(private val settings: Settings, private val operator: OperatorSettings = OperatorSettings.DEFAULT) {
+class Application(private val settings: Settings, private val operator: OperatorSettings = OperatorSettings.DEFAULT) {
     private val vertx = loop()
 
     /** Keeps the leader's lease, whatever there is to do on the other loop. */
@@ -42,17 +47,17 @@
         val reportMs = (deployment.reportS * 1000).toLong()
         // Workers report and users poll well within that.
         val idleS = ceil(deployment.reportS * IDLE_REPORTS).toInt()
-        val tuning = Tuning.of(deployment, operator.trimS)
+        val tuning = SchedulerTimings.of(deployment, operator.trimS)
         val direct = maxOf(1, settings.maxSockets / DIRECT_PART)
-        val workTimes = WorkTimes(meters)
-        val services = Services(
+        val workTimes = ProcessingTimes(meters)
+        val services = LeaderDependencies(
             deployment,
             tuning,
             WorkerClient(vertx, timeoutMs = reportMs, probeMs = tuning.probeGapMs, atOnce = direct, meters),
             CloudClient(
                 vertx,
                 settings.cloud,
-                CallBudget(deployment.cloudRps * (operator.cloudShare ?: CLOUD_SHARE), clocks::steadyMs),
+                CallPacer(deployment.cloudRps * (operator.cloudShare ?: CLOUD_SHARE), clocks::steadyMs),
                 timeoutMs = reportMs * 2,
                 workTimes,
                 meters,
@@ -64,17 +69,17 @@
             mostRequests = settings.maxSockets,
         )
         val stateMs = tuning.leaderLeaseMs / 3
-        val leadership = Leadership(
-            StateClient(leaseLoop, settings.state, stateMs, name = "lease", meters),
+        val leadership = LeaderElection(
+            KeyValueStoreClient(leaseLoop, settings.state, stateMs, name = "lease", meters),
             settings.member,
             UUID.randomUUID().toString(),
             tuning.leaderLeaseMs,
-            Node.LEADER_KEY,
+            Controller.LEADER_KEY,
             clocks::steadyMs,
         )
         val leaseScope = CoroutineScope(leaseLoop.dispatcher() + SupervisorJob())
-        val state = StateClient(vertx, settings.state, stateMs, name = "state", meters)
-        val node = Node(settings, services, state, leadership, leaseScope, PeerClient(vertx, meters), scope)
+        val state = KeyValueStoreClient(vertx, settings.state, stateMs, name = "state", meters)
+        val node = Controller(settings, services, state, leadership, leaseScope, PeerClient(vertx, meters), scope)
         val peerSockets = settings.peers.size * PeerClient.CONNECTIONS
         val ours = direct + peerSockets + OTHER_SOCKETS
         val internalRoom = ConnectionLimit(peerSockets + OTHER_SOCKETS)
@@ -84,21 +89,21 @@
                 internal(node, method, path, body)
             }.listen(settings.internalAddr)
             node.start()
-            HttpEndpoint(vertx, scope, Wire.MAX_BODY, idleS, room, node::front).listen(settings.bind)
+            HttpEndpoint(vertx, scope, MessageCodec.MAX_BODY, idleS, room, node::front).listen(settings.bind)
             log.info("node {} listens on {} and {}", settings.member, settings.bind, settings.internalAddr)
         }
     }
 
     private fun loop() = Vertx.vertx(VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1))
 
-    private suspend fun internal(node: Node, method: String, path: String, body: ByteArray): HttpReply = when {
+    private suspend fun internal(node: Controller, method: String, path: String, body: ByteArray): HttpReply = when {
         path == PeerClient.PATH && method == "POST" -> try {
             HttpReply(200, PeerCodec.encode(node.peer(PeerCodec.decodeRequest(body))))
         } catch (e: SerializationException) {
             log.error("a garbled request from a peer: {}", e.message)
             HttpReply(400)
         }
-        path == "/metrics" && method == "GET" -> HttpReply(200, Metrics.text(meters).toByteArray())
+        path == "/metrics" && method == "GET" -> HttpReply(200, MetricsText.text(meters).toByteArray())
         else -> HttpReply(404)
     }
 
--- a/src/main/kotlin/cleathitch/cli/ClassArchiveTraining.kt
+++ b/src/main/kotlin/cleathitch/cli/ClassArchiveTraining.kt
@@ -1,22 +1,21 @@
 package cleathitch.cli
 
-import cleathitch.App
 import cleathitch.config.Settings
-import cleathitch.core.JobId
-import cleathitch.core.MachineId
-import cleathitch.core.OrderVersion
-import cleathitch.core.Report
 import cleathitch.http.Address
 import cleathitch.http.ConnectionLimit
 import cleathitch.http.HttpEndpoint
+import cleathitch.http.HttpReply
 import cleathitch.http.PooledHttpClient
 import cleathitch.peers.OutgoingBatch
 import cleathitch.peers.PeerClient
 import cleathitch.peers.PeerRequest
 import cleathitch.peers.reply
-import cleathitch.protocol.HttpReply
-import cleathitch.protocol.Wire
-import cleathitch.workers.ReportQueue
+import cleathitch.protocol.MessageCodec
+import cleathitch.scheduler.model.FencingToken
+import cleathitch.scheduler.model.Heartbeat
+import cleathitch.scheduler.model.JobId
+import cleathitch.scheduler.model.MachineId
+import cleathitch.workers.HeartbeatQueue
 import com.fasterxml.jackson.databind.node.ObjectNode
 import io.vertx.core.Vertx
 import io.vertx.core.http.HttpMethod
@@ -45,23 +44,23 @@
     override fun run() {
         val scope = CoroutineScope(vertx.dispatcher() + SupervisorJob())
         scope.launch {
-            val platform = HttpEndpoint(vertx, scope, Wire.MAX_BODY, idleS = 60, ConnectionLimit(most = 100)) { method, path, _ ->
+            val platform = HttpEndpoint(vertx, scope, MessageCodec.MAX_BODY, idleS = 60, ConnectionLimit(most = 100)) { method, path, _ ->
                 platform(method, path)
             }
                 .listen(Address("127.0.0.1", 0))
             val (bind, internal) = List(2) { ServerSocket(0) }.onEach { it.close() }.map { it.localPort }
             val file = Files.createTempFile("cleathitch", ".json")
             Files.writeString(file, settings(bind, internal, platform))
-            App(Settings.read(file)).start()
+            Application(Settings.read(file)).start()
             Files.delete(file)
             val node = Address("127.0.0.1", bind)
             val peers = PeerClient(vertx)
             repeat(ROUNDS) { round ->
                 client.call(node, HttpMethod.GET, "/ready", null, 1000)
-                client.call(node, HttpMethod.POST, "/submissions", Wire.encode(submission(round)), 1000)
+                client.call(node, HttpMethod.POST, "/submissions", MessageCodec.encode(submission(round)), 1000)
                 client.call(node, HttpMethod.GET, "/submissions/j-%06d".format(round), null, 1000)
                 client.call(node, HttpMethod.POST, "/submissions/j-%06d/abort".format(round / 2), null, 1000)
-                client.call(node, HttpMethod.POST, "/agent/beat", Wire.encode(beat(round)), 1000)
+                client.call(node, HttpMethod.POST, "/agent/beat", MessageCodec.encode(beat(round)), 1000)
                 actAsFollower(peers, Address("127.0.0.1", internal), round.toLong())
                 delay(PAUSE_MS)
             }
@@ -72,34 +71,34 @@
 
     /** Sends what followers send: the first request learns the term, and so the next one is decided. */
     private suspend fun actAsFollower(peers: PeerClient, node: Address, seq: Long) {
-        val report = Report(MachineId("vm-000002"), "127.0.0.1:1", "m", "z", true, 1, seq, OrderVersion.NONE, null, emptyList())
-        val queue = ReportQueue(answerWithinMs = 1000)
+        val report = Heartbeat(MachineId("vm-000002"), "127.0.0.1:1", "m", "z", true, 1, seq, FencingToken.NONE, null, emptyList())
+        val queue = HeartbeatQueue(answerWithinMs = 1000)
         queue.add(report, nowMs = 0) {}
         val batch = queue.nextBatch(leaderTerm, nowMs = 0)
         val outgoing = OutgoingBatch(batch, listOf(JobId("j-000001")), emptyList())
-        val reply = peers.ask(node, PeerRequest.Batch.of("n1", outgoing), timeoutMs = 1000).reply ?: return
+        val reply = peers.ask(node, PeerRequest.FollowerBatch.of("n1", outgoing), timeoutMs = 1000).reply ?: return
         leaderTerm = reply.term
         queue.decided(batch, reply.decisions.orEmpty().map { it.toDecision() }, reply.term, nowMs = 0)
     }
 
     private fun platform(method: String, path: String): HttpReply {
-        val map = Wire.newMap().put("asiento", ++revision).put("arriendo", 1).put("truncated", false)
+        val map = MessageCodec.newMap().put("asiento", ++revision).put("arriendo", 1).put("truncated", false)
         map.putArray("log")
         map.putArray("entries")
         map.putArray("burros").let { if (method == "POST" && path == "/hosts") it.add("vm-000001") }
         map.putArray("hornadas").addObject().put("label", "m").put("vcpus", 4).put("gpus", 0).put("memoryGb", 16)
             .put("localGb", 10).put("fetchGbPerS", 1).put("rate", 1).put("spotPrice", 0.5).put("bootS", 10)
             .putArray("comarcas").add("z")
-        return HttpReply(200, Wire.encode(map))
+        return HttpReply(200, MessageCodec.encode(map))
     }
 
-    private fun submission(round: Int): ObjectNode = Wire.newMap().put("nameId", "j-%06d".format(round)).put("cuadrilla", "c")
+    private fun submission(round: Int): ObjectNode = MessageCodec.newMap().put("nameId", "j-%06d".format(round)).put("cuadrilla", "c")
         .put("ownerCrew", "t").put("oficio", "array").put("urgencia", "normal").put("tareas", 2).put("vcpus", 1.0)
         .put("gpus", 0.0).put("memoryGb", 1.0).put("imagen", "i").put("pullGb", 1.0).put("oneZone", false)
         .put("scatter", false).put("prestados", true).put("aproxS", 1.0).put("hitoS", 0.0).put("guardadoS", 0.0)
 
     private fun beat(round: Int): ObjectNode {
-        val map = Wire.newMap().put("burro", "vm-000001").put("addr", "127.0.0.1:1").put("hornada", "m").put("comarca", "z")
+        val map = MessageCodec.newMap().put("burro", "vm-000001").put("addr", "127.0.0.1:1").put("hornada", "m").put("comarca", "z")
             .put("prestados", true).put("jornada", 1).put("folio", round).put("vara", 0)
         val tasks = map.putArray("tareas")
         for (index in 0 until minOf(round, 2)) {
--- a/src/main/kotlin/cleathitch/cli/Main.kt
+++ b/src/main/kotlin/cleathitch/cli/Main.kt
@@ -1,7 +1,6 @@
 package cleathitch.cli
 
-import cleathitch.App
-import cleathitch.config.BadSettings
+import cleathitch.config.InvalidSettingsException
 import cleathitch.config.OperatorSettings
 import cleathitch.config.Settings
 import picocli.CommandLine
@@ -49,7 +48,7 @@
     @Mixin
     lateinit var files: Files
 
-    override fun run() = App(files.settings(), files.operatorSettings()).start()
+    override fun run() = Application(files.settings(), files.operatorSettings()).start()
 }
 
 @Command(
@@ -84,7 +83,7 @@
     configureLogging()
     val exit = CommandLine(Main())
         .setExecutionExceptionHandler { e, command, _ ->
-            if (e !is BadSettings) throw e
+            if (e !is InvalidSettingsException) throw e
             command.err.println("cleathitch: ${e.message}")
             CommandLine.ExitCode.SOFTWARE
         }
--- a/src/main/kotlin/cleathitch/config/OperatorSettings.kt
+++ b/src/main/kotlin/cleathitch/config/OperatorSettings.kt
@@ -23,19 +23,19 @@
         val DEFAULT = OperatorSettings()
 
         fun read(file: Path): OperatorSettings {
-            val map = parse(file) as? Map<*, *> ?: throw BadSettings(file, null, "isn't one map")
+            val map = parse(file) as? Map<*, *> ?: throw InvalidSettingsException(file, null, "isn't one map")
             var settings = DEFAULT
             for ((key, value) in map) {
-                val name = (key as? Keyword)?.name ?: throw BadSettings(file, "$key", "isn't a keyword")
+                val name = (key as? Keyword)?.name ?: throw InvalidSettingsException(file, "$key", "isn't a keyword")
                 val number = (value as? Number)?.toDouble()?.takeIf { it.isFinite() && it > 0 }
-                    ?: throw BadSettings(file, ":$name", "must be a number above zero")
+                    ?: throw InvalidSettingsException(file, ":$name", "must be a number above zero")
                 settings = when (name) {
                     "trim-s" -> settings.copy(trimS = number)
                     "cloud-share" -> {
-                        if (number > 1) throw BadSettings(file, ":$name", "must be 1 at most")
+                        if (number > 1) throw InvalidSettingsException(file, ":$name", "must be 1 at most")
                         settings.copy(cloudShare = number)
                     }
-                    else -> throw BadSettings(file, ":$name", "is unknown")
+                    else -> throw InvalidSettingsException(file, ":$name", "is unknown")
                 }
             }
             return settings
@@ -47,14 +47,14 @@
                 val input = Parsers.newParseable(reader)
                 val value = parser.nextValue(input)
                 if (value !== Parser.END_OF_INPUT && parser.nextValue(input) !== Parser.END_OF_INPUT) {
-                    throw BadSettings(file, null, "holds more than one value")
+                    throw InvalidSettingsException(file, null, "holds more than one value")
                 }
                 value
             }
         } catch (e: IOException) {
-            throw BadSettings(file, null, "can't be read (${e.javaClass.simpleName})")
+            throw InvalidSettingsException(file, null, "can't be read (${e.javaClass.simpleName})")
         } catch (e: EdnException) {
-            throw BadSettings(file, null, "isn't EDN: ${e.message}")
+            throw InvalidSettingsException(file, null, "isn't EDN: ${e.message}")
         }
     }
 }
--- a/src/main/kotlin/cleathitch/config/Settings.kt
+++ b/src/main/kotlin/cleathitch/config/Settings.kt
@@ -1,9 +1,9 @@
 package cleathitch.config
 
-import cleathitch.core.Deployment
-import cleathitch.core.Objective
-import cleathitch.core.Team
 import cleathitch.http.Address
+import cleathitch.scheduler.model.Deployment
+import cleathitch.scheduler.model.Objective
+import cleathitch.scheduler.model.Team
 import com.fasterxml.jackson.core.JsonProcessingException
 import com.fasterxml.jackson.databind.JsonNode
 import com.fasterxml.jackson.databind.ObjectMapper
@@ -12,7 +12,16 @@
 import java.nio.file.Path
 
 /** Settings that can't be used; the message names file, key and reason. */
-class BadSettings(file: Path, key: String?, reason: String) : Exception(if (key == null) "$file: $reason" else "$file: $key: $reason")
+class InvalidSettingsException(file: Path, key: String?, reason: String) :
+    Exception(
+        if (key ==
+            null
+        ) {
+            "$file: $reason"
+        } else {
+            "$file: $key: $reason"
+        },
+    )
 
 data class Peer(val member: String, val addr: Address)
 
@@ -35,14 +44,14 @@
             val bytes = try {
                 Files.readAllBytes(file)
             } catch (e: IOException) {
-                throw BadSettings(file, null, "can't be read (${e.javaClass.simpleName})")
+                throw InvalidSettingsException(file, null, "can't be read (${e.javaClass.simpleName})")
             }
             val root = try {
                 ObjectMapper().readTree(bytes)
             } catch (e: JsonProcessingException) {
-                throw BadSettings(file, null, "isn't JSON: ${e.originalMessage}")
+                throw InvalidSettingsException(file, null, "isn't JSON: ${e.originalMessage}")
             }
-            if (root == null || !root.isObject) throw BadSettings(file, null, "isn't a JSON object")
+            if (root == null || !root.isObject) throw InvalidSettingsException(file, null, "isn't a JSON object")
             return of(Section(file, "", root))
         }
 
@@ -108,7 +117,7 @@
 
     private class Section(private val file: Path, private val path: String, private val node: JsonNode) {
         private fun key(name: String) = if (path.isEmpty()) name else "$path.$name"
-        fun bad(name: String, reason: String): Nothing = throw BadSettings(file, key(name), reason)
+        fun bad(name: String, reason: String): Nothing = throw InvalidSettingsException(file, key(name), reason)
         private fun need(name: String) = node.get(name)?.takeUnless { it.isNull } ?: bad(name, "is missing")
 
         fun section(name: String): Section {
--- a/src/main/kotlin/cleathitch/Node.kt
+++ b/src/main/kotlin/cleathitch/controller/Controller.kt
@@ -1,39 +1,42 @@
-package cleathitch
+package cleathitch.controller
 
 import cleathitch.config.Settings
-import cleathitch.core.Effect
-import cleathitch.core.HeldImages
-import cleathitch.core.JobId
-import cleathitch.core.MachineId
-import cleathitch.core.MachineType
-import cleathitch.core.Report
-import cleathitch.core.Term
-import cleathitch.core.UserReply
+import cleathitch.election.ElectionListener
+import cleathitch.election.LeaderElection
+import cleathitch.election.LeaderLease
+import cleathitch.http.HttpReply
+import cleathitch.leader.LeaderDependencies
+import cleathitch.leader.LeaderTerm
+import cleathitch.metrics.ProcessingStage
 import cleathitch.peers.BatchResult
-import cleathitch.peers.CommandDelivery
-import cleathitch.peers.CommandRoutes
-import cleathitch.peers.DecisionMessage
-import cleathitch.peers.DirectMessage
-import cleathitch.peers.DirectResult
+import cleathitch.peers.DeliveryMessage
+import cleathitch.peers.DeliveryResult
+import cleathitch.peers.HeartbeatDecisionMessage
+import cleathitch.peers.JobStatusMessage
 import cleathitch.peers.KnownLeader
-import cleathitch.peers.LeaderBatches
+import cleathitch.peers.LeaderBatcher
 import cleathitch.peers.OutgoingBatch
 import cleathitch.peers.PeerClient
 import cleathitch.peers.PeerCodec
 import cleathitch.peers.PeerReply
 import cleathitch.peers.PeerRequest
 import cleathitch.peers.PeerResult
-import cleathitch.peers.StatusMessage
+import cleathitch.peers.WorkerCommandDelivery
+import cleathitch.peers.WorkerCommandRoutes
 import cleathitch.peers.reply
-import cleathitch.protocol.HttpReply
-import cleathitch.protocol.Malformed
-import cleathitch.protocol.UserWire
-import cleathitch.protocol.WorkerWire
-import cleathitch.state.Leadership
-import cleathitch.state.LeadershipListener
-import cleathitch.state.Lease
-import cleathitch.state.StateClient
-import cleathitch.state.Store
+import cleathitch.protocol.MalformedMessageException
+import cleathitch.protocol.UserProtocol
+import cleathitch.protocol.WorkerProtocol
+import cleathitch.scheduler.api.Effect
+import cleathitch.scheduler.api.UserReply
+import cleathitch.scheduler.model.Heartbeat
+import cleathitch.scheduler.model.ImageCache
+import cleathitch.scheduler.model.JobId
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.model.MachineType
+import cleathitch.scheduler.model.Term
+import cleathitch.storage.KeyValueStoreClient
+import cleathitch.storage.LogStorage
 import cleathitch.workers.ForwardOutcome
 import cleathitch.workers.WorkerDistribution
 import kotlinx.coroutines.CompletableDeferred
@@ -49,15 +52,15 @@
  * One controller: leads or follows, answers users and workers by itself or through the leader.
  * Everything runs on one event loop.
  */
-class Node(
+class Controller(
     private val settings: Settings,
-    private val services: Services,
-    private val state: StateClient,
-    private val leadership: Leadership,
+    private val services: LeaderDependencies,
+    private val state: KeyValueStoreClient,
+    private val leadership: LeaderElection,
     private val leaseScope: CoroutineScope,
     private val peers: PeerClient,
     private val scope: CoroutineScope,
-) : LeadershipListener {
+) : ElectionListener {
     private val clocks = services.clocks
     private val reportMs = (settings.deployment.reportS * 1000).toLong()
     private val leaseMs = services.tuning.leaderLeaseMs
@@ -73,14 +76,14 @@
     private var leaderHeardMs: Long? = null
     private val leaderFound = CompletableDeferred<Unit>()
     private var types: List<MachineType> = emptyList()
-    private val imagesTold = HashMap<MachineId, HeldImages>()
+    private val imagesTold = HashMap<MachineId, ImageCache>()
 
     /** The follower through which each machine last reported to us as leader. */
     private val reportsTo = HashMap<MachineId, String>()
     private val distribution = WorkerDistribution(reportMs)
     private val elections = services.meters.counter("leader.elections")
     private val replays = services.meters.counter("leader.replays")
-    private val batches = LeaderBatches(
+    private val batches = LeaderBatcher(
         intervalMs = services.tuning.forwardMs,
         unreachableMs = leaseMs,
         nowMs = clocks::steadyMs,
@@ -95,7 +98,7 @@
         scope.launch { tellPeers() }
         scope.launch { batches.run() }
         if (log.isInfoEnabled) scope.launch { logWorkTimes() }
-        leaseScope.launch { leadership.run(this@Node) }
+        leaseScope.launch { leadership.run(this@Controller) }
         // Until there is someone to send them to, users and workers only keep us from finding that out.
         withTimeoutOrNull(leaseMs * FIRST_LEASES) { leaderFound.await() }
     }
@@ -118,22 +121,22 @@
     // ---- leadership
 
     // The lease has a loop of its own; what follows from it happens on ours.
-    override fun elected(lease: Lease) = post { lead(lease) }
-    override fun deposed(lease: Lease, reason: String) = post { depose(lease.term, reason) }
+    override fun elected(lease: LeaderLease) = post { lead(lease) }
+    override fun deposed(lease: LeaderLease, reason: String) = post { depose(lease.term, reason) }
     override fun leaderIs(member: String?, term: Long) = post { follow(member, term) }
 
     private fun post(action: () -> Unit) {
         scope.launch { action() }
     }
 
-    private fun lead(lease: Lease) {
+    private fun lead(lease: LeaderLease) {
         val term = lease.term
         log.info("term {}: elected", term.revision)
         elections.increment()
-        val store = Store(state, PREFIX, LEADER_KEY, term, services.workTimes)
+        val store = LogStorage(state, PREFIX, LEADER_KEY, term, services.workTimes)
         val mine =
             LeaderTerm(lease, services, store, types, HashMap(imagesTold), {
-                CommandDelivery(Routes(term), openMs = reportMs, clocks::steadyMs, it)
+                WorkerCommandDelivery(Routes(term), openMs = reportMs, clocks::steadyMs, it)
             }, ::tellImages) {
                 depose(term, it.reason, it.handOver)
             }
@@ -148,13 +151,13 @@
         leaderFound.complete(Unit)
     }
 
-    private inner class Routes(private val term: Term) : CommandRoutes {
-        override fun reachableFollowers() = this@Node.reachableFollowers()
+    private inner class Routes(private val term: Term) : WorkerCommandRoutes {
+        override fun reachableFollowers() = this@Controller.reachableFollowers()
         override fun followerOf(machine: MachineId) = reportsTo[machine]
 
-        override suspend fun toFollower(follower: String, commands: List<DirectMessage>): Boolean {
+        override suspend fun toFollower(follower: String, commands: List<DeliveryMessage>): Boolean {
             val address = peerAddresses[follower] ?: return false
-            return peers.ask(address, PeerRequest.Deliver(settings.member, term.revision, commands), leaseMs).reply?.status == 200
+            return peers.ask(address, PeerRequest.DeliverCommands(settings.member, term.revision, commands), leaseMs).reply?.status == 200
         }
 
         override suspend fun toWorker(command: Effect.ToWorker) = services.workers.send(command)
@@ -206,7 +209,7 @@
             if (mine != null && mine.ready) {
                 for (peer in settings.peers.filter { needsWord(it.member) }) {
                     scope.launch {
-                        val word = PeerRequest.Leads(settings.member, settings.member, mine.term.revision)
+                        val word = PeerRequest.AnnounceLeader(settings.member, settings.member, mine.term.revision)
                         val reply = peers.ask(peer.addr, word, leaseMs / 3).reply ?: return@launch
                         peerHeardMs[peer.member] = clocks.steadyMs()
                         if (reply.term > mine.term.revision) depose(mine.term, "${peer.member} knows term ${reply.term}")
@@ -218,10 +221,10 @@
     }
 
     /** Part by part, so that other work gets its turn between them. */
-    private fun tellImages(images: Map<MachineId, HeldImages>) {
+    private fun tellImages(images: Map<MachineId, ImageCache>) {
         scope.launch {
-            for (part in PeerRequest.Images.of(images)) {
-                val encoded = services.workTimes.measure(WorkPart.IMAGES_ENCODING) { PeerCodec.encode(part) }
+            for (part in PeerRequest.ImageCacheHints.of(images)) {
+                val encoded = services.workTimes.measure(ProcessingStage.IMAGE_HINTS_ENCODING) { PeerCodec.encode(part) }
                 settings.peers.map { peer -> launch { peers.ask(peer.addr, encoded, reportMs / 3) } }.joinAll()
             }
         }
@@ -266,24 +269,24 @@
     private suspend fun user(method: String, path: String, body: ByteArray, forwarded: Boolean): HttpReply {
         val call: suspend (LeaderTerm) -> UserReply = try {
             userCall(method, path, body) ?: return HttpReply(if (isUserPath(path)) 405 else 404)
-        } catch (e: Malformed) {
-            return HttpReply(400, UserWire.error(e.message.orEmpty()))
+        } catch (e: MalformedMessageException) {
+            return HttpReply(400, UserProtocol.error(e.message.orEmpty()))
         }
-        leading?.let { return UserWire.reply(call(it)) }
-        val polled = if (method == "GET") UserWire.jobId(path.removePrefix("/submissions/")) else null
+        leading?.let { return UserProtocol.reply(call(it)) }
+        val polled = if (method == "GET") UserProtocol.jobId(path.removePrefix("/submissions/")) else null
         if (polled != null) return poll(polled)
         val address = leader?.let(peerAddresses::get)
         if (!forwarded && address != null) {
-            val reply = peers.ask(address, PeerRequest.User(method, path, body), FORWARD_MS).reply
+            val reply = peers.ask(address, PeerRequest.ForwardUserRequest(method, path, body), FORWARD_MS).reply
             if (reply != null) return HttpReply(reply.status, reply.body, reply.retryAfterS)
         }
-        return UserWire.elsewhere("no way to the leader")
+        return UserProtocol.elsewhere("no way to the leader")
     }
 
     /** A poll that came to a follower: its leader is asked together with others. */
     private suspend fun poll(job: JobId): HttpReply {
         val reply = if (otherLeader() == null || batches.leaderUnreachable) null else batches.status(job)
-        return reply?.let(UserWire::reply) ?: UserWire.elsewhere("no way to the leader")
+        return reply?.let(UserProtocol::reply) ?: UserProtocol.elsewhere("no way to the leader")
     }
 
     private fun isUserPath(path: String): Boolean {
@@ -295,11 +298,11 @@
     private fun userCall(method: String, path: String, body: ByteArray): (suspend (LeaderTerm) -> UserReply)? {
         if (path == "/submissions") {
             if (method != "POST") return null
-            val spec = UserWire.submission(body)
+            val spec = UserProtocol.submission(body)
             return { it.submit(spec) }
         }
         val parts = path.removePrefix("/submissions/").split('/')
-        val job = UserWire.jobId(parts[0]) ?: return { UserReply.NotFound }
+        val job = UserProtocol.jobId(parts[0]) ?: return { UserReply.NotFound }
         return when {
             parts.size == 1 && method == "GET" -> { term -> term.poll(job) }
             parts.size == 2 && parts[1] == "abort" && method == "POST" -> { term -> term.abort(job) }
@@ -310,29 +313,29 @@
     private suspend fun workerReport(body: ByteArray): HttpReply {
         // Right after an election the whole fleet comes at once; what needs no look at the report gets none.
         if (leading?.ready == false || leading == null && leader == null) return HttpReply(503)
-        if (leading == null && batches.leaderUnreachable) return HttpReply(421, WorkerWire.elsewhere(leader))
+        if (leading == null && batches.leaderUnreachable) return HttpReply(421, WorkerProtocol.elsewhere(leader))
         val report = try {
-            services.workTimes.measure(WorkPart.REPORT_DECODING) { WorkerWire.report(body) }
-        } catch (e: Malformed) {
+            services.workTimes.measure(ProcessingStage.HEARTBEAT_DECODING) { WorkerProtocol.report(body) }
+        } catch (e: MalformedMessageException) {
             log.error("a garbled report: {}", e.message)
-            return HttpReply(400, UserWire.error(e.message.orEmpty()))
+            return HttpReply(400, UserProtocol.error(e.message.orEmpty()))
         }
         leading?.let { return reportToUs(it, report) }
         return when (val outcome = batches.decide(report)) {
-            is ForwardOutcome.Answered -> HttpReply(200, WorkerWire.answer(outcome.version, outcome.orders))
+            is ForwardOutcome.Answered -> HttpReply(200, WorkerProtocol.answer(outcome.version, outcome.orders))
             ForwardOutcome.Unanswered -> HttpReply(503)
         }
     }
 
-    private suspend fun reportToUs(mine: LeaderTerm, report: Report): HttpReply {
+    private suspend fun reportToUs(mine: LeaderTerm, report: Heartbeat): HttpReply {
         distribution.followerFor(report.machine, reachableFollowers(), clocks.steadyMs())?.let {
-            return HttpReply(421, WorkerWire.elsewhere(it))
+            return HttpReply(421, WorkerProtocol.elsewhere(it))
         }
         val answer = mine.report(report)
         return when {
-            answer != null -> HttpReply(200, WorkerWire.answer(answer.version, answer.orders))
+            answer != null -> HttpReply(200, WorkerProtocol.answer(answer.version, answer.orders))
             leading === mine -> HttpReply(503)
-            else -> HttpReply(421, WorkerWire.elsewhere(leader.takeIf { it != settings.member }))
+            else -> HttpReply(421, WorkerProtocol.elsewhere(leader.takeIf { it != settings.member }))
         }
     }
 
@@ -342,8 +345,8 @@
 
     private suspend fun sendBatch(to: KnownLeader, batch: OutgoingBatch, timeoutMs: Long): BatchResult {
         val address = peerAddresses[to.member] ?: return BatchResult.NotLeading
-        val encoded = services.workTimes.measure(WorkPart.BATCH_ENCODING) {
-            PeerCodec.encode(PeerRequest.Batch.of(settings.member, batch))
+        val encoded = services.workTimes.measure(ProcessingStage.BATCH_ENCODING) {
+            PeerCodec.encode(PeerRequest.FollowerBatch.of(settings.member, batch))
         }
         return when (val result = peers.ask(address, encoded, timeoutMs)) {
             is PeerResult.Answered -> decisionsOf(to, batch, result.reply)
@@ -362,13 +365,13 @@
         )
     }
 
-    private suspend fun decide(request: PeerRequest.Batch): PeerReply {
+    private suspend fun decide(request: PeerRequest.FollowerBatch): PeerReply {
         leading?.let { if (it.term.revision < request.term) depose(it.term, "${request.from} knows term ${request.term}") }
         val mine = leading?.takeIf { it.term.revision == request.term && it.ready }
             ?: return PeerReply(503, leader = leader, term = leaderTerm)
         peerHeardMs[request.from] = clocks.steadyMs()
         mine.directResults(request.directResults)
-        val reports = services.workTimes.measure(WorkPart.BATCH_DECODING) { request.toReports() }
+        val reports = services.workTimes.measure(ProcessingStage.BATCH_DECODING) { request.toReports() }
         if (reportsTo.size > MOST_MACHINES_KNOWN) reportsTo.clear()
         reports.forEach { reportsTo[it.machine] = request.from }
         val answer = mine.followerBatch(reports, request.polls)
@@ -376,38 +379,38 @@
             status = if (answer == null) 503 else 200,
             leader = leader,
             term = leaderTerm,
-            decisions = answer?.decisions?.map(DecisionMessage::of),
-            statuses = answer?.statuses?.map(StatusMessage::of),
+            decisions = answer?.decisions?.map(HeartbeatDecisionMessage::of),
+            statuses = answer?.statuses?.map(JobStatusMessage::of),
         )
     }
 
     /** Carries commands of the leader to workers; what they answer goes back with the next batches. */
-    private fun deliver(request: PeerRequest.Deliver): PeerReply {
+    private fun deliver(request: PeerRequest.DeliverCommands): PeerReply {
         heard(request.from, request.term)
         val isFromLeader = leading == null && leader == request.from && leaderTerm == request.term
         if (isFromLeader) request.commands.forEach { command -> scope.launch { deliver(request.term, command) } }
         return PeerReply(if (isFromLeader) 200 else 503, leader = leader, term = leaderTerm)
     }
 
-    private suspend fun deliver(term: Long, command: DirectMessage) {
+    private suspend fun deliver(term: Long, command: DeliveryMessage) {
         val report = services.workers.send(command.toCommand())
-        if (report != null) batches.tell(DirectResult(term, command.id, report))
+        if (report != null) batches.tell(DeliveryResult(term, command.id, report))
     }
 
     suspend fun peer(request: PeerRequest): PeerReply = when (request) {
-        is PeerRequest.Leads -> {
+        is PeerRequest.AnnounceLeader -> {
             heard(request.from, request.term)
             PeerReply(200, leader = leader, term = leaderTerm)
         }
-        is PeerRequest.Images -> {
+        is PeerRequest.ImageCacheHints -> {
             if (imagesTold.size > MOST_IMAGES_TOLD) imagesTold.clear()
             imagesTold += request.held()
             PeerReply(200, leader = leader, term = leaderTerm)
         }
-        is PeerRequest.User -> user(request.method, request.path, request.body, forwarded = true)
+        is PeerRequest.ForwardUserRequest -> user(request.method, request.path, request.body, forwarded = true)
             .let { PeerReply(it.status, it.body, it.retryAfterS, leader, leaderTerm) }
-        is PeerRequest.Batch -> decide(request)
-        is PeerRequest.Deliver -> deliver(request)
+        is PeerRequest.FollowerBatch -> decide(request)
+        is PeerRequest.DeliverCommands -> deliver(request)
     }
 
     companion object {
--- a/src/main/kotlin/cleathitch/state/Leadership.kt
+++ b/src/main/kotlin/cleathitch/election/LeaderElection.kt
@@ -1,12 +1,16 @@
-package cleathitch.state
+package cleathitch.election
 
-import cleathitch.core.Term
-import cleathitch.core.Tuning
-import cleathitch.protocol.Malformed
-import cleathitch.protocol.StateWire
-import cleathitch.protocol.Wire
+import cleathitch.protocol.KeyValueStoreProtocol
+import cleathitch.protocol.MalformedMessageException
+import cleathitch.protocol.MessageCodec
 import cleathitch.protocol.text
 import cleathitch.protocol.whole
+import cleathitch.scheduler.api.SchedulerTimings
+import cleathitch.scheduler.model.Term
+import cleathitch.storage.CompareAndSwapResult
+import cleathitch.storage.KeyValueStoreClient
+import cleathitch.storage.LeaseRenewal
+import cleathitch.storage.StoreRead
 import kotlinx.coroutines.delay
 import org.slf4j.LoggerFactory
 
@@ -17,8 +21,8 @@
  * Times are by the steady clock, and a lease is reckoned from before the request that renewed it was
  * sent, less what two clocks may drift apart: what is held here is surely held there.
  */
-class Leadership(
-    private val state: StateClient,
+class LeaderElection(
+    private val state: KeyValueStoreClient,
     private val member: String,
     private val incarnation: String,
     private val ttlMs: Long,
@@ -28,17 +32,17 @@
     private var holdBackUntilMs = 0L
     private var lastLedTerm = 0L
 
-    suspend fun run(listener: LeadershipListener): Nothing {
+    suspend fun run(listener: ElectionListener): Nothing {
         while (true) {
             when (val read = state.list(leaderKey, null)) {
-                is StateRead.Value -> act(read.value, listener)
-                is StateRead.Failed -> pause()
+                is StoreRead.Value -> act(read.value, listener)
+                is StoreRead.Failed -> pause()
             }
         }
     }
 
     /** Does what follows from who holds the leader's key, as [page] shows it. */
-    private suspend fun act(page: StateWire.Page, listener: LeadershipListener) {
+    private suspend fun act(page: KeyValueStoreProtocol.Page, listener: ElectionListener) {
         val entry = page.entries.firstOrNull { it.key == leaderKey }
         val holder = entry?.let(Holder::of)
         when {
@@ -47,12 +51,12 @@
             holder?.member == member -> releaseFormerTerm(entry, holder)
             else -> {
                 listener.leaderIs(holder?.member, entry.revision)
-                if (state.follow(leaderKey, page.revision, WATCH_LEASES * ttlMs) is StateRead.Failed) pause()
+                if (state.follow(leaderKey, page.revision, WATCH_LEASES * ttlMs) is StoreRead.Failed) pause()
             }
         }
     }
 
-    private suspend fun leaderMissing(revision: Long, listener: LeadershipListener) {
+    private suspend fun leaderMissing(revision: Long, listener: ElectionListener) {
         listener.leaderIs(null, revision)
         if (steadyMs() < holdBackUntilMs) pause() else compete(listener)
     }
@@ -61,40 +65,40 @@
      * Leads a term that was won by a transaction whose answer was lost. What is left of its lease isn't known, and after
      * a pause of the process it may be nothing: it counts from a renewal, not from the look at the key.
      */
-    private suspend fun resume(entry: StateWire.Entry, holder: Holder, listener: LeadershipListener) {
+    private suspend fun resume(entry: KeyValueStoreProtocol.Entry, holder: Holder, listener: ElectionListener) {
         val sentMs = steadyMs()
-        if (state.extend(holder.lease) == Renewal.Held) lead(listener, Term(entry.revision), holder.lease, sentMs) else pause()
+        if (state.extend(holder.lease) == LeaseRenewal.Held) lead(listener, Term(entry.revision), holder.lease, sentMs) else pause()
     }
 
     /**
      * Ends a lease of a process whose successor this one is, or of a term that this process gave up, without waiting for
      * the lease's end. A term is led once, as its names and versions count up from one.
      */
-    private suspend fun releaseFormerTerm(entry: StateWire.Entry, holder: Holder) {
+    private suspend fun releaseFormerTerm(entry: KeyValueStoreProtocol.Entry, holder: Holder) {
         log.info("releasing the lease of term {}", entry.revision)
         if (!state.release(holder.lease)) pause()
     }
 
     private suspend fun pause() = delay(ttlMs / PAUSES_PER_LEASE)
 
-    private suspend fun compete(listener: LeadershipListener) {
+    private suspend fun compete(listener: ElectionListener) {
         val asked = steadyMs()
         val lease = when (val read = state.hold(ttlMs)) {
-            is StateRead.Value -> read.value
-            is StateRead.Failed -> return pause()
+            is StoreRead.Value -> read.value
+            is StoreRead.Failed -> return pause()
         }
-        val value = Wire.newMap().put("member", member).put("incarnation", incarnation).put("lease", lease)
-        when (val result = state.transaction(mapOf(leaderKey to 0L), listOf(StateWire.Write.Put(leaderKey, value, lease)))) {
-            is Txn.Done -> lead(listener, Term(result.revision), lease, asked)
-            is Txn.Refused, Txn.NoLease -> state.release(lease)
+        val value = MessageCodec.newMap().put("member", member).put("incarnation", incarnation).put("lease", lease)
+        when (val result = state.transaction(mapOf(leaderKey to 0L), listOf(KeyValueStoreProtocol.Write.Put(leaderKey, value, lease)))) {
+            is CompareAndSwapResult.Applied -> lead(listener, Term(result.revision), lease, asked)
+            is CompareAndSwapResult.Refused, CompareAndSwapResult.LeaseNotFound -> state.release(lease)
             // The next look at the key shows whether we have it.
-            is Txn.Unavailable, is Txn.Unknown -> pause()
+            is CompareAndSwapResult.Unavailable, is CompareAndSwapResult.Unknown -> pause()
         }
     }
 
-    private suspend fun lead(listener: LeadershipListener, term: Term, hold: Long, renewedMs: Long) {
+    private suspend fun lead(listener: ElectionListener, term: Term, hold: Long, renewedMs: Long) {
         lastLedTerm = term.revision
-        val lease = Lease(term, heldUntil(renewedMs), steadyMs())
+        val lease = LeaderLease(term, heldUntil(renewedMs), steadyMs())
         listener.elected(lease)
         while (true) {
             delay(ttlMs / RENEWALS_PER_LEASE)
@@ -103,7 +107,7 @@
     }
 
     /** True if the term is over because its own side has given it up, or has stopped working. */
-    private suspend fun givenUp(lease: Lease, hold: Long, listener: LeadershipListener): Boolean {
+    private suspend fun givenUp(lease: LeaderLease, hold: Long, listener: ElectionListener): Boolean {
         val resignation = lease.resignation
         if (resignation != null) {
             if (resignation.handOver) holdBackUntilMs = steadyMs() + ttlMs * HAND_OVER_LEASES
@@ -119,28 +123,28 @@
     }
 
     /** False if the lease is surely gone. */
-    private suspend fun renewed(lease: Lease, hold: Long, listener: LeadershipListener): Boolean {
+    private suspend fun renewed(lease: LeaderLease, hold: Long, listener: ElectionListener): Boolean {
         val sentMs = steadyMs()
         when (val renewal = state.extend(hold)) {
-            Renewal.Held -> lease.heldUntilMs = heldUntil(sentMs)
-            Renewal.Gone -> {
+            LeaseRenewal.Held -> lease.heldUntilMs = heldUntil(sentMs)
+            LeaseRenewal.Gone -> {
                 listener.deposed(lease, "the lease ran out")
                 return false
             }
-            is Renewal.Unknown -> if (steadyMs() > lease.heldUntilMs) {
+            is LeaseRenewal.Unknown -> if (steadyMs() > lease.heldUntilMs) {
                 log.info("term {}: the lease may have run out: {}", lease.term.revision, renewal.failure)
             }
         }
         return true
     }
 
-    private fun heldUntil(renewedMs: Long) = renewedMs + ttlMs - (ttlMs * Tuning.DRIFT).toLong() - 1
+    private fun heldUntil(renewedMs: Long) = renewedMs + ttlMs - (ttlMs * SchedulerTimings.DRIFT).toLong() - 1
 
     private class Holder(val member: String, val incarnation: String, val lease: Long) {
         companion object {
-            fun of(entry: StateWire.Entry): Holder? = try {
+            fun of(entry: KeyValueStoreProtocol.Entry): Holder? = try {
                 Holder(entry.value.text("member"), entry.value.text("incarnation"), entry.value.whole("lease"))
-            } catch (_: Malformed) {
+            } catch (_: MalformedMessageException) {
                 null
             }
         }
--- a/src/main/kotlin/cleathitch/state/Lease.kt
+++ b/src/main/kotlin/cleathitch/election/LeaderLease.kt
@@ -1,21 +1,11 @@
-package cleathitch.state
+package cleathitch.election
 
-import cleathitch.core.Term
-
-/** Told what becomes of the leadership, on the loop that keeps the lease. */
-interface LeadershipListener {
-    /** We lead for as long as the lease says. */
-    fun elected(lease: Lease)
-    fun deposed(lease: Lease, reason: String)
-
-    /** Who leads, and in which term; with nobody, the newest revision known. */
-    fun leaderIs(member: String?, term: Long)
-}
+import cleathitch.scheduler.model.Term
 
 /**
  * One term's lease, as both loops see it: kept on a loop of its own, used and given up where the work is done.
  */
-class Lease(val term: Term, heldUntilMs: Long, workedMs: Long) {
+class LeaderLease(val term: Term, heldUntilMs: Long, workedMs: Long) {
     /** Until then it is surely held. */
     @Volatile
     var heldUntilMs = heldUntilMs
--- a/src/main/kotlin/cleathitch/http/CallResult.kt
+++ b/src/main/kotlin/cleathitch/http/CallResult.kt
@@ -8,13 +8,8 @@
     data class Failed(val failure: CallFailure) : CallResult
 }
 
-/** How far a call had come when it failed. */
-enum class CallFailure(val description: String) {
-    NO_CONNECTION_IN_TIME("no connection in time"),
-    CONNECT_FAILED("connecting failed"),
-    NO_ANSWER_IN_TIME("no answer in time"),
-    CONNECTION_LOST("the connection was lost"),
-}
-
 /** The answer, if it has the status [expected]. */
 fun CallResult.answerWith(expected: Int): CallResult.Answered? = (this as? CallResult.Answered)?.takeIf { it.status == expected }
+
+/** Too many requests, or the server can't serve: worth a try later, unlike other answers. */
+internal val CallResult.Answered.isRefusal get() = status == 429 || status >= 500
--- a/src/main/kotlin/cleathitch/core/CommandQueue.kt
+++ b/src/main/kotlin/cleathitch/leader/InputQueue.kt
@@ -1,4 +1,7 @@
-package cleathitch.core
+package cleathitch.leader
+
+import cleathitch.scheduler.api.Input
+import cleathitch.scheduler.model.JobId
 
 /**
  * The commands that wait for the engine, handed out in bounded batches, the urgent ones first.
@@ -7,18 +10,18 @@
  * everything that is known of lease and commits and a bounded part of every other kind, so no kind waits for the end of
  * another. Requests about the same job and reports of the same machine stay in their order.
  */
-class CommandQueue(private val mostRequests: Int) {
+class InputQueue(private val mostRequests: Int) {
     /** The kinds of commands in the order in which a batch holds them. */
     private enum class Urgency(val mostPerBatch: Int, val isRequest: Boolean) {
         /** What was asked of others and is answered by now: lease, commits, machine types. */
         OUTCOME(Int.MAX_VALUE, isRequest = false),
-        REPORT_OR_CANCELLATION(256, isRequest = true),
+        HEARTBEAT_OR_CANCELLATION(256, isRequest = true),
         POLL(128, isRequest = true),
         SUBMISSION(64, isRequest = true),
         OTHER(16, isRequest = false),
     }
 
-    private val waiting = Urgency.entries.associateWith { ArrayDeque<Command>() }
+    private val waiting = Urgency.entries.associateWith { ArrayDeque<Input>() }
 
     /** How many submissions of each job wait: what is asked about the job later must not overtake them. */
     private val waitingSubmissions = HashMap<JobId, Int>()
@@ -30,20 +33,20 @@
     val isEmpty get() = waiting.values.all { it.isEmpty() }
 
     /** Adds the command; false if it is a request and too many wait already. */
-    fun offer(command: Command): Boolean {
+    fun offer(command: Input): Boolean {
         val urgency = urgencyOf(command)
         if (urgency.isRequest) {
             if (requests >= mostRequests) return false
             requests++
         }
-        if (command is Command.Submit) waitingSubmissions.merge(command.spec.id, 1, Int::plus)
+        if (command is Input.Submit) waitingSubmissions.merge(command.spec.id, 1, Int::plus)
         waiting.getValue(urgency).addLast(command)
         return true
     }
 
     /** The next commands for the engine; requests that nobody awaits any more are dropped. */
-    fun nextBatch(isAwaited: (Command) -> Boolean): List<Command> {
-        val batch = ArrayList<Command>()
+    fun nextBatch(isAwaited: (Input) -> Boolean): List<Input> {
+        val batch = ArrayList<Input>()
         for ((urgency, commands) in waiting) {
             repeat(minOf(urgency.mostPerBatch, commands.size)) {
                 val command = commands.removeFirst()
@@ -54,20 +57,20 @@
         return batch
     }
 
-    private fun noteTaken(command: Command, urgency: Urgency) {
+    private fun noteTaken(command: Input, urgency: Urgency) {
         if (urgency.isRequest) requests--
-        if (command is Command.Submit) {
+        if (command is Input.Submit) {
             waitingSubmissions.computeIfPresent(command.spec.id) { _, count -> (count - 1).takeIf { it > 0 } }
         }
     }
 
-    private fun urgencyOf(command: Command): Urgency = when (command) {
-        is Command.LeaseHeld, is Command.Committed, is Command.TypesListed, is Command.ImagesTold -> Urgency.OUTCOME
-        is Command.Reported, is Command.FollowerBatch, is Command.Inspected, is Command.DirectUnanswered ->
-            Urgency.REPORT_OR_CANCELLATION
-        is Command.Abort -> if (command.job in waitingSubmissions) Urgency.SUBMISSION else Urgency.REPORT_OR_CANCELLATION
-        is Command.Poll -> if (command.job in waitingSubmissions) Urgency.SUBMISSION else Urgency.POLL
-        is Command.Submit -> Urgency.SUBMISSION
-        is Command.MachinesListed, is Command.RentalAnswered, is Command.Returned, Command.Tick -> Urgency.OTHER
+    private fun urgencyOf(command: Input): Urgency = when (command) {
+        is Input.LeaseRenewed, is Input.CommitSucceeded, is Input.MachineTypesListed, is Input.ImageCacheHintsReceived -> Urgency.OUTCOME
+        is Input.HeartbeatReceived, is Input.FollowerBatchReceived, is Input.ProbeAnswered, is Input.DirectCallUnanswered ->
+            Urgency.HEARTBEAT_OR_CANCELLATION
+        is Input.Cancel -> if (command.job in waitingSubmissions) Urgency.SUBMISSION else Urgency.HEARTBEAT_OR_CANCELLATION
+        is Input.Poll -> if (command.job in waitingSubmissions) Urgency.SUBMISSION else Urgency.POLL
+        is Input.Submit -> Urgency.SUBMISSION
+        is Input.MachinesListed, is Input.RentalCompleted, is Input.MachinesTerminated, Input.Tick -> Urgency.OTHER
     }
 }
--- /dev/null
+++ b/src/main/kotlin/cleathitch/leader/LeaderDependencies.kt
@@ -0,0 +1,22 @@
+package cleathitch.leader
+
+import cleathitch.cloud.CloudClient
+import cleathitch.metrics.ProcessingTimes
+import cleathitch.scheduler.api.SchedulerTimings
+import cleathitch.scheduler.model.Deployment
+import cleathitch.workers.WorkerClient
+import io.micrometer.core.instrument.MeterRegistry
+
+/** What a term as leader works with. */
+class LeaderDependencies(
+    val deployment: Deployment,
+    val tuning: SchedulerTimings,
+    val workers: WorkerClient,
+    val cloud: CloudClient,
+    val clocks: Clocks,
+    val meters: MeterRegistry,
+    val workTimes: ProcessingTimes,
+
+    /** So many requests may wait for the engine; the rest is refused at once. */
+    val mostRequests: Int,
+)
--- a/src/main/kotlin/cleathitch/LeaderTerm.kt
+++ b/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
@@ -1,31 +1,25 @@
-package cleathitch
+package cleathitch.leader
 
-import cleathitch.cloud.CloudClient
-import cleathitch.core.Command
-import cleathitch.core.CommandQueue
-import cleathitch.core.Deployment
-import cleathitch.core.Effect
-import cleathitch.core.Engine
-import cleathitch.core.ForwardedReport
-import cleathitch.core.HeldImages
-import cleathitch.core.JobId
-import cleathitch.core.JobSpec
-import cleathitch.core.MachineId
-import cleathitch.core.MachineType
-import cleathitch.core.Moment
-import cleathitch.core.NoteLevel
-import cleathitch.core.Report
-import cleathitch.core.RequestId
-import cleathitch.core.Tuning
-import cleathitch.core.UserReply
-import cleathitch.peers.CommandDelivery
-import cleathitch.peers.DirectResultMessage
-import cleathitch.state.CommitResult
-import cleathitch.state.Lease
-import cleathitch.state.Store
-import cleathitch.state.StoredCodec
-import cleathitch.workers.WorkerClient
-import io.micrometer.core.instrument.MeterRegistry
+import cleathitch.election.LeaderLease
+import cleathitch.metrics.ProcessingStage
+import cleathitch.peers.DeliveryResultMessage
+import cleathitch.peers.WorkerCommandDelivery
+import cleathitch.scheduler.Scheduler
+import cleathitch.scheduler.api.Effect
+import cleathitch.scheduler.api.ForwardedHeartbeat
+import cleathitch.scheduler.api.Input
+import cleathitch.scheduler.api.LogLevel
+import cleathitch.scheduler.api.UserReply
+import cleathitch.scheduler.model.Heartbeat
+import cleathitch.scheduler.model.ImageCache
+import cleathitch.scheduler.model.JobId
+import cleathitch.scheduler.model.JobSpec
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.model.MachineType
+import cleathitch.scheduler.model.RequestId
+import cleathitch.storage.CommitResult
+import cleathitch.storage.LogCodec
+import cleathitch.storage.LogStorage
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.channels.Channel
@@ -34,43 +28,22 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.yield
 import org.slf4j.LoggerFactory
-import java.util.concurrent.TimeUnit
-
-/** The clocks of this node. */
-class Clocks {
-    fun steadyMs() = TimeUnit.NANOSECONDS.toMillis(System.nanoTime())
-    fun moment() = Moment(steadyMs(), System.currentTimeMillis())
-}
-
-/** What a term as leader works with. */
-class Services(
-    val deployment: Deployment,
-    val tuning: Tuning,
-    val workers: WorkerClient,
-    val cloud: CloudClient,
-    val clocks: Clocks,
-    val meters: MeterRegistry,
-    val workTimes: WorkTimes,
-
-    /** So many requests may wait for the engine; the rest is refused at once. */
-    val mostRequests: Int,
-)
 
 /**
  * One term as leader: the engine, its queue of commands, and the coroutines that carry out what it
  * wants done. Only [run] touches the engine.
  */
 class LeaderTerm(
-    val lease: Lease,
-    private val services: Services,
-    private val store: Store,
+    val lease: LeaderLease,
+    private val services: LeaderDependencies,
+    private val store: LogStorage,
     private val knownTypes: List<MachineType>,
-    private val imagesTold: Map<MachineId, HeldImages>,
-    newDelivery: ((Command) -> Unit) -> CommandDelivery,
-    private val tellImages: (Map<MachineId, HeldImages>) -> Unit,
+    private val imagesTold: Map<MachineId, ImageCache>,
+    newDelivery: ((Input) -> Unit) -> WorkerCommandDelivery,
+    private val tellImages: (Map<MachineId, ImageCache>) -> Unit,
     private val stepDown: (Effect.StepDown) -> Unit,
 ) {
-    private val queue = CommandQueue(services.mostRequests)
+    private val queue = InputQueue(services.mostRequests)
     private val wakeUp = Channel<Unit>(Channel.CONFLATED)
     private val delivery = newDelivery(::post)
     private class Asked<T>(val sinceMs: Long) {
@@ -79,7 +52,7 @@
 
     /** Open requests, the oldest first; the tick ends those that are too old, as a timer for each cost a tenth of a report's work. */
     private val users = LinkedHashMap<RequestId, Asked<UserReply>>()
-    private val reports = LinkedHashMap<RequestId, Asked<Effect.AnswerReport>>()
+    private val reports = LinkedHashMap<RequestId, Asked<Effect.AnswerHeartbeat>>()
     private val batches = LinkedHashMap<RequestId, Asked<Effect.AnswerFollower>>()
     private var requests = 0L
     private var lastBatchMsPerCommand = 0.0
@@ -92,37 +65,37 @@
     /** What this term is at, for the log. */
     val activity get() = if (ready) "leading with ${queue.requests} requests waiting" else "replaying: ${store.activity}"
 
-    suspend fun submit(spec: JobSpec) = askUser { Command.Submit(it, spec) }
-    suspend fun poll(job: JobId) = askUser { Command.Poll(it, job) }
-    suspend fun abort(job: JobId) = askUser { Command.Abort(it, job) }
+    suspend fun submit(spec: JobSpec) = askUser { Input.Submit(it, spec) }
+    suspend fun poll(job: JobId) = askUser { Input.Poll(it, job) }
+    suspend fun abort(job: JobId) = askUser { Input.Cancel(it, job) }
 
-    private suspend fun askUser(command: (RequestId) -> Command): UserReply {
-        if (!ready) return UserReply.NotNow("taking over")
+    private suspend fun askUser(command: (RequestId) -> Input): UserReply {
+        if (!ready) return UserReply.Unavailable("taking over")
         val request = RequestId(++requests)
         val asked = command(request)
-        return ask(users, request, asked, UserReply.NotNow("too many requests wait", secondsToServeQueue()))
-            ?: UserReply.NotNow("not the leader any more")
+        return ask(users, request, asked, UserReply.Unavailable("too many requests wait", secondsToServeQueue()))
+            ?: UserReply.Unavailable("not the leader any more")
     }
 
     /** Null if the report must not be answered. */
-    suspend fun report(report: Report): Effect.AnswerReport? {
+    suspend fun report(report: Heartbeat): Effect.AnswerHeartbeat? {
         if (!ready) return null
         val request = RequestId(++requests)
-        return ask(reports, request, Command.Reported(request, report), refusal = null)
+        return ask(reports, request, Input.HeartbeatReceived(request, report), refusal = null)
     }
 
     /** Null if nothing can be decided now about the reports and polls that a follower hands on. */
-    suspend fun followerBatch(reports: List<ForwardedReport>, polls: List<JobId>): Effect.AnswerFollower? {
+    suspend fun followerBatch(reports: List<ForwardedHeartbeat>, polls: List<JobId>): Effect.AnswerFollower? {
         if (!ready) return null
         val request = RequestId(++requests)
-        return ask(batches, request, Command.FollowerBatch(request, reports, polls), refusal = null)
+        return ask(batches, request, Input.FollowerBatchReceived(request, reports, polls), refusal = null)
     }
 
     /** Answers of workers to commands that a follower delivered for this leader. */
-    fun directResults(results: List<DirectResultMessage>) = delivery.answered(results)
+    fun directResults(results: List<DeliveryResultMessage>) = delivery.answered(results)
 
     /** The answer to [command], or [refusal] if too much waits already. */
-    private suspend fun <T> ask(open: LinkedHashMap<RequestId, Asked<T>>, request: RequestId, command: Command, refusal: T?): T? {
+    private suspend fun <T> ask(open: LinkedHashMap<RequestId, Asked<T>>, request: RequestId, command: Input, refusal: T?): T? {
         if (!queue.offer(command)) return refusal
         val asked = Asked<T>(services.clocks.steadyMs())
         open[request] = asked
@@ -134,7 +107,7 @@
         }
     }
 
-    private fun post(command: Command) {
+    private fun post(command: Input) {
         queue.offer(command)
         wakeUp.trySend(Unit)
     }
@@ -148,19 +121,19 @@
     }
 
     /** Under overload, what its sender has given up on would only delay the rest. */
-    private fun isAwaited(command: Command) = when (command) {
-        is Command.Submit -> command.request in users
-        is Command.Poll -> command.request in users
-        is Command.Abort -> command.request in users
-        is Command.Reported -> command.request in reports
-        is Command.FollowerBatch -> command.request in batches
+    private fun isAwaited(command: Input) = when (command) {
+        is Input.Submit -> command.request in users
+        is Input.Poll -> command.request in users
+        is Input.Cancel -> command.request in users
+        is Input.HeartbeatReceived -> command.request in reports
+        is Input.FollowerBatchReceived -> command.request in batches
         else -> true
     }
 
     /** Gives every open request its last answer. */
     fun end() {
         ready = false
-        users.values.toList().forEach { it.answer.complete(UserReply.NotNow("not the leader any more")) }
+        users.values.toList().forEach { it.answer.complete(UserReply.Unavailable("not the leader any more")) }
         reports.values.toList().forEach { it.answer.complete(null) }
         batches.values.toList().forEach { it.answer.complete(null) }
     }
@@ -169,21 +142,21 @@
     suspend fun run(replayed: () -> Unit) = coroutineScope {
         val begun = services.clocks.steadyMs()
         val snapshot = store.load()
-        val engine = Engine(
+        val engine = Scheduler(
             services.deployment,
             services.tuning,
             term,
             snapshot,
             services.clocks.moment(),
-            StoredCodec,
+            LogCodec,
             noteLevel = when {
-                log.isDebugEnabled -> NoteLevel.DEBUG
-                log.isInfoEnabled -> NoteLevel.INFO
-                else -> NoteLevel.ERROR
+                log.isDebugEnabled -> LogLevel.DEBUG
+                log.isInfoEnabled -> LogLevel.INFO
+                else -> LogLevel.ERROR
             },
         )
-        if (knownTypes.isNotEmpty()) post(Command.TypesListed(knownTypes))
-        post(Command.ImagesTold(imagesTold))
+        if (knownTypes.isNotEmpty()) post(Input.MachineTypesListed(knownTypes))
+        post(Input.ImageCacheHintsReceived(imagesTold))
         ready = true
         replayed()
         log.info(
@@ -201,7 +174,7 @@
             wakeUp.receive()
             while (!queue.isEmpty) {
                 lease.worked(services.clocks.steadyMs())
-                post(Command.LeaseHeld(lease.heldUntilMs))
+                post(Input.LeaseRenewed(lease.heldUntilMs))
                 val batch = queue.nextBatch(::isAwaited)
                 batchSizes.record(batch.size.toDouble())
                 val effects = handle(engine, batch)
@@ -213,9 +186,9 @@
         }
     }
 
-    private fun handle(engine: Engine, batch: List<Command>): List<Effect> {
+    private fun handle(engine: Scheduler, batch: List<Input>): List<Effect> {
         val startNs = System.nanoTime()
-        val effects = services.workTimes.measure(WorkPart.ENGINE) { engine.handle(batch, services.clocks.moment()) }
+        val effects = services.workTimes.measure(ProcessingStage.SCHEDULER) { engine.handle(batch, services.clocks.moment()) }
         lastBatchMsPerCommand = (System.nanoTime() - startNs) / 1e6 / batch.size
         return effects
     }
@@ -224,14 +197,14 @@
         when (effect) {
             // Decided before a standstill of this process, it must not leave after it: others may lead by now.
             is Effect.Answer -> users[effect.request]?.answer?.complete(
-                if (services.clocks.steadyMs() < lease.heldUntilMs) effect.reply else UserReply.NotNow("no lease"),
+                if (services.clocks.steadyMs() < lease.heldUntilMs) effect.reply else UserReply.Unavailable("no lease"),
             )
-            is Effect.AnswerReport -> reports[effect.request]?.answer?.complete(effect)
-            is Effect.RefuseReport -> reports[effect.request]?.answer?.complete(null)
+            is Effect.AnswerHeartbeat -> reports[effect.request]?.answer?.complete(effect)
+            is Effect.RefuseHeartbeat -> reports[effect.request]?.answer?.complete(null)
             is Effect.AnswerFollower -> batches[effect.request]?.answer?.complete(checked(effect))
             is Effect.Write -> launch {
                 when (val result = store.commit(effect.commit)) {
-                    is CommitResult.Done -> post(Command.Committed(effect.commit.seq, result.revision))
+                    is CommitResult.Done -> post(Input.CommitSucceeded(effect.commit.seq, result.revision))
                     is CommitResult.Refused -> stepDown(Effect.StepDown("a transaction was refused: ${result.failedKeys} changed"))
                 }
             }
@@ -239,17 +212,17 @@
             is Effect.ToWorker -> Unit
             is Effect.Rent -> launch {
                 val answer = services.cloud.rent(effect.asked)
-                post(Command.RentalAnswered(effect.asked.request, answer))
+                post(Input.RentalCompleted(effect.asked.request, answer))
             }
-            is Effect.Return -> launch {
-                if (services.cloud.giveBack(effect.machines)) post(Command.Returned(effect.machines))
+            is Effect.TerminateMachines -> launch {
+                if (services.cloud.giveBack(effect.machines)) post(Input.MachinesTerminated(effect.machines))
             }
-            is Effect.TellImages -> tellImages(effect.images)
+            is Effect.ShareImageCacheHints -> tellImages(effect.images)
             is Effect.StepDown -> stepDown(effect)
-            is Effect.Note -> when (effect.level) {
-                NoteLevel.ERROR -> log.error("term {}: {}", term.revision, effect.text)
-                NoteLevel.INFO -> log.info("term {}: {}", term.revision, effect.text)
-                NoteLevel.DEBUG -> log.debug("term {}: {}", term.revision, effect.text)
+            is Effect.Log -> when (effect.level) {
+                LogLevel.ERROR -> log.error("term {}: {}", term.revision, effect.text)
+                LogLevel.INFO -> log.info("term {}: {}", term.revision, effect.text)
+                LogLevel.DEBUG -> log.debug("term {}: {}", term.revision, effect.text)
             }
         }
     }
@@ -258,7 +231,7 @@
     private fun checked(answer: Effect.AnswerFollower): Effect.AnswerFollower = if (services.clocks.steadyMs() < lease.heldUntilMs) {
         answer
     } else {
-        answer.copy(statuses = answer.statuses.map { UserReply.NotNow("no lease") })
+        answer.copy(statuses = answer.statuses.map { UserReply.Unavailable("no lease") })
     }
 
     private suspend fun tick() {
@@ -267,13 +240,13 @@
             endOld(users)
             endOld(reports)
             endOld(batches)
-            post(Command.Tick)
+            post(Input.Tick)
         }
     }
 
     private suspend fun watchTypes() {
         while (true) {
-            services.cloud.types()?.let { post(Command.TypesListed(it)) }
+            services.cloud.types()?.let { post(Input.MachineTypesListed(it)) }
             delay((services.deployment.leaseS * 1000).toLong())
         }
     }
@@ -281,7 +254,7 @@
     private suspend fun watchMachines() {
         val periodMs = (maxOf(services.deployment.listLagS, services.deployment.reportS) * 1000).toLong()
         while (true) {
-            services.cloud.machines()?.let { post(Command.MachinesListed(it)) }
+            services.cloud.machines()?.let { post(Input.MachinesListed(it)) }
             delay(periodMs)
         }
     }
--- a/src/main/kotlin/cleathitch/WorkTimes.kt
+++ b/src/main/kotlin/cleathitch/metrics/ProcessingTimes.kt
@@ -1,38 +1,27 @@
-package cleathitch
+package cleathitch.metrics
 
+import cleathitch.scheduler.api.note
 import io.micrometer.core.instrument.MeterRegistry
 import io.micrometer.core.instrument.Timer
 import java.util.concurrent.TimeUnit
 
-/** The parts of a controller's work whose times are measured. */
-enum class WorkPart {
-    REPORT_DECODING,
-    BATCH_ENCODING,
-    BATCH_DECODING,
-    ENGINE,
-    COMMIT_ENCODING,
-    MACHINE_LIST,
-    REPLAY,
-    IMAGES_ENCODING,
-}
-
 /**
  * How long the parts of a controller's work take, as metrics and as a summary for the log.
  *
  * The longest single piece matters as much as the sum: on a machine with a tenth of a core, thirty milliseconds of work
  * keep every request waiting for a third of a second.
  */
-class WorkTimes(meters: MeterRegistry) {
+class ProcessingTimes(meters: MeterRegistry) {
     private class Counted(val timer: Timer) {
         var count = 0
         var totalNs = 0L
         var longestNs = 0L
     }
 
-    private val parts = WorkPart.entries.associateWith { Counted(meters.timer("work", "part", it.name.lowercase())) }
+    private val parts = ProcessingStage.entries.associateWith { Counted(meters.timer("work", "part", it.name.lowercase())) }
 
     /** Runs [work] and counts its time for [part]. */
-    fun <T> measure(part: WorkPart, work: () -> T): T {
+    fun <T> measure(part: ProcessingStage, work: () -> T): T {
         val startNs = System.nanoTime()
         try {
             return work()
--- /dev/null
+++ b/src/main/kotlin/cleathitch/peers/HeartbeatDecisionMessage.kt
@@ -0,0 +1,44 @@
+package cleathitch.peers
+
+import cleathitch.scheduler.api.HeartbeatDecision
+import cleathitch.scheduler.model.FencingToken
+import kotlinx.serialization.ExperimentalSerializationApi
+import kotlinx.serialization.SerialName
+import kotlinx.serialization.Serializable
+import kotlinx.serialization.cbor.CborArray
+
+/** The leader's decision about one report of a batch. */
+@OptIn(ExperimentalSerializationApi::class)
+@Serializable
+@CborArray
+data class HeartbeatDecisionMessage(val kind: Kind, val version: Long, val orders: List<WorkerCommandMessage>) {
+    @Serializable
+    enum class Kind {
+        @SerialName("a")
+        ANSWER,
+
+        @SerialName("r")
+        REFUSE,
+
+        @SerialName("w")
+        REQUEST_FULL,
+    }
+
+    fun toDecision(): HeartbeatDecision = when (kind) {
+        Kind.ANSWER -> HeartbeatDecision.Answer(FencingToken(version), orders.map { it.toOrder() })
+        Kind.REFUSE -> HeartbeatDecision.Refuse
+        Kind.REQUEST_FULL -> HeartbeatDecision.RequestFull
+    }
+
+    companion object {
+        private val refuse = HeartbeatDecisionMessage(Kind.REFUSE, 0, emptyList())
+        private val sendWhole = HeartbeatDecisionMessage(Kind.REQUEST_FULL, 0, emptyList())
+
+        fun of(decision: HeartbeatDecision): HeartbeatDecisionMessage = when (decision) {
+            is HeartbeatDecision.Answer ->
+                HeartbeatDecisionMessage(Kind.ANSWER, decision.version.packed, decision.orders.map(WorkerCommandMessage::of))
+            HeartbeatDecision.Refuse -> refuse
+            HeartbeatDecision.RequestFull -> sendWhole
+        }
+    }
+}
--- a/src/main/kotlin/cleathitch/peers/LeaderBatches.kt
+++ b/src/main/kotlin/cleathitch/peers/LeaderBatcher.kt
@@ -1,51 +1,31 @@
 package cleathitch.peers
 
-import cleathitch.core.JobId
-import cleathitch.core.Report
-import cleathitch.core.ReportDecision
-import cleathitch.core.UserReply
+import cleathitch.scheduler.api.UserReply
+import cleathitch.scheduler.model.Heartbeat
+import cleathitch.scheduler.model.JobId
 import cleathitch.workers.ForwardOutcome
-import cleathitch.workers.ReportQueue
+import cleathitch.workers.HeartbeatQueue
 import kotlinx.coroutines.CancellationException
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.channels.Channel
 import kotlinx.coroutines.delay
 import org.slf4j.LoggerFactory
 
-/** The leader as a follower knows it. */
-data class KnownLeader(val member: String, val term: Long)
-
-/** What a follower hands to the leader in one request. */
-class OutgoingBatch(val reports: ReportQueue.Batch, val polls: List<JobId>, val directResults: List<DirectResult>)
-
-/** What came of a batch that was sent to the leader. */
-sealed interface BatchResult {
-    /** The leader's decisions and answers, in the order of the batch's reports and polls. */
-    data class Answered(val decisions: List<ReportDecision>, val statuses: List<UserReply>) : BatchResult
-
-    /** The node that was asked doesn't lead in the batch's term, or can't decide yet. */
-    data object NotLeading : BatchResult
-
-    /** The connection failed before the time was over. */
-    data object Unreachable : BatchResult
-    data object TimedOut : BatchResult
-}
-
 /**
  * Hands what a follower takes in to the leader, in batches: workers' reports, users' polls, and the results of commands
  * that the follower delivered to workers. One request is in flight, and before the next there is a short pause in
  * which more gathers.
  */
-class LeaderBatches(
+class LeaderBatcher(
     private val intervalMs: Long,
     private val unreachableMs: Long,
     private val nowMs: () -> Long,
     private val leader: () -> KnownLeader?,
     private val send: suspend (KnownLeader, OutgoingBatch, timeoutMs: Long) -> BatchResult,
 ) {
-    private val reports = ReportQueue(REPORT_WITHIN_MS)
+    private val reports = HeartbeatQueue(REPORT_WITHIN_MS)
     private val polls = PollQueue(POLL_WITHIN_MS)
-    private val directResults = ArrayDeque<DirectResult>()
+    private val directResults = ArrayDeque<DeliveryResult>()
     private val wakeUp = Channel<Unit>(Channel.CONFLATED)
     private var unreachableSinceMs: Long? = null
 
@@ -55,7 +35,7 @@
     private val isEmpty get() = reports.isEmpty && polls.isEmpty && directResults.isEmpty()
 
     /** Waits for the leader's decision about [report], for a bounded time. */
-    suspend fun decide(report: Report): ForwardOutcome {
+    suspend fun decide(report: Heartbeat): ForwardOutcome {
         val outcome = CompletableDeferred<ForwardOutcome>()
         reports.add(report, nowMs()) { outcome.complete(it) }
         wakeUp.trySend(Unit)
@@ -71,7 +51,7 @@
     }
 
     /** Tells the leader what came of a command that this node delivered for it. */
-    fun tell(result: DirectResult) {
+    fun tell(result: DeliveryResult) {
         directResults.addLast(result)
         if (directResults.size > MOST_RESULTS) directResults.removeFirst()
         wakeUp.trySend(Unit)
@@ -119,7 +99,7 @@
     }
 
     /** Results of commands of earlier terms mean nothing to the present leader. */
-    private fun takeResults(term: Long): List<DirectResult> {
+    private fun takeResults(term: Long): List<DeliveryResult> {
         val taken = List(minOf(directResults.size, MOST_RESULTS_PER_BATCH)) { directResults.removeFirst() }
         return taken.filter { it.term == term }
     }
--- a/src/main/kotlin/cleathitch/peers/PeerClient.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerClient.kt
@@ -4,7 +4,7 @@
 import cleathitch.http.CallFailure
 import cleathitch.http.CallResult
 import cleathitch.http.PooledHttpClient
-import cleathitch.protocol.Wire
+import cleathitch.protocol.MessageCodec
 import io.micrometer.core.instrument.MeterRegistry
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry
 import io.vertx.core.Vertx
@@ -12,18 +12,6 @@
 import kotlinx.serialization.SerializationException
 import org.slf4j.LoggerFactory
 
-/** The outcome of a request to another node. */
-sealed interface PeerResult {
-    class Answered(val reply: PeerReply) : PeerResult
-
-    /** The connection failed, or what came over it isn't an answer of a node. */
-    data object Unreachable : PeerResult
-    data object TimedOut : PeerResult
-}
-
-/** The answer, if there is one. */
-val PeerResult.reply get() = (this as? PeerResult.Answered)?.reply
-
 /** Asks other nodes. */
 class PeerClient(vertx: Vertx, meters: MeterRegistry = SimpleMeterRegistry()) {
     private val client = PooledHttpClient(vertx, "peers", connections = CONNECTIONS, connectMs = 500, meters = meters)
@@ -51,7 +39,7 @@
         const val PATH = "/peer"
 
         /** A batch is cut to fit by far: each of its parts is bounded, or holds one message of at most a body's size. */
-        const val MOST_BODY = 4 * Wire.MAX_BODY
+        const val MOST_BODY = 4 * MessageCodec.MAX_BODY
 
         /** To each peer: one request in flight on each, and an answer takes a few milliseconds. */
         const val CONNECTIONS = 16
--- /dev/null
+++ b/src/main/kotlin/cleathitch/peers/PeerCodec.kt
@@ -0,0 +1,31 @@
+package cleathitch.peers
+
+import kotlinx.serialization.DeserializationStrategy
+import kotlinx.serialization.ExperimentalSerializationApi
+import kotlinx.serialization.SerializationException
+import kotlinx.serialization.cbor.Cbor
+
+@OptIn(ExperimentalSerializationApi::class)
+object PeerCodec {
+    private val cbor = Cbor {
+        ignoreUnknownKeys = true
+        alwaysUseByteString = true
+    }
+
+    fun encode(request: PeerRequest): ByteArray = cbor.encodeToByteArray(PeerRequest.serializer(), request)
+
+    fun decodeRequest(bytes: ByteArray): PeerRequest = decode(bytes, PeerRequest.serializer())
+
+    fun encode(reply: PeerReply): ByteArray = cbor.encodeToByteArray(PeerReply.serializer(), reply)
+
+    fun decodeReply(bytes: ByteArray): PeerReply = decode(bytes, PeerReply.serializer())
+
+    /** The library tells some garbled messages by exceptions of other kinds, as for an index out of range. */
+    private fun <T> decode(bytes: ByteArray, deserializer: DeserializationStrategy<T>): T = try {
+        cbor.decodeFromByteArray(deserializer, bytes)
+    } catch (e: SerializationException) {
+        throw e
+    } catch (e: RuntimeException) {
+        throw SerializationException("the message is garbled", e)
+    }
+}
--- a/src/main/kotlin/cleathitch/peers/PollQueue.kt
+++ b/src/main/kotlin/cleathitch/peers/PollQueue.kt
@@ -1,7 +1,7 @@
 package cleathitch.peers
 
-import cleathitch.core.JobId
-import cleathitch.core.UserReply
+import cleathitch.scheduler.api.UserReply
+import cleathitch.scheduler.model.JobId
 
 /**
  * The polls of users that a follower has taken in and that wait for the leader's answer. Polls for the same job that
--- a/src/main/kotlin/cleathitch/protocol/CloudWire.kt
+++ b/src/main/kotlin/cleathitch/protocol/CloudProtocol.kt
@@ -1,18 +1,18 @@
 package cleathitch.protocol
 
-import cleathitch.core.Event
-import cleathitch.core.ListedMachine
-import cleathitch.core.ListedState
-import cleathitch.core.MachineId
-import cleathitch.core.MachineType
-import cleathitch.core.Offer
+import cleathitch.scheduler.log.Event
+import cleathitch.scheduler.model.ListedMachine
+import cleathitch.scheduler.model.ListedState
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.model.MachineType
+import cleathitch.scheduler.model.Offer
 import com.fasterxml.jackson.databind.JsonNode
 
 /** What the cloud and the controllers say to each other. */
-object CloudWire {
+object CloudProtocol {
     class Page(val machines: List<ListedMachine>, val more: Boolean)
 
-    fun types(body: ByteArray): List<MachineType> = Wire.decodeMap(body).list("hornadas").map {
+    fun types(body: ByteArray): List<MachineType> = MessageCodec.decodeMap(body).list("hornadas").map {
         MachineType(
             name = it.text("label"),
             cpus = it.amount("vcpus"),
@@ -27,24 +27,24 @@
         )
     }
 
-    fun rental(asked: Event.RentalAsked): ByteArray = Wire.encode(
-        Wire.newMap().put("alquiler", asked.request).put("hornada", asked.offer.type).put("comarca", asked.offer.zone)
+    fun rental(asked: Event.RentalRequested): ByteArray = MessageCodec.encode(
+        MessageCodec.newMap().put("alquiler", asked.request).put("hornada", asked.offer.type).put("comarca", asked.offer.zone)
             .put("prestados", asked.offer.spot).put("number", asked.count),
     )
 
-    fun rented(body: ByteArray): List<MachineId> = Wire.decodeMap(body).texts("burros").map(::MachineId)
+    fun rented(body: ByteArray): List<MachineId> = MessageCodec.decodeMap(body).texts("burros").map(::MachineId)
 
-    fun isNoCapacity(body: ByteArray): Boolean = Wire.decodeMap(body).optionalText("error") == "no capacity"
+    fun isNoCapacity(body: ByteArray): Boolean = MessageCodec.decodeMap(body).optionalText("error") == "no capacity"
 
     fun returns(machines: List<MachineId>): ByteArray {
-        val map = Wire.newMap()
+        val map = MessageCodec.newMap()
         val list = map.putArray("burros")
         machines.forEach { list.add(it.text) }
-        return Wire.encode(map)
+        return MessageCodec.encode(map)
     }
 
     fun page(body: ByteArray): Page {
-        val map = Wire.decodeMap(body)
+        val map = MessageCodec.decodeMap(body)
         return Page(map.list("burros").map(::listed), map.bool("truncated"))
     }
 
@@ -56,7 +56,7 @@
             "starting" -> ListedState.STARTING
             "running" -> ListedState.RUNNING
             "failed" -> ListedState.FAILED
-            else -> throw Malformed("estado $state is unknown")
+            else -> throw MalformedMessageException("estado $state is unknown")
         },
         node.amount("heldS"),
     )
--- a/src/main/kotlin/cleathitch/protocol/StateWire.kt
+++ b/src/main/kotlin/cleathitch/protocol/KeyValueStoreProtocol.kt
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode
 
 /** What the state service and the controllers say to each other. */
-object StateWire {
+object KeyValueStoreProtocol {
     class Entry(val key: String, val value: JsonNode, val revision: Long)
 
     class Page(val entries: List<Entry>, val more: Boolean, val revision: Long)
@@ -16,31 +16,31 @@
         data class Delete(val key: String) : Write
     }
 
-    fun entry(body: ByteArray): Entry = entryOf(Wire.decodeMap(body))
+    fun entry(body: ByteArray): Entry = entryOf(MessageCodec.decodeMap(body))
 
     fun page(body: ByteArray): Page {
-        val map = Wire.decodeMap(body)
+        val map = MessageCodec.decodeMap(body)
         return Page(map.list("entries").map(::entryOf), map.bool("truncated"), map.whole("asiento"))
     }
 
-    fun revision(body: ByteArray): Long = Wire.decodeMap(body).whole("asiento")
+    fun revision(body: ByteArray): Long = MessageCodec.decodeMap(body).whole("asiento")
 
-    fun lease(body: ByteArray): Long = Wire.decodeMap(body).whole("arriendo")
+    fun lease(body: ByteArray): Long = MessageCodec.decodeMap(body).whole("arriendo")
 
-    fun failedKeys(body: ByteArray): List<String> = Wire.decodeMap(body).texts("failed")
+    fun failedKeys(body: ByteArray): List<String> = MessageCodec.decodeMap(body).texts("failed")
 
-    fun errorText(body: ByteArray): String? = Wire.decodeMap(body).optionalText("error")
+    fun errorText(body: ByteArray): String? = MessageCodec.decodeMap(body).optionalText("error")
 
     fun watched(body: ByteArray): Watched {
-        val map = Wire.decodeMap(body)
+        val map = MessageCodec.decodeMap(body)
         return Watched(map.whole("asiento"), map.list("log").mapNotNull { it.optionalText("put") ?: it.optionalText("delete") })
     }
 
-    fun ttl(ms: Long): ByteArray = Wire.encode(Wire.newMap().put("ttlMs", ms))
+    fun ttl(ms: Long): ByteArray = MessageCodec.encode(MessageCodec.newMap().put("ttlMs", ms))
 
     /** [guards] name the revisions that keys must have; 0: the key must not exist. */
     fun transaction(guards: Map<String, Long>, writes: List<Write>): ByteArray {
-        val map = Wire.newMap()
+        val map = MessageCodec.newMap()
         val conditions = map.putArray("guards")
         guards.forEach { (key, revision) -> conditions.addObject().put("k", key).put("retoque", revision) }
         val changes = map.putArray("apply")
@@ -54,7 +54,7 @@
                 is Write.Delete -> node.put("delete", write.key)
             }
         }
-        return Wire.encode(map)
+        return MessageCodec.encode(map)
     }
 
     private fun entryOf(node: JsonNode) = Entry(node.text("k"), node.need("data"), node.whole("retoque"))
--- a/src/main/kotlin/cleathitch/protocol/UserWire.kt
+++ b/src/main/kotlin/cleathitch/protocol/UserProtocol.kt
@@ -1,18 +1,16 @@
 package cleathitch.protocol
 
-import cleathitch.core.JobId
-import cleathitch.core.JobKind
-import cleathitch.core.JobSpec
-import cleathitch.core.Priority
-import cleathitch.core.ShownState
-import cleathitch.core.UserReply
+import cleathitch.http.HttpReply
+import cleathitch.scheduler.api.JobState
+import cleathitch.scheduler.api.UserReply
+import cleathitch.scheduler.model.JobId
+import cleathitch.scheduler.model.JobKind
+import cleathitch.scheduler.model.JobSpec
+import cleathitch.scheduler.model.Priority
 import com.fasterxml.jackson.databind.JsonNode
 
-/** An answer to a user, ready to be sent by any node; with the [last] one its connection ends. */
-class HttpReply(val status: Int, val body: ByteArray? = null, val retryAfterS: Int? = null, val last: Boolean = false)
-
 /** What users send and get. */
-object UserWire {
+object UserProtocol {
     private val jobId = Regex("j-[0-9]{1,18}")
     private const val MAX_TASKS = 100_000L
     private const val MAX_NAME = 256
@@ -24,27 +22,31 @@
     fun jobId(text: String): JobId? = if (jobId.matches(text)) JobId(text) else null
 
     fun submission(body: ByteArray): JobSpec {
-        val map = Wire.decodeMap(body)
+        val map = MessageCodec.decodeMap(body)
         val types = map.field("hornadas")?.let { map.texts("hornadas") }
-        if (types != null && (types.size > MAX_TYPES || types.any { it.length > MAX_NAME })) throw Malformed("hornadas is too long")
+        if (types != null &&
+            (types.size > MAX_TYPES || types.any { it.length > MAX_NAME })
+        ) {
+            throw MalformedMessageException("hornadas is too long")
+        }
         val spec = JobSpec(
-            id = jobId(map.text("nameId")) ?: throw Malformed("nameId isn't of the form j-000412"),
+            id = jobId(map.text("nameId")) ?: throw MalformedMessageException("nameId isn't of the form j-000412"),
             className = name(map, "cuadrilla"),
             team = name(map, "ownerCrew"),
             kind = when (map.text("oficio")) {
                 "array" -> JobKind.ARRAY
                 "ensemble" -> JobKind.GANG
                 "daemon" -> JobKind.SERVICE
-                else -> throw Malformed("oficio is unknown")
+                else -> throw MalformedMessageException("oficio is unknown")
             },
             priority = when (map.text("urgencia")) {
                 "critical" -> Priority.PRODUCTION
                 "high" -> Priority.HIGH
                 "normal" -> Priority.NORMAL
                 "idle" -> Priority.LOW
-                else -> throw Malformed("urgencia is unknown")
+                else -> throw MalformedMessageException("urgencia is unknown")
             },
-            tasks = map.whole("tareas").also { if (it !in 1..MAX_TASKS) throw Malformed("tareas is out of range") }.toInt(),
+            tasks = map.whole("tareas").also { if (it !in 1..MAX_TASKS) throw MalformedMessageException("tareas is out of range") }.toInt(),
             cpus = amount(map, "vcpus"),
             gpus = amount(map, "gpus"),
             memoryGb = amount(map, "memoryGb"),
@@ -58,52 +60,58 @@
             estimateS = amount(map, "aproxS"),
             checkpointS = amount(map, "hitoS"),
             saveS = amount(map, "guardadoS"),
-            deadlineS = map.optionalAmount("plazoS")?.also { if (it <= 0 || it > MAX_AMOUNT) throw Malformed("plazoS is out of range") },
+            deadlineS = map.optionalAmount("plazoS")?.also {
+                if (it <= 0 ||
+                    it > MAX_AMOUNT
+                ) {
+                    throw MalformedMessageException("plazoS is out of range")
+                }
+            },
         )
-        if (spec.zone != null && spec.zone.length > MAX_NAME) throw Malformed("comarca is too long")
-        if (spec.cpus <= 0 || spec.memoryGb <= 0) throw Malformed("a task takes nothing of its machine")
+        if (spec.zone != null && spec.zone.length > MAX_NAME) throw MalformedMessageException("comarca is too long")
+        if (spec.cpus <= 0 || spec.memoryGb <= 0) throw MalformedMessageException("a task takes nothing of its machine")
         return spec
     }
 
     fun reply(reply: UserReply): HttpReply = when (reply) {
         is UserReply.Accepted -> HttpReply(if (reply.known) 200 else 201, state(reply.job, reply.state))
-        is UserReply.Aborted -> HttpReply(200, state(reply.job, reply.state))
+        is UserReply.Cancelled -> HttpReply(200, state(reply.job, reply.state))
         is UserReply.Status -> HttpReply(
             200,
-            Wire.encode(
-                Wire.newMap().put("nameId", reply.job.text).put("estado", stateName(reply.state))
+            MessageCodec.encode(
+                MessageCodec.newMap().put("nameId", reply.job.text).put("estado", stateName(reply.state))
                     .put("done", reply.done).put("running", reply.running),
             ),
         )
-        is UserReply.NeverRuns -> HttpReply(422, error(reply.reason))
+        is UserReply.Unsatisfiable -> HttpReply(422, error(reply.reason))
         UserReply.NotFound -> HttpReply(404, error("no such job"))
-        is UserReply.NotNow -> HttpReply(503, error(reply.reason), reply.retryAfterS)
+        is UserReply.Unavailable -> HttpReply(503, error(reply.reason), reply.retryAfterS)
     }
 
     /** Another node may serve: on a new connection the load balancer chooses again, open ones it never moves. */
-    fun elsewhere(reason: String) = HttpReply(503, error(reason), UserReply.NotNow(reason).retryAfterS, last = true)
+    fun elsewhere(reason: String) = HttpReply(503, error(reason), UserReply.Unavailable(reason).retryAfterS, last = true)
 
-    fun error(text: String): ByteArray = Wire.encode(Wire.newMap().put("error", text))
+    fun error(text: String): ByteArray = MessageCodec.encode(MessageCodec.newMap().put("error", text))
 
-    private fun state(job: JobId, state: ShownState): ByteArray =
-        Wire.encode(Wire.newMap().put("nameId", job.text).put("estado", stateName(state)))
+    private fun state(job: JobId, state: JobState): ByteArray =
+        MessageCodec.encode(MessageCodec.newMap().put("nameId", job.text).put("estado", stateName(state)))
 
-    private fun stateName(state: ShownState) = when (state) {
-        ShownState.QUEUED -> "pending"
-        ShownState.RUNNING -> "running"
-        ShownState.DONE -> "done"
-        ShownState.CANCELLED -> "withdrawn"
+    private fun stateName(state: JobState) = when (state) {
+        JobState.QUEUED -> "pending"
+        JobState.RUNNING -> "running"
+        JobState.DONE -> "done"
+        JobState.CANCELLED -> "withdrawn"
     }
 
     private fun name(map: JsonNode, field: String): String {
         val text = map.text(field)
-        if (text.isEmpty() || text.length > MAX_NAME) throw Malformed("$field is empty or too long")
+        if (text.isEmpty() || text.length > MAX_NAME) throw MalformedMessageException("$field is empty or too long")
         return text
     }
 
     private fun amount(map: JsonNode, field: String): Double {
         val value = map.amount(field)
-        if (value < 0 || value > MAX_AMOUNT) throw Malformed("$field is out of range")
+        if (value < 0 || value > MAX_AMOUNT) throw MalformedMessageException("$field is out of range")
         return value
     }
 }
--- a/src/main/kotlin/cleathitch/core/Engine.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -1,5 +1,57 @@
-package cleathitch.core
-
+package cleathitch.scheduler
+
+import cleathitch.scheduler.api.Effect
+import cleathitch.scheduler.api.ForwardedHeartbeat
+import cleathitch.scheduler.api.HeartbeatDecision
+import cleathitch.scheduler.api.Input
+import cleathitch.scheduler.api.LogLevel
+import cleathitch.scheduler.api.SchedulerContext
+import cleathitch.scheduler.api.SchedulerTimings
+import cleathitch.scheduler.api.UserReply
+import cleathitch.scheduler.api.note
+import cleathitch.scheduler.capacity.CloudRequests
+import cleathitch.scheduler.capacity.DemandForecast
+import cleathitch.scheduler.capacity.UnplacedTasks
+import cleathitch.scheduler.jobs.Attempt
+import cleathitch.scheduler.jobs.Job
+import cleathitch.scheduler.jobs.JobTable
+import cleathitch.scheduler.jobs.Quota
+import cleathitch.scheduler.jobs.StopCause
+import cleathitch.scheduler.log.DecisionLog
+import cleathitch.scheduler.log.Event
+import cleathitch.scheduler.log.LogIndex
+import cleathitch.scheduler.log.Mutation
+import cleathitch.scheduler.log.RecoveredState
+import cleathitch.scheduler.log.WriteBudget
+import cleathitch.scheduler.machines.DirectReachability
+import cleathitch.scheduler.machines.FailureDetector
+import cleathitch.scheduler.machines.Inventory
+import cleathitch.scheduler.machines.Machine
+import cleathitch.scheduler.machines.MachineState
+import cleathitch.scheduler.machines.WorkerReconciler
+import cleathitch.scheduler.model.AttemptId
+import cleathitch.scheduler.model.ClockReading
+import cleathitch.scheduler.model.Deployment
+import cleathitch.scheduler.model.ExitReason
+import cleathitch.scheduler.model.FencingToken
+import cleathitch.scheduler.model.Heartbeat
+import cleathitch.scheduler.model.ImageCache
+import cleathitch.scheduler.model.JobKind
+import cleathitch.scheduler.model.ListedMachine
+import cleathitch.scheduler.model.ListedState
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.model.MachineType
+import cleathitch.scheduler.model.Objective
+import cleathitch.scheduler.model.Offer
+import cleathitch.scheduler.model.PlacementClass
+import cleathitch.scheduler.model.Priority
+import cleathitch.scheduler.model.TaskState
+import cleathitch.scheduler.model.TaskStatus
+import cleathitch.scheduler.model.Term
+import cleathitch.scheduler.model.WorkerCommand
+import cleathitch.scheduler.placement.Placement
+import cleathitch.scheduler.placement.SchedulingOrder
+import cleathitch.scheduler.requests.JobRequests
 import java.util.TreeMap
 
 /**
@@ -7,45 +59,45 @@
  * no randomness and no connections of its own.
  *
  * Events change the state in memory at once, but nothing that depends on one leaves the engine before
- * its record is committed: answers wait with [users], orders look at [Journal.committed].
+ * its record is committed: answers wait with [users], orders look at [DecisionLog.committed].
  */
-class Engine(
+class Scheduler(
     private val deployment: Deployment,
-    private val tuning: Tuning,
+    private val tuning: SchedulerTimings,
     private val term: Term,
-    snapshot: Snapshot,
-    start: Moment,
-    sizes: Journal.Sizes,
+    snapshot: RecoveredState,
+    start: ClockReading,
+    sizes: DecisionLog.Sizes,
     /** Notes below this level aren't written at all: a text for each task's each step is work, too. */
-    private val noteLevel: NoteLevel = NoteLevel.DEBUG,
+    private val noteLevel: LogLevel = LogLevel.DEBUG,
 ) {
-    private val ledger = Ledger()
-    private val fleet = Fleet(deployment, ledger)
+    private val ledger = JobTable()
+    private val fleet = Inventory(deployment, ledger)
     private val quota = Quota(deployment.teams, ledger)
-    private val journal = Journal(deployment, sizes)
+    private val journal = DecisionLog(deployment, sizes)
     private val placement = Placement(fleet, ledger)
 
     /** For each class, within how many seconds its jobs should be finished, the first aim first. */
     private val aims = deployment.objectives.filterIsInstance<Objective.Finished>().sortedBy { it.withinS }
         .groupBy({ it.className }, { it.withinS })
     private val effects = ArrayList<Effect>()
-    private val context = object : TermContext {
-        override val now get() = this@Engine.now
-        override val listeningSinceMs get() = this@Engine.listeningSinceMs
-        override fun leaseHeld() = this@Engine.leaseHeld()
+    private val context = object : SchedulerContext {
+        override val now get() = this@Scheduler.now
+        override val listeningSinceMs get() = this@Scheduler.listeningSinceMs
+        override fun leaseHeld() = this@Scheduler.leaseHeld()
         override fun stalled() = writeSinceMs?.let { now.steadyMs - it > tuning.stallMs } == true
-        override fun append(event: Event) = this@Engine.append(event)
-        override fun stopAfter(seq: Seq, attempts: Collection<Attempt>) {
+        override fun append(event: Event) = this@Scheduler.append(event)
+        override fun stopAfter(seq: LogIndex, attempts: Collection<Attempt>) {
             toStop.getOrPut(seq) { ArrayList() } += attempts
         }
         override fun emit(effect: Effect) {
             effects += effect
         }
-        override fun notes(level: NoteLevel) = level <= noteLevel
+        override fun notes(level: LogLevel) = level <= noteLevel
     }
     private val jobRequests = JobRequests(context, ledger, journal, fleet, quota, deployment.teams, tuning.intakeMs)
-    private val orders = Orders(ledger, journal)
-    private val cloudOrders = CloudOrders(
+    private val orders = WorkerReconciler(ledger, journal)
+    private val cloudOrders = CloudRequests(
         context,
         deployment,
         tuning,
@@ -55,17 +107,17 @@
         isGone = { it in gone },
         adopt = { id, offer -> adopt(id, offer, now.steadyMs) },
     )
-    private val health = MachineHealth(context, fleet, ledger, tuning, start.steadyMs, cloudOrders::retire)
+    private val health = FailureDetector(context, fleet, ledger, tuning, start.steadyMs, cloudOrders::retire)
 
     /** Machines to which new orders go as soon as a record is committed. */
-    private val toPush = HashMap<Seq, MutableSet<MachineId>>()
+    private val toPush = HashMap<LogIndex, MutableSet<MachineId>>()
 
     /**
      * Cancelled attempts whose stops go out once the record is committed, and the machines to which they then go, a
      * few at a time. Left to each machine's next report, a task that was just fetching its image began after its
      * user had been told; and where an outage follows at once, only leases would end what runs.
      */
-    private val toStop = TreeMap<Seq, MutableList<Attempt>>()
+    private val toStop = TreeMap<LogIndex, MutableList<Attempt>>()
     private val stopsDue = LinkedHashSet<MachineId>()
     private val gone = LinkedHashSet<MachineId>()
 
@@ -79,9 +131,9 @@
     private var listeningSinceMs = start.steadyMs
 
     /** Nobody led before: there is nothing of which machines would have to tell first. */
-    private val first = snapshot.head == Seq.NONE
+    private val first = snapshot.head == LogIndex.NONE
     private var heldUntilMs = start.steadyMs
-    private val firstVersion = OrderVersion.first(term.revision)
+    private val firstVersion = FencingToken.first(term.revision)
     private var version = firstVersion
     private var writeSinceMs: Long? = null
     private var lastWriteMs = 0L
@@ -99,9 +151,9 @@
     private var fleetListed = false
 
     /** Without it a new leader places blindly, and machines fetch again what their neighbours hold. */
-    private var imagesTold: Map<MachineId, HeldImages> = emptyMap()
+    private var imagesTold: Map<MachineId, ImageCache> = emptyMap()
     private var lastToldMs = start.steadyMs
-    private var demands: List<Fleet.Demand> = emptyList()
+    private var demands: List<Inventory.Demand> = emptyList()
     private var stepped = false
 
     /** Until then a machine that this leader never answered may go on under an older leader's lease. */
@@ -110,15 +162,15 @@
 
     init {
         snapshot.finals.forEach { ledger.restore(it.second) }
-        val folded = HashMap<String, Seq>()
+        val folded = HashMap<String, LogIndex>()
         snapshot.jobs.forEach { (cell, parts) ->
             ledger.restore(cell)
             ledger.job(cell.spec.id)?.partsWritten = parts
-            folded[Journal.JOB_PREFIX + cell.spec.id.text] = Seq(cell.upTo)
+            folded[DecisionLog.JOB_PREFIX + cell.spec.id.text] = LogIndex(cell.upTo)
         }
         snapshot.fleet?.let {
             fleet.restore(it)
-            folded[Journal.FLEET] = Seq(it.upTo)
+            folded[DecisionLog.FLEET] = LogIndex(it.upTo)
         }
         for ((seq, record) in snapshot.records) {
             for (event in record.events) replay(event, seq, folded)
@@ -139,7 +191,7 @@
     var looks = 0L
         private set
 
-    fun handle(batch: List<Command>, now: Moment): List<Effect> {
+    fun handle(batch: List<Input>, now: ClockReading): List<Effect> {
         this.now = now
         effects.clear()
         if (!mayAnswerMachines()) listeningSinceMs = now.steadyMs
@@ -161,47 +213,47 @@
         return effects.toList()
     }
 
-    private fun replay(event: Event, seq: Seq, folded: Map<String, Seq>) {
+    private fun replay(event: Event, seq: LogIndex, folded: Map<String, LogIndex>) {
         when (event) {
-            is Event.OfJob -> {
+            is Event.JobEvent -> {
                 if (ledger.finalState(event.job) != null) return
-                if ((folded[Journal.JOB_PREFIX + event.job.text] ?: Seq.NONE) < seq) ledger.apply(event, seq)
+                if ((folded[DecisionLog.JOB_PREFIX + event.job.text] ?: LogIndex.NONE) < seq) ledger.apply(event, seq)
             }
-            is Event.OfFleet -> if ((folded[Journal.FLEET] ?: Seq.NONE) < seq) fleet.apply(event)
+            is Event.InventoryEvent -> if ((folded[DecisionLog.FLEET] ?: LogIndex.NONE) < seq) fleet.apply(event)
         }
     }
 
-    private fun take(command: Command) {
+    private fun take(command: Input) {
         when (command) {
-            is Command.Submit -> jobRequests.submit(command)
-            is Command.Poll -> jobRequests.poll(command)
-            is Command.Abort -> jobRequests.abort(command)
-            is Command.Reported -> reported(command)
-            is Command.FollowerBatch -> followerBatch(command)
-            is Command.Inspected -> inspected(command.report)
-            is Command.DirectUnanswered -> fleet.machines[command.machine]?.let { directReachability.unanswered(it, now.steadyMs) }
-            is Command.LeaseHeld -> heldUntilMs = maxOf(heldUntilMs, command.untilMs)
-            is Command.Committed -> committed(command)
-            is Command.TypesListed -> typesListed(command.types)
-            is Command.MachinesListed -> {
+            is Input.Submit -> jobRequests.submit(command)
+            is Input.Poll -> jobRequests.poll(command)
+            is Input.Cancel -> jobRequests.abort(command)
+            is Input.HeartbeatReceived -> reported(command)
+            is Input.FollowerBatchReceived -> followerBatch(command)
+            is Input.ProbeAnswered -> inspected(command.report)
+            is Input.DirectCallUnanswered -> fleet.machines[command.machine]?.let { directReachability.unanswered(it, now.steadyMs) }
+            is Input.LeaseRenewed -> heldUntilMs = maxOf(heldUntilMs, command.untilMs)
+            is Input.CommitSucceeded -> committed(command)
+            is Input.MachineTypesListed -> typesListed(command.types)
+            is Input.MachinesListed -> {
                 command.machines.forEach(::listed)
                 fleetListed = true
             }
-            is Command.RentalAnswered -> cloudOrders.rentalAnswered(command)
-            is Command.Returned -> command.machines.forEach { confirmGone(it) }
-            is Command.ImagesTold -> imagesTold = command.images
-            Command.Tick -> Unit
+            is Input.RentalCompleted -> cloudOrders.rentalAnswered(command)
+            is Input.MachinesTerminated -> command.machines.forEach { confirmGone(it) }
+            is Input.ImageCacheHintsReceived -> imagesTold = command.images
+            Input.Tick -> Unit
         }
     }
 
     // ---- the journal
 
-    private fun append(event: Event): Seq {
+    private fun append(event: Event): LogIndex {
         val seq = journal.append(event)
-        if (event !is Event.TaskDone && event !is Event.AttemptOver) urgent = true
+        if (event !is Event.TaskCompleted && event !is Event.AttemptTerminated) urgent = true
         when (event) {
-            is Event.OfJob -> ledger.apply(event, seq)
-            is Event.OfFleet -> fleet.apply(event)
+            is Event.JobEvent -> ledger.apply(event, seq)
+            is Event.InventoryEvent -> fleet.apply(event)
         }
         return seq
     }
@@ -223,17 +275,17 @@
         if (!due && !mayTrim) return
         val commit = journal.next(term, ledger, fleet::cell, if (mayTrim) trimChanges else 0) ?: return
         if (mayTrim) trimming = journal.trimCutShort
-        budget.take(commit.changes.sumOf { if (it is Change.Put) it.parts else 1 })
+        budget.take(commit.changes.sumOf { if (it is Mutation.Put) it.parts else 1 })
         lastWriteMs = now.steadyMs
         urgent = journal.pending
         writeSinceMs = now.steadyMs
         effects += Effect.Write(commit)
     }
 
-    private fun committed(command: Command.Committed) {
+    private fun committed(command: Input.CommitSucceeded) {
         journal.committed(command.seq, ledger)
         writeSinceMs = null
-        version = maxOf(version, OrderVersion.first(command.revision))
+        version = maxOf(version, FencingToken.first(command.revision))
         while (toStop.isNotEmpty() && toStop.firstKey() <= journal.committed) {
             // What doesn't run yet goes first: its stop can still forestall the start.
             toStop.pollFirstEntry().value.sortedBy { it.seen == TaskState.RUNNING }.mapTo(stopsDue) { it.machine }
@@ -248,7 +300,7 @@
 
     /** What is left over goes with the next round or the machine's next report, whichever is first. */
     private fun sendStops() {
-        val due = stopsDue.take(MachineHealth.MOST_QUESTIONS)
+        val due = stopsDue.take(FailureDetector.MOST_QUESTIONS)
         stopsDue.removeAll(due.toSet())
         due.forEach { id -> fleet.machines[id]?.let { if (it.lastHeardMs == null) health.probe(it) else push(it) } }
     }
@@ -260,42 +312,42 @@
 
     // ---- machines
 
-    private fun reported(command: Command.Reported) {
+    private fun reported(command: Input.HeartbeatReceived) {
         when (val decision = decide(command.report)) {
-            is ReportDecision.Answer -> effects += Effect.AnswerReport(command.request, decision.version, decision.orders)
-            ReportDecision.Refuse, ReportDecision.SendWhole -> effects += Effect.RefuseReport(command.request)
+            is HeartbeatDecision.Answer -> effects += Effect.AnswerHeartbeat(command.request, decision.version, decision.orders)
+            HeartbeatDecision.Refuse, HeartbeatDecision.RequestFull -> effects += Effect.RefuseHeartbeat(command.request)
         }
         // What comes from a machine to this node itself shows that the path between them is whole.
         directReachability.answered()
     }
 
-    private fun followerBatch(command: Command.FollowerBatch) {
+    private fun followerBatch(command: Input.FollowerBatchReceived) {
         val decisions = command.reports.map(::decideForwarded)
-        val statuses = command.polls.map { if (stepped) UserReply.NotNow("not the leader any more") else jobRequests.statusNow(it) }
+        val statuses = command.polls.map { if (stepped) UserReply.Unavailable("not the leader any more") else jobRequests.statusNow(it) }
         effects += Effect.AnswerFollower(command.request, decisions, statuses)
     }
 
-    private fun decideForwarded(forwarded: ForwardedReport): ReportDecision {
-        if (stepped || !mayAnswerMachines()) return ReportDecision.Refuse
+    private fun decideForwarded(forwarded: ForwardedHeartbeat): HeartbeatDecision {
+        if (stepped || !mayAnswerMachines()) return HeartbeatDecision.Refuse
         val decision = when (forwarded) {
-            is ForwardedReport.Whole -> decide(forwarded.report)
-            is ForwardedReport.Heartbeat -> decideHeartbeat(forwarded)
+            is ForwardedHeartbeat.Full -> decide(forwarded.report)
+            is ForwardedHeartbeat.Unchanged -> decideHeartbeat(forwarded)
         }
-        if (decision is ReportDecision.Answer) directReachability.reported(fleet.machines.getValue(forwarded.machine))
+        if (decision is HeartbeatDecision.Answer) directReachability.reported(fleet.machines.getValue(forwarded.machine))
         return decision
     }
 
     /** A heartbeat stands for its base with a newer sequence number, and is decided like that report. */
-    private fun decideHeartbeat(heartbeat: ForwardedReport.Heartbeat): ReportDecision {
-        if (heartbeat.machine in gone) return ReportDecision.Refuse
-        val machine = fleet.machines[heartbeat.machine] ?: return ReportDecision.SendWhole
-        val report = machine.repeatedBy(heartbeat) ?: return ReportDecision.SendWhole
+    private fun decideHeartbeat(heartbeat: ForwardedHeartbeat.Unchanged): HeartbeatDecision {
+        if (heartbeat.machine in gone) return HeartbeatDecision.Refuse
+        val machine = fleet.machines[heartbeat.machine] ?: return HeartbeatDecision.RequestFull
+        val report = machine.repeatedBy(heartbeat) ?: return HeartbeatDecision.RequestFull
         return decide(report)
     }
 
     /** Takes a report in and decides about its answer. */
-    private fun decide(report: Report): ReportDecision {
-        if (!mayAnswerMachines() || !observe(report)) return ReportDecision.Refuse
+    private fun decide(report: Heartbeat): HeartbeatDecision {
+        if (!mayAnswerMachines() || !observe(report)) return HeartbeatDecision.Refuse
         val machine = fleet.machines.getValue(report.machine)
         machine.lastReportMs = now.steadyMs
         // Its next report shows the version of our last answer, unless that didn't reach it.
@@ -305,7 +357,7 @@
         noteSent(machine, orders)
         stopsDue -= machine.id
         machine.answered = version
-        return ReportDecision.Answer(version, orders)
+        return HeartbeatDecision.Answer(version, orders)
     }
 
     /**
@@ -316,7 +368,7 @@
      * begun. (A machine first heard of as it took orders directly was once held to have no lease at all,
      * and its tasks were started elsewhere.)
      */
-    private fun observe(report: Report): Boolean {
+    private fun observe(report: Heartbeat): Boolean {
         if (report.version > version) {
             stepDown("machine ${report.machine} has seen version ${report.version}, ours is $version")
             return false
@@ -343,7 +395,7 @@
             machine.state = MachineState.UP
             machine.missedSinceMs = now.steadyMs
             machine.idleSinceMs = now.steadyMs
-            note(NoteLevel.INFO) { "machine ${machine.id} ${machine.offer} is up" }
+            note(LogLevel.INFO) { "machine ${machine.id} ${machine.offer} is up" }
         }
         reconcile(machine, report)
         if (machine.noticeAtMs != null && machine.state == MachineState.UP) drain(machine)
@@ -351,7 +403,7 @@
     }
 
     /** An answer to us, and so no late copy: the machine lives, and what it lacks can be sent at once. */
-    private fun inspected(report: Report) {
+    private fun inspected(report: Heartbeat) {
         val first = fleet.machines[report.machine]?.lastHeardMs == null
         if (!observe(report)) return
         val machine = fleet.machines.getValue(report.machine)
@@ -366,7 +418,7 @@
         it.leaseEndMs = maxOf(it.leaseEndMs, inheritedLeaseEndMs, leaseEndFromNow())
     }
 
-    private fun reconcile(machine: Machine, report: Report) {
+    private fun reconcile(machine: Machine, report: Heartbeat) {
         val shown = HashSet<AttemptId>()
         for (task in report.tasks) {
             shown += task.attempt
@@ -388,7 +440,7 @@
         if (ledger.attemptsOn(machine.id).isNotEmpty()) machine.idleSinceMs = now.steadyMs
     }
 
-    private fun seen(machine: Machine, attempt: Attempt, task: ReportedTask) {
+    private fun seen(machine: Machine, attempt: Attempt, task: TaskStatus) {
         attempt.seen = task.state
         val job = attempt.job
         when (task.state) {
@@ -397,7 +449,7 @@
                 machine.sawImage(job.spec.image, job.spec.imageGb)
                 if (attempt.runningSinceMs == null) {
                     attempt.runningSinceMs = now.steadyMs
-                    note(NoteLevel.DEBUG) { "task ${attempt.id} runs on machine ${machine.id}" }
+                    note(LogLevel.DEBUG) { "task ${attempt.id} runs on machine ${machine.id}" }
                 }
             }
             TaskState.EXITED -> {
@@ -406,14 +458,14 @@
                     ExitReason.ERROR -> {
                         machine.faults++
                         delay(job)
-                        note(NoteLevel.INFO) { "task ${attempt.id} failed on machine ${machine.id} (failure ${machine.faults} there)" }
+                        note(LogLevel.INFO) { "task ${attempt.id} failed on machine ${machine.id} (failure ${machine.faults} there)" }
                     }
                     ExitReason.UNKNOWN -> delay(job)
                     ExitReason.NO_ROOM -> machine.fullUntilMs = now.steadyMs + (deployment.reportS * 1000).toLong()
                     ExitReason.BUSY, ExitReason.STOPPED, ExitReason.PEERS_MISSING, null -> Unit
                 }
                 if (task.why != ExitReason.DONE) {
-                    note(NoteLevel.DEBUG) { "task ${attempt.id} ended on machine ${machine.id}: ${task.why}" }
+                    note(LogLevel.DEBUG) { "task ${attempt.id} ended on machine ${machine.id}: ${task.why}" }
                 }
                 over(attempt)
             }
@@ -430,13 +482,13 @@
     /** A task's result is there; if the job's live attempt of it brought it about, that is over, too. */
     private fun finish(machine: Machine, job: Job, attempt: AttemptId) {
         if (job.done[attempt.task.index]) return
-        note(NoteLevel.DEBUG) { "task $attempt is done" }
-        orders.outcome(machine.id, attempt, append(Event.TaskDone(job.id, attempt.task.index, attempt.number)))
+        note(LogLevel.DEBUG) { "task $attempt is done" }
+        orders.outcome(machine.id, attempt, append(Event.TaskCompleted(job.id, attempt.task.index, attempt.number)))
         job.failures = 0
         job.live[attempt.task.index]?.stop = StopCause.STRAY
         if (ledger.attemptsOn(machine.id).isEmpty()) machine.idleSinceMs = now.steadyMs
         job.stopIfOver()
-        if (job.finishedSeq != null) note(NoteLevel.DEBUG) { "job ${job.id} is done" }
+        if (job.finishedSeq != null) note(LogLevel.DEBUG) { "job ${job.id} is done" }
     }
 
     /** The attempt is surely gone; its task may start again. */
@@ -444,7 +496,7 @@
         orders.outcome(
             attempt.machine,
             attempt.id,
-            append(Event.AttemptOver(attempt.id.task.job, attempt.id.task.index, attempt.id.number)),
+            append(Event.AttemptTerminated(attempt.id.task.job, attempt.id.task.index, attempt.id.number)),
         )
         val machine = fleet.machines[attempt.machine] ?: return
         if (ledger.attemptsOn(machine.id).isEmpty()) machine.idleSinceMs = now.steadyMs
@@ -452,12 +504,12 @@
 
     private fun ordersFor(machine: Machine) = if (version.countLeft == 0L) emptyList() else orders.of(machine)
 
-    private fun noteSent(machine: Machine, orders: List<Order>) {
+    private fun noteSent(machine: Machine, orders: List<WorkerCommand>) {
         for (order in orders) {
-            note(NoteLevel.DEBUG) {
+            note(LogLevel.DEBUG) {
                 "$order to machine ${machine.id} session ${machine.session} under version $version; records up to ${journal.committed} are committed"
             }
-            if (order is Order.Start) {
+            if (order is WorkerCommand.Start) {
                 ledger.attempt(order.attempt)?.let {
                     it.sent = version
                     it.sentSession = machine.session
@@ -473,10 +525,10 @@
         if (orders.isEmpty()) return
         version = version.next()
         noteSent(machine, orders)
-        effects += Effect.Push(machine.id, addr, machine.session, version, orders)
+        effects += Effect.SendCommands(machine.id, addr, machine.session, version, orders)
     }
 
-    private fun pushAfter(seq: Seq, machine: MachineId) {
+    private fun pushAfter(seq: LogIndex, machine: MachineId) {
         toPush.getOrPut(seq) { LinkedHashSet() } += machine
     }
 
@@ -517,7 +569,7 @@
     private fun confirmGone(id: MachineId) {
         if (id !in fleet.retired) return
         ledger.attemptsOn(id).toList().forEach(::over)
-        append(Event.MachineGone(id))
+        append(Event.MachineTerminated(id))
         cloudOrders.returned(id)
         gone += id
         if (gone.size > GONE_KEPT) gone.remove(gone.first())
@@ -565,13 +617,13 @@
         val usable = fleet.machines.values.filter(::usable)
         val look = placement.Look(usable, now.steadyMs)
         val stuck = HashSet<PlacementClass>()
-        val lacking = ArrayList<Lack>()
-        val jobs = Queue(aims, quota, now.wallMs).order(waiting)
+        val lacking = ArrayList<UnplacedTasks>()
+        val jobs = SchedulingOrder(aims, quota, now.wallMs).order(waiting)
         // However long the queue, each job begins in time: overdue ones get their first task before the rest.
-        for (job in jobs) if (Queue.overdue(job, now.wallMs)) place(job, look, stuck, lacking, most = 1)
+        for (job in jobs) if (SchedulingOrder.overdue(job, now.wallMs)) place(job, look, stuck, lacking, most = 1)
         lacking.clear()
         for (job in jobs) place(job, look, stuck, lacking)
-        demands = Forecast(fleet, ledger, aims).demands(lacking)
+        demands = DemandForecast(fleet, ledger, aims).demands(lacking)
         looks += look.looks
     }
 
@@ -586,7 +638,7 @@
         job: Job,
         look: Placement.Look,
         stuck: MutableSet<PlacementClass>,
-        lacking: MutableList<Lack>,
+        lacking: MutableList<UnplacedTasks>,
         most: Int = Int.MAX_VALUE,
     ) {
         val shape = job.spec.placementClass
@@ -601,7 +653,7 @@
                 if (!job.spec.oneZone && !job.spec.spread) stuck += shape
                 val count = minOf(job.waiting, quota.roomFor(job.spec))
                 val left = count - preempt(job, look, count)
-                if (left > 0) lacking += Lack(job.spec, left)
+                if (left > 0) lacking += UnplacedTasks(job.spec, left)
                 return
             }
             start(job, index, machine)
@@ -616,7 +668,7 @@
         val made = look.makeRoom(job, count)
         for (victim in made.victims) {
             victim.stop = StopCause.PREEMPTED
-            note(NoteLevel.DEBUG) { "task ${victim.id} on machine ${victim.machine} makes room for job ${job.id}" }
+            note(LogLevel.DEBUG) { "task ${victim.id} on machine ${victim.machine} makes room for job ${job.id}" }
             fleet.machines[victim.machine]?.let { machines += it }
         }
         machines.forEach(::push)
@@ -624,11 +676,11 @@
     }
 
     /** A gang is started whole, and again only when nothing of an earlier start is left. */
-    private fun placeGang(job: Job, look: Placement.Look, lacking: MutableList<Lack>) {
+    private fun placeGang(job: Job, look: Placement.Look, lacking: MutableList<UnplacedTasks>) {
         if (job.live.isNotEmpty() || quota.roomFor(job.spec) < job.waiting) return
         val machines = look.chooseAll(job)
         if (machines == null) {
-            lacking += Lack(job.spec, job.waiting)
+            lacking += UnplacedTasks(job.spec, job.waiting)
             return
         }
         // The tasks of a gang find each other by their attempt, so one number serves them all.
@@ -641,7 +693,7 @@
         val seq = append(Event.AttemptStarted(job.id, index, number, machine.id))
         machine.idleSinceMs = now.steadyMs
         pushAfter(seq, machine.id)
-        note(NoteLevel.DEBUG) { "task ${job.id}/$index#${job.lastNumber} goes to machine ${machine.id} with record $seq" }
+        note(LogLevel.DEBUG) { "task ${job.id}/$index#${job.lastNumber} goes to machine ${machine.id} with record $seq" }
     }
 
     private fun resizeFleet() {
@@ -662,7 +714,7 @@
         if (now.steadyMs - lastToldMs < tuning.tellImagesMs) return
         lastToldMs = now.steadyMs
         val up = fleet.machines.values.filter { it.state == MachineState.UP && it.lastHeardMs != null }
-        effects += Effect.TellImages(up.associate { it.id to it.heldImages() })
+        effects += Effect.ShareImageCacheHints(up.associate { it.id to it.heldImages() })
     }
 
     private fun stepDown(reason: String, handOver: Boolean = false) {
@@ -670,8 +722,8 @@
         effects += Effect.StepDown(reason, handOver)
     }
 
-    private inline fun note(level: NoteLevel, text: () -> String) {
-        if (level <= noteLevel) effects += Effect.Note(level, text())
+    private inline fun note(level: LogLevel, text: () -> String) {
+        if (level <= noteLevel) effects += Effect.Log(level, text())
     }
 
     private companion object {
--- /dev/null
+++ b/src/main/kotlin/cleathitch/scheduler/api/JobState.kt
@@ -0,0 +1,3 @@
+package cleathitch.scheduler.api
+
+enum class JobState { QUEUED, RUNNING, DONE, CANCELLED }
--- a/src/main/kotlin/cleathitch/core/TermContext.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerContext.kt
@@ -1,8 +1,13 @@
-package cleathitch.core
+package cleathitch.scheduler.api
+
+import cleathitch.scheduler.jobs.Attempt
+import cleathitch.scheduler.log.Event
+import cleathitch.scheduler.log.LogIndex
+import cleathitch.scheduler.model.ClockReading
 
 /** What the parts of the engine share during one term. */
-internal interface TermContext {
-    val now: Moment
+internal interface SchedulerContext {
+    val now: ClockReading
 
     /** Since when machines' reports are listened to without a break. */
     val listeningSinceMs: Long
@@ -12,16 +17,16 @@
     fun stalled(): Boolean
 
     /** Applies the event in memory and notes it for the next record, whose sequence number is returned. */
-    fun append(event: Event): Seq
+    fun append(event: Event): LogIndex
 
     /** The stops of these attempts go out as soon as the record is committed. */
-    fun stopAfter(seq: Seq, attempts: Collection<Attempt>)
+    fun stopAfter(seq: LogIndex, attempts: Collection<Attempt>)
     fun emit(effect: Effect)
 
     /** Whether notes of this level are written at all. */
-    fun notes(level: NoteLevel): Boolean
+    fun notes(level: LogLevel): Boolean
 }
 
-internal inline fun TermContext.note(level: NoteLevel, text: () -> String) {
-    if (notes(level)) emit(Effect.Note(level, text()))
+internal inline fun SchedulerContext.note(level: LogLevel, text: () -> String) {
+    if (notes(level)) emit(Effect.Log(level, text()))
 }
--- a/src/main/kotlin/cleathitch/core/Tuning.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
@@ -1,10 +1,12 @@
-package cleathitch.core
+package cleathitch.scheduler.api
 
+import cleathitch.scheduler.model.Deployment
+import cleathitch.scheduler.model.Objective
 import kotlin.math.max
 import kotlin.math.min
 
 /** The design's periods and margins, each a ratio to a figure of the settings. */
-data class Tuning(
+data class SchedulerTimings(
     val roundMs: Long,
     val trimMs: Long,
     val graceMs: Long,
@@ -41,7 +43,7 @@
         /** The page's bound on how far steady clocks drift apart, doubled for two clocks. */
         const val DRIFT = 0.001
 
-        fun of(deployment: Deployment, trimS: Double? = null): Tuning {
+        fun of(deployment: Deployment, trimS: Double? = null): SchedulerTimings {
             val wait = deployment.objectives.mapNotNull {
                 when (it) {
                     is Objective.Wait -> it.withinS
@@ -57,7 +59,7 @@
             // Cancelled tasks must be gone in time even if an old leader answered until its grace was over.
             val spareMs = (deployment.cancelS - deployment.leaseS) * 1000
             val roundMs = max(byObjective, byBudget).toLong()
-            return Tuning(
+            return SchedulerTimings(
                 roundMs = roundMs,
                 watchMs = max(roundMs, (reportMs / 6).toLong()),
                 trimMs = trimS?.let { (it * 1000).toLong() } ?: TRIM_MS,
--- a/src/main/kotlin/cleathitch/core/CloudOrders.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
@@ -1,15 +1,32 @@
-package cleathitch.core
+package cleathitch.scheduler.capacity
+
+import cleathitch.scheduler.api.Effect
+import cleathitch.scheduler.api.Input
+import cleathitch.scheduler.api.LogLevel
+import cleathitch.scheduler.api.RentalAnswer
+import cleathitch.scheduler.api.SchedulerContext
+import cleathitch.scheduler.api.SchedulerTimings
+import cleathitch.scheduler.api.note
+import cleathitch.scheduler.log.DecisionLog
+import cleathitch.scheduler.log.Event
+import cleathitch.scheduler.log.LogIndex
+import cleathitch.scheduler.machines.Inventory
+import cleathitch.scheduler.machines.Machine
+import cleathitch.scheduler.model.Deployment
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.model.Offer
+import cleathitch.scheduler.model.Term
 
 /**
  * What the leader asks of the cloud: rentals and returns. Each is recorded before it is sent, and sent again under the
  * same name until it is answered.
  */
-internal class CloudOrders(
-    private val context: TermContext,
+internal class CloudRequests(
+    private val context: SchedulerContext,
     private val deployment: Deployment,
-    private val tuning: Tuning,
-    private val fleet: Fleet,
-    private val journal: Journal,
+    private val tuning: SchedulerTimings,
+    private val fleet: Inventory,
+    private val journal: DecisionLog,
     term: Term,
     private val isGone: (MachineId) -> Boolean,
     private val adopt: (MachineId, Offer) -> Machine,
@@ -18,16 +35,16 @@
     private val returnSentMs = HashMap<MachineId, Long>()
 
     /** The records of this term's rentals and returns, by name: nothing is sent before its record stands. */
-    private val recordOf = HashMap<String, Seq>()
+    private val recordOf = HashMap<String, LogIndex>()
     private val requestPrefix = "r-${term.revision}-"
     private var rentals = 0L
     private var lastReturnMs = 0L
 
     /** Asks for [count] machines like [offer]. */
     fun rent(offer: Offer, count: Int) {
-        val asked = Event.RentalAsked("$requestPrefix${rentals++}", offer, count)
+        val asked = Event.RentalRequested("$requestPrefix${rentals++}", offer, count)
         recordOf[asked.request] = context.append(asked)
-        context.note(NoteLevel.INFO) { "rental ${asked.request}: asking for $count $offer" }
+        context.note(LogLevel.INFO) { "rental ${asked.request}: asking for $count $offer" }
     }
 
     /** The cloud has confirmed that the machine is gone. */
@@ -38,11 +55,11 @@
     fun retire(id: MachineId, reason: String) {
         // What isn't settled yet has to fit into one value.
         if (fleet.retired.size >= deployment.stateValueBytes / RETIRED_BYTES) return
-        recordOf[id.text] = context.append(Event.MachineRetired(id))
-        context.note(NoteLevel.INFO) { "machine $id is returned: $reason" }
+        recordOf[id.text] = context.append(Event.MachineTerminationRequested(id))
+        context.note(LogLevel.INFO) { "machine $id is returned: $reason" }
     }
 
-    fun rentalAnswered(command: Command.RentalAnswered) {
+    fun rentalAnswered(command: Input.RentalCompleted) {
         rentalSentMs.remove(command.request)
         recordOf.remove(command.request)
         val asked = fleet.rentals[command.request] ?: return
@@ -50,13 +67,13 @@
             is RentalAnswer.Rented -> {
                 answer.machines.filter { !isGone(it) }.forEach { adopt(it, asked.offer).confirmed = true }
                 if (answer.machines.size < asked.count) fleet.refused(asked.offer, context.now.steadyMs)
-                context.append(Event.RentalSettled(command.request))
-                context.note(NoteLevel.INFO) { "rental ${command.request}: ${answer.machines.size} of ${asked.count} ${asked.offer}" }
+                context.append(Event.RentalResolved(command.request))
+                context.note(LogLevel.INFO) { "rental ${command.request}: ${answer.machines.size} of ${asked.count} ${asked.offer}" }
             }
             RentalAnswer.NoCapacity, RentalAnswer.Rejected -> {
                 fleet.refused(asked.offer, context.now.steadyMs)
-                context.append(Event.RentalSettled(command.request))
-                context.note(NoteLevel.INFO) { "rental ${command.request}: refused ${asked.offer}" }
+                context.append(Event.RentalResolved(command.request))
+                context.note(LogLevel.INFO) { "rental ${command.request}: refused ${asked.offer}" }
             }
             RentalAnswer.Unknown -> rentalSentMs[command.request] = context.now.steadyMs
         }
@@ -81,13 +98,13 @@
             if (due.isNotEmpty()) {
                 lastReturnMs = context.now.steadyMs
                 due.forEach { returnSentMs[it] = context.now.steadyMs }
-                context.emit(Effect.Return(due))
+                context.emit(Effect.TerminateMachines(due))
             }
         }
         if (returnSentMs.size > fleet.retired.size) returnSentMs.keys.retainAll(fleet.retired)
     }
 
-    private fun recorded(name: String) = (recordOf[name] ?: Seq.NONE) <= journal.committed
+    private fun recorded(name: String) = (recordOf[name] ?: LogIndex.NONE) <= journal.committed
 
     private companion object {
         /** The page's limit for one call. */
--- a/src/main/kotlin/cleathitch/core/Forecast.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/DemandForecast.kt
@@ -1,15 +1,17 @@
-package cleathitch.core
+package cleathitch.scheduler.capacity
 
+import cleathitch.scheduler.jobs.JobTable
+import cleathitch.scheduler.machines.Inventory
+import cleathitch.scheduler.model.JobKind
+import cleathitch.scheduler.model.JobSpec
+import cleathitch.scheduler.model.PlacementClass
 import kotlin.math.ceil
 
-/** Tasks of a job that found no room. */
-data class Lack(val spec: JobSpec, val count: Int)
-
 /**
  * How many of the tasks without room need new machines. Running tasks end and make room, often sooner
  * than a machine boots; as long as a class can wait for that and still meet its aim, nothing is rented.
  */
-class Forecast(private val fleet: Fleet, private val ledger: Ledger, private val aims: Map<String, List<Double>>) {
+class DemandForecast(private val fleet: Inventory, private val ledger: JobTable, private val aims: Map<String, List<Double>>) {
     /** What a class lacks, after what running tasks leave within half of their slack, and within all of it. */
     private class Want {
         var tasks = 0
@@ -26,7 +28,7 @@
         }
     }
 
-    fun demands(lacking: List<Lack>): List<Fleet.Demand> {
+    fun demands(lacking: List<UnplacedTasks>): List<Inventory.Demand> {
         if (lacking.isEmpty()) return emptyList()
         val freed = ledger.jobs.filter { it.spec.kind == JobKind.ARRAY && it.spec.estimateS > 0 }
             .sumOf { it.live.size * it.spec.cpus / it.spec.estimateS }
@@ -48,7 +50,7 @@
         }
         return wants.mapNotNull { (shape, want) ->
             val count = ceil(want.soon - ROUNDING).toInt()
-            Fleet.Demand(shape, count, ceil(want.late - ROUNDING).toInt(), want.slackS, want.runS).takeIf { count > 0 }
+            Inventory.Demand(shape, count, ceil(want.late - ROUNDING).toInt(), want.slackS, want.runS).takeIf { count > 0 }
         }
     }
 
--- a/src/main/kotlin/cleathitch/core/Quota.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Quota.kt
@@ -1,7 +1,11 @@
-package cleathitch.core
+package cleathitch.scheduler.jobs
+
+import cleathitch.scheduler.model.JobKind
+import cleathitch.scheduler.model.JobSpec
+import cleathitch.scheduler.model.Team
 
 /** A team's limit, counted over everything that may still be running. */
-class Quota(private val teams: Map<String, Team>, private val ledger: Ledger) {
+class Quota(private val teams: Map<String, Team>, private val ledger: JobTable) {
     fun allows(spec: JobSpec): Boolean {
         val team = teams[spec.team] ?: return false
         val load = ledger.loadOfTeam(spec.team)
--- a/src/main/kotlin/cleathitch/core/WriteBudget.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/WriteBudget.kt
@@ -1,4 +1,4 @@
-package cleathitch.core
+package cleathitch.scheduler.log
 
 /** Changes that may still be sent to the state service: refilled steadily, with bursts of a second's worth. */
 class WriteBudget(private val perS: Double, startMs: Long) {
--- a/src/main/kotlin/cleathitch/core/DirectReachability.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/DirectReachability.kt
@@ -1,4 +1,7 @@
-package cleathitch.core
+package cleathitch.scheduler.machines
+
+import cleathitch.scheduler.model.FencingToken
+import cleathitch.scheduler.model.MachineId
 
 /**
  * Notices that direct commands don't reach machines whose reports, by way of other nodes, still do.
@@ -8,7 +11,7 @@
  * own path to the workers. Any direct command that is answered clears the suspicion.
  */
 internal class DirectReachability(private val patienceMs: Long) {
-    private class Unanswered(val sinceMs: Long, val answered: OrderVersion)
+    private class Unanswered(val sinceMs: Long, val answered: FencingToken)
 
     private val unanswered = HashMap<MachineId, Unanswered>()
     private val witnesses = HashMap<MachineId, Long>()
--- a/src/main/kotlin/cleathitch/core/MachineHealth.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
@@ -1,14 +1,20 @@
-package cleathitch.core
+package cleathitch.scheduler.machines
+
+import cleathitch.scheduler.api.Effect
+import cleathitch.scheduler.api.SchedulerContext
+import cleathitch.scheduler.api.SchedulerTimings
+import cleathitch.scheduler.jobs.JobTable
+import cleathitch.scheduler.model.MachineId
 
 /**
  * The failure detector for machines: which of them are silent, hear nothing, or can't report, and which of those are
  * to be returned. It asks machines directly before it gives them up.
  */
-internal class MachineHealth(
-    private val context: TermContext,
-    private val fleet: Fleet,
-    private val ledger: Ledger,
-    private val tuning: Tuning,
+internal class FailureDetector(
+    private val context: SchedulerContext,
+    private val fleet: Inventory,
+    private val ledger: JobTable,
+    private val tuning: SchedulerTimings,
     private val startedMs: Long,
     private val retire: (MachineId, String) -> Unit,
 ) {
@@ -23,7 +29,7 @@
     fun probe(machine: Machine) {
         machine.probes++
         machine.probedMs = context.now.steadyMs
-        machine.addr?.let { context.emit(Effect.Inspect(machine.id, it)) }
+        machine.addr?.let { context.emit(Effect.Probe(machine.id, it)) }
     }
 
     /**
@@ -33,7 +39,7 @@
      */
     fun findSilent() {
         val up = fleet.machines.values.filter { it.state == MachineState.UP }
-        val suspicion = PartitionSuspicion(up) { quietMs(it) >= tuning.probeMs }
+        val suspicion = PartitionDetector(up) { quietMs(it) >= tuning.probeMs }
         fleet.cutZones = suspicion.cutZones
         val silent = suspicion.quiet.filter { it.probes >= QUESTIONS_BEFORE_LOSS || it.addr == null }.filter {
             quietMs(it) >=
@@ -44,7 +50,7 @@
             .take(MOST_QUESTIONS).forEach(::probe)
         // It answers, but its own reports reach nobody: its lease has run out, and nothing can run there. Most of them
         // at once are no more to blame than machines that say nothing: a fleet that answered was once returned whole.
-        val mute = PartitionSuspicion(up) { unheardMs(it) >= tuning.silentMs }
+        val mute = PartitionDetector(up) { unheardMs(it) >= tuning.silentMs }
         for (machine in mute.quiet) {
             if (machine.state != MachineState.UP) continue
             val patienceMs = if (mute.excuses(machine)) tuning.lostMs * 2 else tuning.lostMs
--- a/src/main/kotlin/cleathitch/core/Fleet.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
@@ -1,92 +1,22 @@
-package cleathitch.core
-
+package cleathitch.scheduler.machines
+
+import cleathitch.scheduler.jobs.Attempt
+import cleathitch.scheduler.jobs.JobTable
+import cleathitch.scheduler.log.Event
+import cleathitch.scheduler.log.InventorySnapshot
+import cleathitch.scheduler.log.LogIndex
+import cleathitch.scheduler.model.Deployment
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.model.MachineType
+import cleathitch.scheduler.model.Offer
+import cleathitch.scheduler.model.PlacementClass
 import kotlin.math.ceil
 import kotlin.math.floor
 import kotlin.math.max
 import kotlin.math.min
 
-enum class MachineState { STARTING, UP, RETIRED }
-
-/** A machine that is ours, as far as anyone has shown. */
-class Machine(val id: MachineId, val offer: Offer, type: MachineType?, val rentedAtMs: Long) {
-    /** Null until the cloud has told the types; a machine may well report before that. */
-    var type: MachineType? = type
-        internal set
-
-    var addr: String? = null
-    var state = MachineState.STARTING
-    var session = 0L
-    var seq = 0L
-    var version = OrderVersion.NONE
-
-    /** When it was last heard of in any way, and when its last report that we could answer came. */
-    var lastHeardMs: Long? = null
-    var lastReportMs: Long? = null
-
-    /** The version of our last answer to it, and how many answers in a row its reports show it didn't get. */
-    var answered = OrderVersion.NONE
-    var answersLost = 0
-    val deaf get() = answersLost >= DEAF_ANSWERS
-
-    /**
-     * It surely lives: rented in this term, or it has shown a version of this term. The first that a new
-     * leader hears of a machine may be a late copy of a report, and the machine long gone.
-     */
-    var confirmed = false
-
-    /** Direct questions since it was last heard of, and when the last was asked. */
-    var probes = 0
-    var probedMs = 0L
-
-    /** Until then its tasks may run even if it is never heard of again. */
-    var leaseEndMs = 0L
-    var noticeAtMs: Long? = null
-    var reported: List<ReportedTask> = emptyList()
-    var idleSinceMs: Long = rentedAtMs
-    var faults = 0
-    var listedRunning = false
-
-    /** When the cloud's list, and not a report, told that it runs: it is missed from then on. */
-    var missedSinceMs = 0L
-
-    /** Since when nothing more is to be placed here, as a refusal showed less room than reckoned. */
-    var fullUntilMs = 0L
-
-    /** Images seen here, in the order of their last use; the machine drops the oldest by itself. */
-    private val images = LinkedHashMap<String, Double>()
-
-    fun hasImage(image: String) = image in images
-
-    fun sawImage(image: String, sizeGb: Double) {
-        images.remove(image)
-        images[image] = sizeGb
-        val cache = type?.cacheGb ?: return
-        while (images.size > 1 && images.values.sum() > cache) images.remove(images.keys.first())
-    }
-
-    fun forgetImages() = images.clear()
-    fun heldImages() = HeldImages(session, LinkedHashMap(images))
-
-    /** The report that a [heartbeat] stands for, or null if the last report heard from the machine isn't its base. */
-    fun repeatedBy(heartbeat: ForwardedReport.Heartbeat): Report? {
-        val address = addr ?: return null
-        if (lastHeardMs == null || session != heartbeat.session || seq != heartbeat.baseSeq) return null
-        return Report(
-            id, address, offer.type, offer.zone, offer.spot,
-            heartbeat.session, heartbeat.seq, heartbeat.version, heartbeat.noticeS, reported,
-        )
-    }
-
-    fun newerThan(report: Report) = report.session < session || (report.session == session && report.seq <= seq)
-
-    private companion object {
-        /** One answer is lost now and then, and a report may cross an answer; three in a row are no accident. */
-        const val DEAF_ANSWERS = 3
-    }
-}
-
 /** Which machines there are, and which to rent and return. */
-class Fleet(private val deployment: Deployment, private val ledger: Ledger) {
+class Inventory(private val deployment: Deployment, private val ledger: JobTable) {
     val machines = LinkedHashMap<MachineId, Machine>()
 
     /** Prices move, and machines that reported before the first answer wait for their type. */
@@ -105,7 +35,7 @@
     var cutZones: Set<String> = emptySet()
 
     /** Asked for and recorded, and not answered yet. */
-    val rentals = LinkedHashMap<String, Event.RentalAsked>()
+    val rentals = LinkedHashMap<String, Event.RentalRequested>()
     val retired = LinkedHashSet<MachineId>()
     private val refusedUntilMs = HashMap<Offer, Long>()
 
@@ -117,24 +47,24 @@
         fun turns(type: MachineType): Double = if (runS <= 0) 1.0 else ((slackS - type.bootS) / runS).coerceAtLeast(1.0)
     }
 
-    fun apply(event: Event.OfFleet) {
+    fun apply(event: Event.InventoryEvent) {
         when (event) {
-            is Event.RentalAsked -> rentals[event.request] = event
-            is Event.RentalSettled -> rentals.remove(event.request)
-            is Event.MachineRetired -> {
+            is Event.RentalRequested -> rentals[event.request] = event
+            is Event.RentalResolved -> rentals.remove(event.request)
+            is Event.MachineTerminationRequested -> {
                 retired += event.machine
                 machines[event.machine]?.state = MachineState.RETIRED
             }
-            is Event.MachineGone -> {
+            is Event.MachineTerminated -> {
                 retired -= event.machine
                 machines.remove(event.machine)
             }
         }
     }
 
-    fun cell(upTo: Seq) = FleetCell(upTo.number, rentals.values.toList(), retired.toList())
+    fun cell(upTo: LogIndex) = InventorySnapshot(upTo.number, rentals.values.toList(), retired.toList())
 
-    fun restore(cell: FleetCell) {
+    fun restore(cell: InventorySnapshot) {
         cell.rentals.forEach { rentals[it.request] = it }
         retired += cell.retired
     }
--- /dev/null
+++ b/src/main/kotlin/cleathitch/scheduler/machines/MachineState.kt
@@ -0,0 +1,3 @@
+package cleathitch.scheduler.machines
+
+enum class MachineState { STARTING, UP, RETIRED }
--- a/src/main/kotlin/cleathitch/core/PartitionSuspicion.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/PartitionDetector.kt
@@ -1,4 +1,4 @@
-package cleathitch.core
+package cleathitch.scheduler.machines
 
 /**
  * Whose fault it is that machines are [quiet]: their own, or that of the way to them.
@@ -8,7 +8,7 @@
  * lease. Quiet ones are counted, not those long since given up: a fleet doesn't fall silent at one moment
  * but over a report period, and counted by the latter it was once returned piece by piece.
  */
-class PartitionSuspicion(up: List<Machine>, isQuiet: (Machine) -> Boolean) {
+class PartitionDetector(up: List<Machine>, isQuiet: (Machine) -> Boolean) {
     val quiet = up.filter(isQuiet)
 
     /** Mostly nothing is quiet, and then there is nothing to count. */
--- a/src/main/kotlin/cleathitch/core/Orders.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
@@ -1,11 +1,22 @@
-package cleathitch.core
+package cleathitch.scheduler.machines
+
+import cleathitch.scheduler.jobs.Attempt
+import cleathitch.scheduler.jobs.JobTable
+import cleathitch.scheduler.jobs.StopCause
+import cleathitch.scheduler.log.DecisionLog
+import cleathitch.scheduler.log.LogIndex
+import cleathitch.scheduler.model.AttemptId
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.model.TaskState
+import cleathitch.scheduler.model.TaskStatus
+import cleathitch.scheduler.model.WorkerCommand
 
 /** What a machine is to be told: the difference between what is intended and what its newest report shows. */
-internal class Orders(private val ledger: Ledger, private val journal: Journal) {
+internal class WorkerReconciler(private val ledger: JobTable, private val journal: DecisionLog) {
     /** Outcomes on their way to the journal, by machine; an exited attempt is forgotten there after that. */
-    private val outcomes = HashMap<MachineId, HashMap<AttemptId, Seq>>()
+    private val outcomes = HashMap<MachineId, HashMap<AttemptId, LogIndex>>()
 
-    fun outcome(machine: MachineId, attempt: AttemptId, seq: Seq) {
+    fun outcome(machine: MachineId, attempt: AttemptId, seq: LogIndex) {
         outcomes.getOrPut(machine) { HashMap() }[attempt] = seq
     }
 
@@ -29,20 +40,20 @@
     }
 
     /** The orders that bring the machine from what its newest report shows to what is intended. */
-    fun of(machine: Machine): List<Order> {
-        val stops = ArrayList<Order>()
-        val starts = ArrayList<Order>()
-        val forgets = ArrayList<Order>()
-        val shown = HashMap<AttemptId, ReportedTask>()
+    fun of(machine: Machine): List<WorkerCommand> {
+        val stops = ArrayList<WorkerCommand>()
+        val starts = ArrayList<WorkerCommand>()
+        val forgets = ArrayList<WorkerCommand>()
+        val shown = HashMap<AttemptId, TaskStatus>()
         for (task in machine.reported) {
             shown[task.attempt] = task
             val attempt = ledger.attempt(task.attempt)?.takeIf { it.machine == machine.id }
             when {
                 task.state == TaskState.EXITED ->
-                    if (attempt == null && (outcomes[machine.id]?.get(task.attempt) ?: Seq.NONE) <= journal.committed) {
-                        forgets += Order.Forget(task.attempt)
+                    if (attempt == null && (outcomes[machine.id]?.get(task.attempt) ?: LogIndex.NONE) <= journal.committed) {
+                        forgets += WorkerCommand.Forget(task.attempt)
                     }
-                attempt == null -> stops += Order.Stop(task.attempt, 0.0)
+                attempt == null -> stops += WorkerCommand.Stop(task.attempt, 0.0)
                 attempt.stop != null && mayStop(attempt) -> stop(attempt, task.state)?.let { stops += it }
             }
         }
@@ -50,21 +61,21 @@
             if (attempt.id in shown) continue
             if (attempt.stop != null) {
                 // Nothing to stop, but the order's version shuts out a start that is still on its way.
-                if (attempt.newestStart != null && mayStop(attempt)) stops += Order.Stop(attempt.id, 0.0)
+                if (attempt.newestStart != null && mayStop(attempt)) stops += WorkerCommand.Stop(attempt.id, 0.0)
             } else if (attempt.startSeq <= journal.committed && machine.state == MachineState.UP) {
-                starts += Order.Start(attempt.id)
+                starts += WorkerCommand.Start(attempt.id)
             }
         }
         return forgets + stops + starts
     }
 
     private fun mayStop(attempt: Attempt) = attempt.stop != StopCause.CANCELLED ||
-        (attempt.job.cancelledSeq ?: attempt.job.finishedSeq ?: Seq.NONE) <= journal.committed
+        (attempt.job.cancelledSeq ?: attempt.job.finishedSeq ?: LogIndex.NONE) <= journal.committed
 
-    private fun stop(attempt: Attempt, state: TaskState): Order? {
+    private fun stop(attempt: Attempt, state: TaskState): WorkerCommand? {
         val spec = attempt.job.spec
         val saves = attempt.stop != StopCause.CANCELLED && attempt.stop != StopCause.STRAY && spec.checkpointS > 0
         if (saves && state == TaskState.SAVING) return null
-        return Order.Stop(attempt.id, if (saves) spec.saveS else 0.0)
+        return WorkerCommand.Stop(attempt.id, if (saves) spec.saveS else 0.0)
     }
 }
--- /dev/null
+++ b/src/main/kotlin/cleathitch/scheduler/model/JobKind.kt
@@ -0,0 +1,15 @@
+package cleathitch.scheduler.model
+
+import kotlinx.serialization.Serializable
+
+@Serializable
+enum class JobKind {
+    /** Independent tasks. */
+    ARRAY,
+
+    /** Tasks that run only together, and so are started together or not at all. */
+    GANG,
+
+    /** Replicas that run until the job is cancelled. */
+    SERVICE,
+}
--- /dev/null
+++ b/src/main/kotlin/cleathitch/scheduler/model/TaskStatus.kt
@@ -0,0 +1,4 @@
+package cleathitch.scheduler.model
+
+/** A task as a machine's report shows it. */
+data class TaskStatus(val attempt: AttemptId, val state: TaskState, val why: ExitReason? = null, val saved: Boolean = false)
--- a/src/main/kotlin/cleathitch/core/Placement.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/Placement.kt
@@ -1,14 +1,24 @@
-package cleathitch.core
-
+package cleathitch.scheduler.placement
+
+import cleathitch.scheduler.jobs.Attempt
+import cleathitch.scheduler.jobs.Job
+import cleathitch.scheduler.jobs.JobTable
+import cleathitch.scheduler.jobs.ResourceUsage
+import cleathitch.scheduler.machines.Inventory
+import cleathitch.scheduler.machines.Machine
+import cleathitch.scheduler.model.JobKind
+import cleathitch.scheduler.model.JobSpec
+import cleathitch.scheduler.model.MachineType
+import cleathitch.scheduler.model.PlacementClass
 import java.util.PriorityQueue
 
 /** Where tasks go and whose tasks make room for them. What it sees is fixed at the start of a round. */
-class Placement(private val fleet: Fleet, private val ledger: Ledger) {
+class Placement(private val fleet: Inventory, private val ledger: JobTable) {
     /** The tasks to stop, and for how many others that and what is being stopped already makes room. */
     class RoomMade(val victims: List<Attempt>, val tasks: Int)
 
     /** What is free of a machine in this round. */
-    private class Room(val machine: Machine, type: MachineType, load: Load?, attempts: Collection<Attempt>) {
+    private class Room(val machine: Machine, type: MachineType, load: ResourceUsage?, attempts: Collection<Attempt>) {
         var cpus = type.cpus - (load?.cpus ?: 0.0)
         var gpus = type.gpus - (load?.gpus ?: 0.0)
         var memoryGb = type.memoryGb - (load?.memoryGb ?: 0.0)
@@ -24,7 +34,7 @@
             attempts.mapNotNullTo(HashSet()) { a -> a.job.spec.image.takeIf { a.runningSinceMs == null && !machine.hasImage(it) } }
         }
 
-        fun fits(shape: PlacementClass) = Fleet.slots(shape, cpus, gpus, memoryGb) > 0
+        fun fits(shape: PlacementClass) = Inventory.slots(shape, cpus, gpus, memoryGb) > 0
 
         fun take(shape: PlacementClass) {
             cpus -= shape.cpus
@@ -93,7 +103,7 @@
                 val chosen = ArrayList<Room>()
                 val inZone = HashMap<String, Int>()
                 for (room in candidates) {
-                    repeat(Fleet.slots(shape, room.cpus, room.gpus, room.memoryGb)) {
+                    repeat(Inventory.slots(shape, room.cpus, room.gpus, room.memoryGb)) {
                         val zone = room.machine.offer.zone
                         if (chosen.size < job.waiting && (inZone[zone] ?: 0) < job.spec.maxPerZone) {
                             inZone.merge(zone, 1, Int::plus)
--- a/src/main/kotlin/cleathitch/core/Queue.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/SchedulingOrder.kt
@@ -1,4 +1,8 @@
-package cleathitch.core
+package cleathitch.scheduler.placement
+
+import cleathitch.scheduler.jobs.Job
+import cleathitch.scheduler.jobs.Quota
+import cleathitch.scheduler.model.Priority
 
 /**
  * The order in which waiting jobs are served: by priority, guarantees first, then by the time of their
@@ -7,7 +11,7 @@
  * What puts a job off is bounded, so no stream of others keeps it from its turn: shortest-first
  * once left the largest arrays waiting for as long as smaller ones came.
  */
-class Queue(private val aims: Map<String, List<Double>>, private val quota: Quota, private val nowWallMs: Long) {
+class SchedulingOrder(private val aims: Map<String, List<Double>>, private val quota: Quota, private val nowWallMs: Long) {
     private class Place(val job: Job, val priority: Priority, val borrowing: Boolean, val turnMs: Long)
 
     fun order(waiting: List<Job>): List<Job> {
--- a/src/main/kotlin/cleathitch/core/JobRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
@@ -1,16 +1,38 @@
-package cleathitch.core
+package cleathitch.scheduler.requests
+
+import cleathitch.scheduler.api.Effect
+import cleathitch.scheduler.api.Input
+import cleathitch.scheduler.api.JobState
+import cleathitch.scheduler.api.LogLevel
+import cleathitch.scheduler.api.SchedulerContext
+import cleathitch.scheduler.api.UserReply
+import cleathitch.scheduler.api.note
+import cleathitch.scheduler.jobs.Job
+import cleathitch.scheduler.jobs.JobTable
+import cleathitch.scheduler.jobs.Quota
+import cleathitch.scheduler.log.DecisionLog
+import cleathitch.scheduler.log.Event
+import cleathitch.scheduler.log.FinalState
+import cleathitch.scheduler.log.LogIndex
+import cleathitch.scheduler.machines.Inventory
+import cleathitch.scheduler.model.JobId
+import cleathitch.scheduler.model.JobSpec
+import cleathitch.scheduler.model.Offer
+import cleathitch.scheduler.model.RequestId
+import cleathitch.scheduler.model.TaskState
+import cleathitch.scheduler.model.Team
 
 /** Handles what users ask: submissions, polls and cancellations. Nothing is told before the record behind it is committed. */
 internal class JobRequests(
-    private val context: TermContext,
-    private val ledger: Ledger,
-    private val journal: Journal,
-    private val fleet: Fleet,
+    private val context: SchedulerContext,
+    private val ledger: JobTable,
+    private val journal: DecisionLog,
+    private val fleet: Inventory,
     private val quota: Quota,
     private val teams: Map<String, Team>,
     private val intakeMs: Long,
 ) {
-    private class Gate(val seq: Seq, val answer: Effect.Answer, val giveUpMs: Long)
+    private class Gate(val seq: LogIndex, val answer: Effect.Answer, val giveUpMs: Long)
 
     private val gates = ArrayList<Gate>()
 
@@ -22,7 +44,7 @@
         open.forEach { context.emit(it.answer) }
     }
 
-    private fun gate(seq: Seq, answer: Effect.Answer) {
+    private fun gate(seq: LogIndex, answer: Effect.Answer) {
         if (seq <= journal.committed) context.emit(answer) else gates += Gate(seq, answer, context.now.steadyMs + intakeMs)
     }
 
@@ -30,7 +52,7 @@
         val late = gates.filter { it.giveUpMs <= context.now.steadyMs }
         if (late.isEmpty()) return
         gates.removeAll(late.toSet())
-        late.forEach { answer(it.answer.request, UserReply.NotNow("the state service is slow")) }
+        late.forEach { answer(it.answer.request, UserReply.Unavailable("the state service is slow")) }
     }
 
     private fun answer(request: RequestId, reply: UserReply) {
@@ -38,24 +60,24 @@
     }
 
     /** An end that was told can't be taken back, so the log keeps why it could be told. */
-    private fun noteEnd(id: JobId, state: ShownState, source: String) {
-        if (state != ShownState.DONE && state != ShownState.CANCELLED) return
-        context.note(NoteLevel.DEBUG) { "job $id may be called $state: $source; records up to ${journal.committed} are committed" }
+    private fun noteEnd(id: JobId, state: JobState, source: String) {
+        if (state != JobState.DONE && state != JobState.CANCELLED) return
+        context.note(LogLevel.DEBUG) { "job $id may be called $state: $source; records up to ${journal.committed} are committed" }
     }
 
-    fun submit(command: Command.Submit) {
+    fun submit(command: Input.Submit) {
         val (request, spec) = command
-        if (!context.leaseHeld()) return answer(request, UserReply.NotNow("no lease"))
+        if (!context.leaseHeld()) return answer(request, UserReply.Unavailable("no lease"))
         ledger.finalState(spec.id)?.let { return answer(request, UserReply.Accepted(spec.id, shown(it), known = true)) }
         ledger.job(spec.id)?.let { job ->
             return gate(job.acceptedSeq, Effect.Answer(request, UserReply.Accepted(job.id, shownState(job), known = true)))
         }
-        if (fleet.types.isEmpty()) return answer(request, UserReply.NotNow("machine types aren't known yet"))
-        neverRuns(spec)?.let { return answer(request, UserReply.NeverRuns(it)) }
-        if (context.stalled()) return answer(request, UserReply.NotNow("the state service doesn't answer"))
+        if (fleet.types.isEmpty()) return answer(request, UserReply.Unavailable("machine types aren't known yet"))
+        neverRuns(spec)?.let { return answer(request, UserReply.Unsatisfiable(it)) }
+        if (context.stalled()) return answer(request, UserReply.Unavailable("the state service doesn't answer"))
         val seq = context.append(Event.JobAccepted(spec, context.now.wallMs))
-        context.note(NoteLevel.DEBUG) { "job ${spec.id} class ${spec.className} team ${spec.team}: ${spec.tasks} tasks taken in" }
-        gate(seq, Effect.Answer(request, UserReply.Accepted(spec.id, ShownState.QUEUED, known = false)))
+        context.note(LogLevel.DEBUG) { "job ${spec.id} class ${spec.className} team ${spec.team}: ${spec.tasks} tasks taken in" }
+        gate(seq, Effect.Answer(request, UserReply.Accepted(spec.id, JobState.QUEUED, known = false)))
     }
 
     private fun neverRuns(spec: JobSpec): String? {
@@ -69,18 +91,18 @@
         return null
     }
 
-    fun poll(command: Command.Poll) {
+    fun poll(command: Input.Poll) {
         val (request, id) = command
-        if (!context.leaseHeld()) return answer(request, UserReply.NotNow("no lease"))
-        val acceptedSeq = ledger.job(id)?.acceptedSeq ?: Seq.NONE
+        if (!context.leaseHeld()) return answer(request, UserReply.Unavailable("no lease"))
+        val acceptedSeq = ledger.job(id)?.acceptedSeq ?: LogIndex.NONE
         gate(acceptedSeq, Effect.Answer(request, status(id)))
     }
 
     /** The job's status if it can be told at once; a poll of many that share an answer must not wait for a commit. */
     fun statusNow(id: JobId): UserReply {
-        if (!context.leaseHeld()) return UserReply.NotNow("no lease")
-        val acceptedSeq = ledger.job(id)?.acceptedSeq ?: Seq.NONE
-        return if (acceptedSeq <= journal.committed) status(id) else UserReply.NotNow("the job isn't recorded yet")
+        if (!context.leaseHeld()) return UserReply.Unavailable("no lease")
+        val acceptedSeq = ledger.job(id)?.acceptedSeq ?: LogIndex.NONE
+        return if (acceptedSeq <= journal.committed) status(id) else UserReply.Unavailable("the job isn't recorded yet")
     }
 
     private fun status(id: JobId): UserReply {
@@ -95,33 +117,33 @@
         return UserReply.Status(id, state, job.doneCount, running)
     }
 
-    fun abort(command: Command.Abort) {
+    fun abort(command: Input.Cancel) {
         val (request, id) = command
-        if (!context.leaseHeld()) return answer(request, UserReply.NotNow("no lease"))
-        ledger.finalState(id)?.let { return answer(request, UserReply.Aborted(id, shown(it))) }
+        if (!context.leaseHeld()) return answer(request, UserReply.Unavailable("no lease"))
+        ledger.finalState(id)?.let { return answer(request, UserReply.Cancelled(id, shown(it))) }
         val job = ledger.job(id) ?: return answer(request, UserReply.NotFound)
         if (!job.over) {
-            if (context.stalled()) return answer(request, UserReply.NotNow("the state service doesn't answer"))
+            if (context.stalled()) return answer(request, UserReply.Unavailable("the state service doesn't answer"))
             val seq = context.append(Event.JobCancelled(id))
             job.stopIfOver()
             context.stopAfter(seq, job.live.values)
-            context.note(NoteLevel.DEBUG) { "job $id cancelled" }
+            context.note(LogLevel.DEBUG) { "job $id cancelled" }
         }
-        val state = if (job.cancelled) ShownState.CANCELLED else ShownState.DONE
+        val state = if (job.cancelled) JobState.CANCELLED else JobState.DONE
         val record = job.cancelledSeq ?: job.finishedSeq!!
         noteEnd(id, state, "once record $record is committed")
-        gate(record, Effect.Answer(request, UserReply.Aborted(id, state)))
+        gate(record, Effect.Answer(request, UserReply.Cancelled(id, state)))
     }
 
     private fun shown(state: FinalState) = when (state) {
-        FinalState.DONE -> ShownState.DONE
-        FinalState.CANCELLED -> ShownState.CANCELLED
+        FinalState.DONE -> JobState.DONE
+        FinalState.CANCELLED -> JobState.CANCELLED
     }
 
     /** What may be told: an end that isn't committed yet isn't told. */
-    private fun shownState(job: Job): ShownState {
-        job.cancelledSeq?.let { if (it <= journal.committed) return ShownState.CANCELLED }
-        job.finishedSeq?.let { if (it <= journal.committed) return ShownState.DONE }
-        return if (job.live.values.any { it.seen == TaskState.RUNNING }) ShownState.RUNNING else ShownState.QUEUED
+    private fun shownState(job: Job): JobState {
+        job.cancelledSeq?.let { if (it <= journal.committed) return JobState.CANCELLED }
+        job.finishedSeq?.let { if (it <= journal.committed) return JobState.DONE }
+        return if (job.live.values.any { it.seen == TaskState.RUNNING }) JobState.RUNNING else JobState.QUEUED
     }
 }
--- a/src/main/kotlin/cleathitch/state/StateClient.kt
+++ b/src/main/kotlin/cleathitch/storage/KeyValueStoreClient.kt
@@ -1,10 +1,10 @@
-package cleathitch.state
+package cleathitch.storage
 
 import cleathitch.http.Address
 import cleathitch.http.CallResult
 import cleathitch.http.PooledHttpClient
-import cleathitch.protocol.Malformed
-import cleathitch.protocol.StateWire
+import cleathitch.protocol.KeyValueStoreProtocol
+import cleathitch.protocol.MalformedMessageException
 import io.micrometer.core.instrument.MeterRegistry
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry
 import io.vertx.core.Vertx
@@ -16,7 +16,7 @@
  * The state service's interface; every failure is a value, none an exception. [name] tells a node's clients apart in
  * metrics and in the log.
  */
-class StateClient(
+class KeyValueStoreClient(
     vertx: Vertx,
     private val address: Address,
     private val timeoutMs: Long,
@@ -28,48 +28,48 @@
     /** Watches hang for long and must not take connections from the rest. */
     private val watcher = PooledHttpClient(vertx, "$name-watch", connections = 2, meters = meters)
 
-    suspend fun list(prefix: String, after: String?): StateRead<StateWire.Page> {
+    suspend fun list(prefix: String, after: String?): StoreRead<KeyValueStoreProtocol.Page> {
         val since = if (after == null) "" else "&since=${query(after)}"
         val result = call(HttpMethod.GET, "/keys?under=${query(prefix)}$since&most=1000", null, timeoutMs * 2)
-        return read(result) { StateWire.page(it) }
+        return read(result) { KeyValueStoreProtocol.page(it) }
     }
 
-    suspend fun transaction(guards: Map<String, Long>, writes: List<StateWire.Write>): Txn =
-        when (val result = call(HttpMethod.POST, "/txn", StateWire.transaction(guards, writes), timeoutMs)) {
-            is CallResult.Failed -> Txn.Unknown(StateFailure.NoAnswer(result.failure))
+    suspend fun transaction(guards: Map<String, Long>, writes: List<KeyValueStoreProtocol.Write>): CompareAndSwapResult =
+        when (val result = call(HttpMethod.POST, "/txn", KeyValueStoreProtocol.transaction(guards, writes), timeoutMs)) {
+            is CallResult.Failed -> CompareAndSwapResult.Unknown(StoreFailure.NoAnswer(result.failure))
             is CallResult.Answered -> try {
                 outcome(result)
-            } catch (e: Malformed) {
+            } catch (e: MalformedMessageException) {
                 log.error("a garbled answer from the state service: {}", e.message)
-                Txn.Unknown(StateFailure.Garbled(e.message))
+                CompareAndSwapResult.Unknown(StoreFailure.Garbled(e.message))
             }
         }
 
-    private fun outcome(answer: CallResult.Answered): Txn = when (answer.status) {
-        200 -> Txn.Done(StateWire.revision(answer.body))
-        409 -> Txn.Refused(StateWire.failedKeys(answer.body))
+    private fun outcome(answer: CallResult.Answered): CompareAndSwapResult = when (answer.status) {
+        200 -> CompareAndSwapResult.Applied(KeyValueStoreProtocol.revision(answer.body))
+        409 -> CompareAndSwapResult.Refused(KeyValueStoreProtocol.failedKeys(answer.body))
         400 -> {
-            val error = StateWire.errorText(answer.body)
+            val error = KeyValueStoreProtocol.errorText(answer.body)
             if (error == "no such lease") {
-                Txn.NoLease
+                CompareAndSwapResult.LeaseNotFound
             } else {
                 log.error("the state service calls a transaction malformed: {}", error)
-                Txn.Unavailable("malformed: $error")
+                CompareAndSwapResult.Unavailable("malformed: $error")
             }
         }
-        else -> Txn.Unavailable("status ${answer.status}")
+        else -> CompareAndSwapResult.Unavailable("status ${answer.status}")
     }
 
     /** A new lease's id. */
-    suspend fun hold(ttlMs: Long): StateRead<Long> =
-        read(call(HttpMethod.POST, "/holds", StateWire.ttl(ttlMs), timeoutMs)) { StateWire.lease(it) }
+    suspend fun hold(ttlMs: Long): StoreRead<Long> =
+        read(call(HttpMethod.POST, "/holds", KeyValueStoreProtocol.ttl(ttlMs), timeoutMs)) { KeyValueStoreProtocol.lease(it) }
 
-    suspend fun extend(lease: Long): Renewal = when (val result = call(HttpMethod.POST, "/holds/$lease/extend", EMPTY, timeoutMs)) {
-        is CallResult.Failed -> Renewal.Unknown(StateFailure.NoAnswer(result.failure))
+    suspend fun extend(lease: Long): LeaseRenewal = when (val result = call(HttpMethod.POST, "/holds/$lease/extend", EMPTY, timeoutMs)) {
+        is CallResult.Failed -> LeaseRenewal.Unknown(StoreFailure.NoAnswer(result.failure))
         is CallResult.Answered -> when (result.status) {
-            200 -> Renewal.Held
-            404 -> Renewal.Gone
-            else -> Renewal.Unknown(StateFailure.Status(result.status))
+            200 -> LeaseRenewal.Held
+            404 -> LeaseRenewal.Gone
+            else -> LeaseRenewal.Unknown(StoreFailure.Status(result.status))
         }
     }
 
@@ -80,24 +80,24 @@
     }
 
     /** Waits for a change; it fails after an error, or when [since] is too old. */
-    suspend fun follow(prefix: String, since: Long, waitMs: Long): StateRead<StateWire.Watched> {
+    suspend fun follow(prefix: String, since: Long, waitMs: Long): StoreRead<KeyValueStoreProtocol.Watched> {
         val path = "/follow?under=${query(prefix)}&since=$since&blockMs=$waitMs"
-        return read(watcher.call(address, HttpMethod.GET, path, null, waitMs + timeoutMs)) { StateWire.watched(it) }
+        return read(watcher.call(address, HttpMethod.GET, path, null, waitMs + timeoutMs)) { KeyValueStoreProtocol.watched(it) }
     }
 
     private suspend fun call(method: HttpMethod, path: String, body: ByteArray?, timeoutMs: Long): CallResult =
         client.call(address, method, path, body, timeoutMs)
 
-    private inline fun <T> read(result: CallResult, decode: (ByteArray) -> T): StateRead<T> = when (result) {
-        is CallResult.Failed -> StateRead.Failed(StateFailure.NoAnswer(result.failure))
+    private inline fun <T> read(result: CallResult, decode: (ByteArray) -> T): StoreRead<T> = when (result) {
+        is CallResult.Failed -> StoreRead.Failed(StoreFailure.NoAnswer(result.failure))
         is CallResult.Answered -> when (result.status) {
             200 -> try {
-                StateRead.Value(decode(result.body))
-            } catch (e: Malformed) {
+                StoreRead.Value(decode(result.body))
+            } catch (e: MalformedMessageException) {
                 log.error("a garbled answer from the state service: {}", e.message)
-                StateRead.Failed(StateFailure.Garbled(e.message))
+                StoreRead.Failed(StoreFailure.Garbled(e.message))
             }
-            else -> StateRead.Failed(StateFailure.Status(result.status))
+            else -> StoreRead.Failed(StoreFailure.Status(result.status))
         }
     }
 
--- a/src/main/kotlin/cleathitch/state/Store.kt
+++ b/src/main/kotlin/cleathitch/storage/LogStorage.kt
@@ -1,26 +1,18 @@
-package cleathitch.state
-
-import cleathitch.WorkPart
-import cleathitch.WorkTimes
-import cleathitch.core.Change
-import cleathitch.core.Commit
-import cleathitch.core.Journal
-import cleathitch.core.Snapshot
-import cleathitch.core.Term
-import cleathitch.protocol.Malformed
-import cleathitch.protocol.StateWire
+package cleathitch.storage
+
+import cleathitch.metrics.ProcessingStage
+import cleathitch.metrics.ProcessingTimes
+import cleathitch.protocol.KeyValueStoreProtocol
+import cleathitch.protocol.MalformedMessageException
+import cleathitch.scheduler.log.Commit
+import cleathitch.scheduler.log.DecisionLog
+import cleathitch.scheduler.log.Mutation
+import cleathitch.scheduler.log.RecoveredState
+import cleathitch.scheduler.model.Term
 import kotlinx.coroutines.delay
 import org.slf4j.LoggerFactory
 import java.util.concurrent.TimeUnit
 
-/** What became of a commit. */
-sealed interface CommitResult {
-    data class Done(val revision: Long) : CommitResult
-
-    /** Another leads, or has led since: this node's term is over. */
-    data class Refused(val failedKeys: List<String>) : CommitResult
-}
-
 /**
  * The journal's place in the state service during one term.
  *
@@ -28,14 +20,14 @@
  * leader commits nothing, and a copy that comes late, even after a trim has deleted what it wrote,
  * finds another head.
  */
-class Store(
-    private val state: StateClient,
+class LogStorage(
+    private val state: KeyValueStoreClient,
     private val prefix: String,
     private val leaderKey: String,
     private val term: Term,
-    private val workTimes: WorkTimes,
+    private val workTimes: ProcessingTimes,
 ) {
-    private class Contents(val entries: List<StateWire.Entry>, val pages: Int)
+    private class Contents(val entries: List<KeyValueStoreProtocol.Entry>, val pages: Int)
 
     private var headRevision = 0L
 
@@ -44,7 +36,7 @@
         private set
 
     /** Reads everything; since we hold the leader's key, nobody else writes meanwhile. */
-    suspend fun load(): Snapshot {
+    suspend fun load(): RecoveredState {
         val begunMs = steadyMs()
         var tries = 0
         while (true) {
@@ -68,14 +60,14 @@
 
     /** All entries, or null after a page that couldn't be read. */
     private suspend fun readAll(tryNumber: Int): Contents? {
-        val entries = ArrayList<StateWire.Entry>()
+        val entries = ArrayList<KeyValueStoreProtocol.Entry>()
         var after: String? = null
         var pages = 0
         while (true) {
             activity = "reading page ${pages + 1}, ${entries.size} entries so far, try $tryNumber"
             val page = when (val read = state.list(prefix, after)) {
-                is StateRead.Value -> read.value
-                is StateRead.Failed -> {
+                is StoreRead.Value -> read.value
+                is StoreRead.Failed -> {
                     if (tryNumber == 1) log.info("term {}: page {} can't be read: {}", term.revision, pages + 1, read.failure)
                     return null
                 }
@@ -87,27 +79,27 @@
         }
     }
 
-    private fun decode(entries: List<StateWire.Entry>): Snapshot {
-        headRevision = entries.firstOrNull { it.key == prefix + Journal.HEAD }?.revision ?: 0
-        val named = entries.map { StateWire.Entry(it.key.removePrefix(prefix), it.value, it.revision) }
-        return workTimes.measure(WorkPart.REPLAY) { StoredCodec.snapshot(named) }
+    private fun decode(entries: List<KeyValueStoreProtocol.Entry>): RecoveredState {
+        headRevision = entries.firstOrNull { it.key == prefix + DecisionLog.HEAD }?.revision ?: 0
+        val named = entries.map { KeyValueStoreProtocol.Entry(it.key.removePrefix(prefix), it.value, it.revision) }
+        return workTimes.measure(ProcessingStage.REPLAY) { LogCodec.snapshot(named) }
     }
 
     /** Sends the same content until its fate is known. */
     suspend fun commit(commit: Commit): CommitResult {
-        val guards = mapOf(leaderKey to term.revision, prefix + Journal.HEAD to headRevision)
-        val writes = workTimes.measure(WorkPart.COMMIT_ENCODING) { commit.changes.flatMap(::writesOf) }
+        val guards = mapOf(leaderKey to term.revision, prefix + DecisionLog.HEAD to headRevision)
+        val writes = workTimes.measure(ProcessingStage.COMMIT_ENCODING) { commit.changes.flatMap(::writesOf) }
         val begunMs = steadyMs()
         var tries = 0
         while (true) {
             tries++
             when (val result = state.transaction(guards, writes)) {
-                is Txn.Done -> return done(commit, result.revision, tries, begunMs)
-                is Txn.Refused -> {
+                is CompareAndSwapResult.Applied -> return done(commit, result.revision, tries, begunMs)
+                is CompareAndSwapResult.Refused -> {
                     val earlier = appliedAs(commit) ?: return CommitResult.Refused(result.failed)
                     return done(commit, earlier, tries, begunMs)
                 }
-                is Txn.NoLease, is Txn.Unavailable, is Txn.Unknown -> {
+                is CompareAndSwapResult.LeaseNotFound, is CompareAndSwapResult.Unavailable, is CompareAndSwapResult.Unknown -> {
                     if (tries == 1) log.info("term {}: record {} isn't written yet: {}", term.revision, commit.seq, result)
                     delay(RETRY_MS)
                 }
@@ -124,17 +116,17 @@
     /** An earlier copy of the same content may have been carried out though its answer was lost. */
     private suspend fun appliedAs(commit: Commit): Long? {
         while (true) {
-            val page = when (val read = state.list(prefix + Journal.HEAD, null)) {
-                is StateRead.Value -> read.value
-                is StateRead.Failed -> {
+            val page = when (val read = state.list(prefix + DecisionLog.HEAD, null)) {
+                is StoreRead.Value -> read.value
+                is StoreRead.Failed -> {
                     delay(RETRY_MS)
                     continue
                 }
             }
             val entry = page.entries.firstOrNull() ?: return null
             val head = try {
-                StoredCodec.head(entry.value)
-            } catch (e: Malformed) {
+                LogCodec.head(entry.value)
+            } catch (e: MalformedMessageException) {
                 log.error("the head is garbled: {}", e.message)
                 return null
             }
@@ -142,12 +134,12 @@
         }
     }
 
-    private fun writesOf(change: Change): List<StateWire.Write> = when (change) {
-        is Change.Delete -> listOf(StateWire.Write.Delete(prefix + change.key))
-        is Change.Put -> {
-            val split = change.key.startsWith(Journal.JOB_PREFIX)
-            StoredCodec.encode(change.value, change.parts).mapIndexed { part, value ->
-                StateWire.Write.Put(prefix + change.key + if (split) "/$part" else "", value)
+    private fun writesOf(change: Mutation): List<KeyValueStoreProtocol.Write> = when (change) {
+        is Mutation.Delete -> listOf(KeyValueStoreProtocol.Write.Delete(prefix + change.key))
+        is Mutation.Put -> {
+            val split = change.key.startsWith(DecisionLog.JOB_PREFIX)
+            LogCodec.encode(change.value, change.parts).mapIndexed { part, value ->
+                KeyValueStoreProtocol.Write.Put(prefix + change.key + if (split) "/$part" else "", value)
             }
         }
     }
--- a/src/main/kotlin/cleathitch/workers/ReportQueue.kt
+++ b/src/main/kotlin/cleathitch/workers/HeartbeatQueue.kt
@@ -1,16 +1,16 @@
 package cleathitch.workers
 
-import cleathitch.core.ForwardedReport
-import cleathitch.core.MachineId
-import cleathitch.core.Order
-import cleathitch.core.OrderVersion
-import cleathitch.core.Report
-import cleathitch.core.ReportDecision
+import cleathitch.scheduler.api.ForwardedHeartbeat
+import cleathitch.scheduler.api.HeartbeatDecision
+import cleathitch.scheduler.model.FencingToken
+import cleathitch.scheduler.model.Heartbeat
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.model.WorkerCommand
 
 /** What a follower may tell a worker whose report it took in. */
 sealed interface ForwardOutcome {
     /** The leader's own answer, the only one that renews the worker's lease. */
-    data class Answered(val version: OrderVersion, val orders: List<Order>) : ForwardOutcome
+    data class Answered(val version: FencingToken, val orders: List<WorkerCommand>) : ForwardOutcome
 
     /** The leader refused the report, or gave no answer in time. */
     data object Unanswered : ForwardOutcome
@@ -23,11 +23,11 @@
  * that repeats what the leader acknowledged in its present term goes as a heartbeat. The queue has no clock and does
  * no I/O, and it decides nothing about a worker's lease.
  */
-class ReportQueue(private val answerWithinMs: Long) {
-    internal class Waiting(val report: Report, val arrivedMs: Long, val reply: (ForwardOutcome) -> Unit)
+class HeartbeatQueue(private val answerWithinMs: Long) {
+    internal class Waiting(val report: Heartbeat, val arrivedMs: Long, val reply: (ForwardOutcome) -> Unit)
 
     /** Reports on their way to the leader of [term], the whole ones before the heartbeats. */
-    class Batch internal constructor(val term: Long, val reports: List<ForwardedReport>, internal val entries: List<Waiting>) {
+    class Batch internal constructor(val term: Long, val reports: List<ForwardedHeartbeat>, internal val entries: List<Waiting>) {
         internal val oldestMs get() = entries.minOfOrNull { it.arrivedMs }
         val isEmpty get() = entries.isEmpty()
     }
@@ -36,13 +36,13 @@
     private var term = 0L
 
     /** The last report of each machine that the leader of [term] answered through this node. */
-    private val acknowledged = HashMap<MachineId, Report>()
+    private val acknowledged = HashMap<MachineId, Heartbeat>()
 
     val isEmpty get() = waiting.isEmpty()
     val isFull get() = waiting.size >= MOST_REPORTS
 
     /** Takes a report in; [reply] is called once, with the outcome. */
-    fun add(report: Report, nowMs: Long, reply: (ForwardOutcome) -> Unit) {
+    fun add(report: Heartbeat, nowMs: Long, reply: (ForwardOutcome) -> Unit) {
         waiting.put(report.machine, Waiting(report, nowMs, reply))?.reply?.invoke(ForwardOutcome.Unanswered)
     }
 
@@ -55,7 +55,7 @@
             term = leaderTerm
         }
         if (acknowledged.size > MOST_ACKNOWLEDGED) acknowledged.clear()
-        val chosen = ArrayList<Pair<ForwardedReport, Waiting>>()
+        val chosen = ArrayList<Pair<ForwardedHeartbeat, Waiting>>()
         var bytes = 0
         for (entry in waiting.values) {
             val forwarded = forwarded(entry.report)
@@ -65,7 +65,7 @@
             chosen += forwarded to entry
         }
         chosen.forEach { (_, entry) -> waiting.remove(entry.report.machine) }
-        val wholeFirst = chosen.sortedBy { (forwarded, _) -> forwarded is ForwardedReport.Heartbeat }
+        val wholeFirst = chosen.sortedBy { (forwarded, _) -> forwarded is ForwardedHeartbeat.Unchanged }
         return Batch(leaderTerm, wholeFirst.map { it.first }, wholeFirst.map { it.second })
     }
 
@@ -73,18 +73,18 @@
     fun timeLeftMs(batch: Batch, nowMs: Long) = (batch.oldestMs ?: nowMs) + answerWithinMs - nowMs
 
     /** The leader of [batch]'s term decided; [currentTerm] is that of the leader known by now, if there is one. */
-    fun decided(batch: Batch, decisions: List<ReportDecision>, currentTerm: Long?, nowMs: Long) {
+    fun decided(batch: Batch, decisions: List<HeartbeatDecision>, currentTerm: Long?, nowMs: Long) {
         if (currentTerm != batch.term || decisions.size != batch.entries.size) return unanswered(batch)
         for ((entry, decision) in batch.entries.zip(decisions)) {
             when (decision) {
-                is ReportDecision.Answer -> answered(entry, decision, nowMs)
-                ReportDecision.Refuse -> entry.reply(ForwardOutcome.Unanswered)
-                ReportDecision.SendWhole -> sendAgain(entry)
+                is HeartbeatDecision.Answer -> answered(entry, decision, nowMs)
+                HeartbeatDecision.Refuse -> entry.reply(ForwardOutcome.Unanswered)
+                HeartbeatDecision.RequestFull -> sendAgain(entry)
             }
         }
     }
 
-    private fun answered(entry: Waiting, answer: ReportDecision.Answer, nowMs: Long) {
+    private fun answered(entry: Waiting, answer: HeartbeatDecision.Answer, nowMs: Long) {
         acknowledged[entry.report.machine] = entry.report
         val inTime = nowMs - entry.arrivedMs < answerWithinMs
         entry.reply(if (inTime) ForwardOutcome.Answered(answer.version, answer.orders) else ForwardOutcome.Unanswered)
@@ -115,10 +115,10 @@
         expired.forEach { it.reply(ForwardOutcome.Unanswered) }
     }
 
-    private fun forwarded(report: Report): ForwardedReport {
+    private fun forwarded(report: Heartbeat): ForwardedHeartbeat {
         val base = acknowledged[report.machine]
-        if (base == null || !repeats(report, base)) return ForwardedReport.Whole(report)
-        return ForwardedReport.Heartbeat(
+        if (base == null || !repeats(report, base)) return ForwardedHeartbeat.Full(report)
+        return ForwardedHeartbeat.Unchanged(
             report.machine,
             report.session,
             report.seq,
@@ -128,11 +128,12 @@
         )
     }
 
-    private fun repeats(report: Report, base: Report) = report.copy(seq = base.seq, version = base.version, noticeS = base.noticeS) == base
+    private fun repeats(report: Heartbeat, base: Heartbeat) =
+        report.copy(seq = base.seq, version = base.version, noticeS = base.noticeS) == base
 
-    private fun estimatedBytes(forwarded: ForwardedReport): Int = when (forwarded) {
-        is ForwardedReport.Heartbeat -> HEARTBEAT_BYTES + forwarded.machine.text.length
-        is ForwardedReport.Whole -> forwarded.report.run {
+    private fun estimatedBytes(forwarded: ForwardedHeartbeat): Int = when (forwarded) {
+        is ForwardedHeartbeat.Unchanged -> HEARTBEAT_BYTES + forwarded.machine.text.length
+        is ForwardedHeartbeat.Full -> forwarded.report.run {
             val texts = machine.text.length + addr.length + type.length + zone.length
             val tasksBytes = tasks.sumOf { TASK_BYTES + it.attempt.task.job.text.length }
             REPORT_BYTES + BYTES_PER_CHAR * texts + tasksBytes
--- a/src/main/kotlin/cleathitch/workers/WorkerClient.kt
+++ b/src/main/kotlin/cleathitch/workers/WorkerClient.kt
@@ -1,14 +1,14 @@
 package cleathitch.workers
 
-import cleathitch.core.Effect
-import cleathitch.core.MachineId
-import cleathitch.core.Report
 import cleathitch.http.Address
 import cleathitch.http.CallResult
 import cleathitch.http.PooledHttpClient
 import cleathitch.http.answerWith
-import cleathitch.protocol.Malformed
-import cleathitch.protocol.WorkerWire
+import cleathitch.protocol.MalformedMessageException
+import cleathitch.protocol.WorkerProtocol
+import cleathitch.scheduler.api.Effect
+import cleathitch.scheduler.model.Heartbeat
+import cleathitch.scheduler.model.MachineId
 import io.micrometer.core.instrument.MeterRegistry
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry
 import io.vertx.core.Vertx
@@ -34,29 +34,29 @@
     private val turns = Semaphore(atOnce)
 
     /** The machine's report in answer to the command; null if none came. */
-    suspend fun send(command: Effect.ToWorker): Report? = when (command) {
-        is Effect.Push -> push(command)
-        is Effect.Inspect -> inspect(command)
+    suspend fun send(command: Effect.ToWorker): Heartbeat? = when (command) {
+        is Effect.SendCommands -> push(command)
+        is Effect.Probe -> inspect(command)
     }
 
     /** The machine's report after the orders, whether it carried them out or not; null if none came. */
-    private suspend fun push(push: Effect.Push): Report? {
+    private suspend fun push(push: Effect.SendCommands): Heartbeat? {
         val address = Address.parse(push.addr) ?: return null
-        val body = WorkerWire.direct(push.version, push.session, push.orders)
+        val body = WorkerProtocol.direct(push.version, push.session, push.orders)
         val result = turns.withPermit { client.call(address, HttpMethod.POST, "/do", body, timeoutMs) }
         val answer = result.answerWith(200) ?: result.answerWith(409)
         return answer?.let { report(push.machine, it) }
     }
 
-    private suspend fun inspect(inspect: Effect.Inspect): Report? {
+    private suspend fun inspect(inspect: Effect.Probe): Heartbeat? {
         val address = Address.parse(inspect.addr) ?: return null
         val result = turns.withPermit { client.call(address, HttpMethod.GET, "/inspect", null, probeMs) }
         return result.answerWith(200)?.let { report(inspect.machine, it) }
     }
 
-    private fun report(machine: MachineId, answer: CallResult.Answered): Report? = try {
-        WorkerWire.report(answer.body)
-    } catch (e: Malformed) {
+    private fun report(machine: MachineId, answer: CallResult.Answered): Heartbeat? = try {
+        WorkerProtocol.report(answer.body)
+    } catch (e: MalformedMessageException) {
         log.error("a garbled report from machine {}: {}", machine, e.message)
         null
     }
--- a/src/main/kotlin/cleathitch/workers/WorkerDistribution.kt
+++ b/src/main/kotlin/cleathitch/workers/WorkerDistribution.kt
@@ -1,6 +1,6 @@
 package cleathitch.workers
 
-import cleathitch.core.MachineId
+import cleathitch.scheduler.model.MachineId
 
 /**
  * Spreads the workers that come to the leader over its followers, which take reports in and hand them on.
--- a/src/test/kotlin/cleathitch/config/SettingsTest.kt
+++ b/src/test/kotlin/cleathitch/config/SettingsTest.kt
@@ -45,7 +45,7 @@
             "[]" to "isn't a JSON object",
         )
         for ((text, reason) in bad) {
-            val message = assertThrows(BadSettings::class.java) { Settings.read(file(text)) }.message.orEmpty()
+            val message = assertThrows(InvalidSettingsException::class.java) { Settings.read(file(text)) }.message.orEmpty()
             assertTrue(message.startsWith(folder.toString()) && reason in message, message)
         }
     }
@@ -63,7 +63,7 @@
             "3" to "isn't one map",
             "{} {}" to "more than one",
         )) {
-            val message = assertThrows(BadSettings::class.java) { OperatorSettings.read(file(text)) }.message.orEmpty()
+            val message = assertThrows(InvalidSettingsException::class.java) { OperatorSettings.read(file(text)) }.message.orEmpty()
             assertTrue(reason in message, message)
         }
     }
--- a/src/test/kotlin/cleathitch/state/LeadershipTest.kt
+++ b/src/test/kotlin/cleathitch/election/LeaderElectionTest.kt
@@ -1,7 +1,8 @@
-package cleathitch.state
+package cleathitch.election
 
-import cleathitch.Platform
 import cleathitch.http.Address
+import cleathitch.loopback.SimulatedPlatform
+import cleathitch.storage.KeyValueStoreClient
 import io.vertx.core.Vertx
 import io.vertx.kotlin.coroutines.dispatcher
 import kotlinx.coroutines.CoroutineScope
@@ -14,11 +15,11 @@
 import java.util.concurrent.TimeUnit
 
 /** Elections against a state service over HTTP. */
-class LeadershipTest {
-    private val platform = Platform()
+class LeaderElectionTest {
+    private val platform = SimulatedPlatform()
     private val vertx = Vertx.vertx()
     private val scope = CoroutineScope(vertx.dispatcher())
-    private val elected = LinkedBlockingQueue<Lease>()
+    private val elected = LinkedBlockingQueue<LeaderLease>()
 
     @AfterEach
     fun stop() {
@@ -28,24 +29,24 @@
     }
 
     private fun compete() {
-        val leadership = Leadership(
-            StateClient(vertx, Address("127.0.0.1", platform.port), timeoutMs = 500),
+        val leadership = LeaderElection(
+            KeyValueStoreClient(vertx, Address("127.0.0.1", platform.port), timeoutMs = 500),
             "n0",
             "one",
             ttlMs = 1000,
             "leader/cleathitch",
         ) { TimeUnit.NANOSECONDS.toMillis(System.nanoTime()) }
-        val listener = object : LeadershipListener {
-            override fun elected(lease: Lease) {
+        val listener = object : ElectionListener {
+            override fun elected(lease: LeaderLease) {
                 elected += lease
             }
-            override fun deposed(lease: Lease, reason: String) = Unit
+            override fun deposed(lease: LeaderLease, reason: String) = Unit
             override fun leaderIs(member: String?, term: Long) = Unit
         }
         scope.launch { leadership.run(listener) }
     }
 
-    private fun next(): Lease = elected.poll(30, TimeUnit.SECONDS) ?: throw AssertionError("nobody was elected")
+    private fun next(): LeaderLease = elected.poll(30, TimeUnit.SECONDS) ?: throw AssertionError("nobody was elected")
 
     /**
      * A term's rentals are named by counting from nought, and its versions rise from the term's own. A node that gave
--- a/src/test/kotlin/cleathitch/formats/PeerFormatTest.kt
+++ b/src/test/kotlin/cleathitch/formats/PeerFormatTest.kt
@@ -1,20 +1,20 @@
 package cleathitch.formats
 
-import cleathitch.core.ExitReason
-import cleathitch.core.JobId
-import cleathitch.core.MachineId
-import cleathitch.core.TaskState
-import cleathitch.peers.DecisionMessage
-import cleathitch.peers.DirectMessage
-import cleathitch.peers.DirectResultMessage
-import cleathitch.peers.HeartbeatMessage
-import cleathitch.peers.OrderMessage
+import cleathitch.peers.DeliveryMessage
+import cleathitch.peers.DeliveryResultMessage
+import cleathitch.peers.FullHeartbeatMessage
+import cleathitch.peers.HeartbeatDecisionMessage
+import cleathitch.peers.JobStatusMessage
 import cleathitch.peers.PeerCodec
 import cleathitch.peers.PeerReply
 import cleathitch.peers.PeerRequest
-import cleathitch.peers.ReportMessage
-import cleathitch.peers.StatusMessage
-import cleathitch.peers.TaskMessage
+import cleathitch.peers.TaskStatusMessage
+import cleathitch.peers.UnchangedHeartbeatMessage
+import cleathitch.peers.WorkerCommandMessage
+import cleathitch.scheduler.model.ExitReason
+import cleathitch.scheduler.model.JobId
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.model.TaskState
 import org.junit.jupiter.api.Assertions.assertArrayEquals
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.DynamicTest
@@ -26,35 +26,36 @@
     private val job = JobId("j-000412")
     private val machine = MachineId("vm-000017")
     private val body = byteArrayOf(-127, 1, 2)
-    private val tasks = TaskState.entries.mapIndexed { index, state -> TaskMessage(job, index, 40L + index, state, null, false) } +
-        ExitReason.entries.mapIndexed { index, reason -> TaskMessage(job, index, 60L + index, TaskState.EXITED, reason, true) }
-    private val report = ReportMessage(machine, "10.1.0.7:9000", "m4", "a", true, 2, 40, 9_437_185, 4.5, tasks)
+    private val tasks = TaskState.entries.mapIndexed { index, state -> TaskStatusMessage(job, index, 40L + index, state, null, false) } +
+        ExitReason.entries.mapIndexed { index, reason -> TaskStatusMessage(job, index, 60L + index, TaskState.EXITED, reason, true) }
+    private val report = FullHeartbeatMessage(machine, "10.1.0.7:9000", "m4", "a", true, 2, 40, 9_437_185, 4.5, tasks)
     private val quietReport = report.copy(spot = false, noticeS = null, tasks = emptyList())
-    private val heartbeats = listOf(HeartbeatMessage(machine, 2, 41, 9_437_185, 4.5, 40), HeartbeatMessage(machine, 2, 42, 9, null, 40))
-    private val orders = OrderMessage.Kind.entries.map { OrderMessage(it, job, 3, 7, 2.5) }
+    private val heartbeats =
+        listOf(UnchangedHeartbeatMessage(machine, 2, 41, 9_437_185, 4.5, 40), UnchangedHeartbeatMessage(machine, 2, 42, 9, null, 40))
+    private val orders = WorkerCommandMessage.Kind.entries.map { WorkerCommandMessage(it, job, 3, 7, 2.5) }
 
     private val requests = mapOf(
-        "request-leads" to PeerRequest.Leads("n1", "n2", 812),
-        "request-leads-nobody" to PeerRequest.Leads("n1", null, 812),
-        "request-images" to PeerRequest.Images(
+        "request-leads" to PeerRequest.AnnounceLeader("n1", "n2", 812),
+        "request-leads-nobody" to PeerRequest.AnnounceLeader("n1", null, 812),
+        "request-images" to PeerRequest.ImageCacheHints(
             listOf("img-1", "img-2"),
             listOf(0.5, 3.25),
-            listOf(PeerRequest.Images.Holder(machine, 2, listOf(1, 0))),
+            listOf(PeerRequest.ImageCacheHints.Holder(machine, 2, listOf(1, 0))),
         ),
-        "request-batch" to PeerRequest.Batch(
+        "request-batch" to PeerRequest.FollowerBatch(
             "n1",
             812,
             listOf(report, quietReport),
             heartbeats,
             listOf(job, JobId("j-7")),
-            listOf(DirectResultMessage(5, report)),
+            listOf(DeliveryResultMessage(5, report)),
         ),
-        "request-deliver" to PeerRequest.Deliver(
+        "request-deliver" to PeerRequest.DeliverCommands(
             "n1",
             812,
             listOf(
-                DirectMessage(1, machine, "10.1.0.7:9000", 2, 9_437_185, orders),
-                DirectMessage(2, machine, "10.1.0.7:9000", 0, 0, emptyList()),
+                DeliveryMessage(1, machine, "10.1.0.7:9000", 2, 9_437_185, orders),
+                DeliveryMessage(2, machine, "10.1.0.7:9000", 0, 0, emptyList()),
             ),
         ),
     )
@@ -65,8 +66,8 @@
         3,
         "n2",
         812,
-        DecisionMessage.Kind.entries.map { DecisionMessage(it, 9_437_185, orders) },
-        StatusMessage.Kind.entries.map { StatusMessage(it, 3, 1) },
+        HeartbeatDecisionMessage.Kind.entries.map { HeartbeatDecisionMessage(it, 9_437_185, orders) },
+        JobStatusMessage.Kind.entries.map { JobStatusMessage(it, 3, 1) },
     )
     private val emptyReply = PeerReply(503)
 
@@ -80,8 +81,8 @@
 
     @Test
     fun `a forwarded user request keeps its form`() {
-        PinnedBytes.assertUnchanged("request-user", PeerCodec.encode(PeerRequest.User("POST", "/submissions", body)))
-        val read = PeerCodec.decodeRequest(PinnedBytes.read("request-user")) as PeerRequest.User
+        PinnedBytes.assertUnchanged("request-user", PeerCodec.encode(PeerRequest.ForwardUserRequest("POST", "/submissions", body)))
+        val read = PeerCodec.decodeRequest(PinnedBytes.read("request-user")) as PeerRequest.ForwardUserRequest
         assertEquals("POST" to "/submissions", read.method to read.path)
         assertArrayEquals(body, read.body)
     }
--- a/src/test/kotlin/cleathitch/http/HttpEndpointTest.kt
+++ b/src/test/kotlin/cleathitch/http/HttpEndpointTest.kt
@@ -1,6 +1,5 @@
 package cleathitch.http
 
-import cleathitch.protocol.HttpReply
 import io.vertx.core.Vertx
 import io.vertx.kotlin.coroutines.dispatcher
 import kotlinx.coroutines.CoroutineScope
--- a/src/test/kotlin/cleathitch/core/CommandQueueTest.kt
+++ b/src/test/kotlin/cleathitch/leader/InputQueueTest.kt
@@ -1,28 +1,32 @@
-package cleathitch.core
+package cleathitch.leader
 
+import cleathitch.scheduler.api.Input
+import cleathitch.scheduler.log.LogIndex
+import cleathitch.scheduler.model.RequestId
+import cleathitch.scheduler.simulation.SimulatedCluster
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
 /** A flood of requests, and what must not wait behind it. */
-class CommandQueueTest {
-    private val queue = CommandQueue(mostRequests = 1000)
+class InputQueueTest {
+    private val queue = InputQueue(mostRequests = 1000)
     private var requests = 0L
 
     private fun request() = RequestId(++requests)
-    private fun submit(job: Int) = Command.Submit(request(), World.job(job))
-    private fun poll(job: Int) = Command.Poll(request(), World.job(job).id)
-    private fun abort(job: Int) = Command.Abort(request(), World.job(job).id)
-    private fun next(isAwaited: (Command) -> Boolean = { true }) = queue.nextBatch(isAwaited)
+    private fun submit(job: Int) = Input.Submit(request(), SimulatedCluster.job(job))
+    private fun poll(job: Int) = Input.Poll(request(), SimulatedCluster.job(job).id)
+    private fun abort(job: Int) = Input.Cancel(request(), SimulatedCluster.job(job).id)
+    private fun next(isAwaited: (Input) -> Boolean = { true }) = queue.nextBatch(isAwaited)
 
     @Test
     fun `what comes in the middle of a flood about lease and commits is in the very next batch, and first`() {
         repeat(1000) { queue.offer(submit(it)) }
         next()
-        queue.offer(Command.LeaseHeld(5))
-        queue.offer(Command.Committed(Seq(1), 2))
-        assertEquals(listOf(Command.LeaseHeld(5), Command.Committed(Seq(1), 2)), next().take(2))
+        queue.offer(Input.LeaseRenewed(5))
+        queue.offer(Input.CommitSucceeded(LogIndex(1), 2))
+        assertEquals(listOf(Input.LeaseRenewed(5), Input.CommitSucceeded(LogIndex(1), 2)), next().take(2))
     }
 
     @Test
@@ -37,17 +41,17 @@
     fun `a batch is bounded, and takes some of each kind`() {
         repeat(400) { queue.offer(submit(it)) }
         repeat(400) { queue.offer(poll(1000 + it)) }
-        queue.offer(Command.Tick)
+        queue.offer(Input.Tick)
         val batch = next()
         assertTrue(batch.size < 300) { "${batch.size}" }
-        assertTrue(batch.any { it is Command.Submit } && batch.any { it is Command.Poll } && Command.Tick in batch)
+        assertTrue(batch.any { it is Input.Submit } && batch.any { it is Input.Poll } && Input.Tick in batch)
     }
 
     @Test
     fun `requests over the bound are refused, and what isn't a request is not`() {
         repeat(1000) { assertTrue(queue.offer(submit(it))) }
         assertFalse(queue.offer(poll(1)))
-        assertTrue(queue.offer(Command.Committed(Seq(1), 2)))
+        assertTrue(queue.offer(Input.CommitSucceeded(LogIndex(1), 2)))
         next()
         assertTrue(queue.offer(poll(1)))
     }
@@ -68,7 +72,7 @@
         repeat(1000) { queue.offer(submit(it)) }
         var batches = 0
         while (!queue.isEmpty) {
-            assertEquals(emptyList<Command>(), next { false })
+            assertEquals(emptyList<Input>(), next { false })
             batches++
         }
         assertTrue(batches < 20)
