--- a/src/test/kotlin/cleathitch/ConnectionLeakTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/ConnectionLeakTest.kt
@@ -1,12 +1,14 @@
-package cleathitch
+package cleathitch.loopback
 
-import cleathitch.cloud.CallBudget
+import cleathitch.cloud.CallPacer
 import cleathitch.cloud.CloudClient
-import cleathitch.core.Effect
-import cleathitch.core.MachineId
 import cleathitch.http.StubServer
+import cleathitch.metrics.MetricsText
+import cleathitch.metrics.ProcessingTimes
 import cleathitch.peers.PeerClient
-import cleathitch.state.StateClient
+import cleathitch.scheduler.api.Effect
+import cleathitch.scheduler.model.MachineId
+import cleathitch.storage.KeyValueStoreClient
 import cleathitch.workers.WorkerClient
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry
 import io.vertx.core.Vertx
@@ -39,16 +41,16 @@
     private val scope = CoroutineScope(vertx.dispatcher() + SupervisorJob())
     private val meters = SimpleMeterRegistry()
 
-    private val state = StateClient(vertx, server.address, TIMEOUT_MS, meters = meters)
+    private val state = KeyValueStoreClient(vertx, server.address, TIMEOUT_MS, meters = meters)
     private val peers = PeerClient(vertx, meters)
     private val workers = WorkerClient(vertx, TIMEOUT_MS, TIMEOUT_MS, atOnce = CALLS_AT_ONCE / 2, meters)
-    private val cloud = CloudClient(vertx, server.address, CallBudget(CLOUD_RPS, ::steadyMs), TIMEOUT_MS, WorkTimes(meters), meters)
+    private val cloud = CloudClient(vertx, server.address, CallPacer(CLOUD_RPS, ::steadyMs), TIMEOUT_MS, ProcessingTimes(meters), meters)
 
     private val calls: Map<String, suspend () -> Any?> = mapOf(
         "state" to { state.extend(lease = 1) },
         "state-watch" to { state.follow("x", since = 1, waitMs = 0) },
         "peers" to { peers.ask(server.address, byteArrayOf(1), TIMEOUT_MS) },
-        "workers" to { workers.send(Effect.Inspect(MachineId("vm-000001"), server.address.toString())) },
+        "workers" to { workers.send(Effect.Probe(MachineId("vm-000001"), server.address.toString())) },
         "cloud" to { cloud.types() },
     )
 
@@ -100,7 +102,7 @@
     private suspend fun until(what: String, condition: () -> Boolean) {
         val endMs = steadyMs() + PATIENCE_MS
         while (!condition()) {
-            if (steadyMs() > endMs) throw AssertionError("$what: not within $PATIENCE_MS ms\n${Metrics.text(meters)}")
+            if (steadyMs() > endMs) throw AssertionError("$what: not within $PATIENCE_MS ms\n${MetricsText.text(meters)}")
             delay(10)
         }
     }
--- a/src/test/kotlin/cleathitch/TroubledProxy.kt
+++ b/src/test/kotlin/cleathitch/loopback/FaultyProxy.kt
@@ -1,4 +1,4 @@
-package cleathitch
+package cleathitch.loopback
 
 import java.io.IOException
 import java.io.InputStream
@@ -10,34 +10,14 @@
 import kotlin.concurrent.thread
 import kotlin.random.Random
 
-/** What happens to connections through a [TroubledProxy]. */
-enum class Trouble {
-    NONE,
-
-    /** Connections stay open and new ones wait for acceptance, but nothing gets through until it is over. */
-    HOLD,
-
-    /** As [HOLD] for what is sent, while new connections are accepted at once. */
-    HOLD_DATA,
-
-    /** Whatever is sent arrives up to a second late. */
-    SLOW,
-
-    /** Connections are reset as soon as something is sent. */
-    RESET,
-
-    /** Each request is answered with 503. */
-    REFUSE,
-}
-
 /** A TCP proxy on loopback between one node and a service, for troubles that a test switches on and off. */
-class TroubledProxy(private val targetPort: Int, seed: Int) : AutoCloseable {
+class FaultyProxy(private val targetPort: Int, seed: Int) : AutoCloseable {
     private val random = Random(seed)
     private val listener = ServerSocket(0, 4, InetAddress.getLoopbackAddress())
     private val sockets = ConcurrentHashMap.newKeySet<Socket>()
 
     @Volatile
-    var trouble = Trouble.NONE
+    var trouble = NetworkFault.NONE
 
     @Volatile
     private var isOpen = true
@@ -49,7 +29,7 @@
 
     private fun acceptAll() {
         while (isOpen) {
-            waitWhile { trouble == Trouble.HOLD }
+            waitWhile { trouble == NetworkFault.HOLD }
             val near = try {
                 listener.accept()
             } catch (_: IOException) {
@@ -87,18 +67,18 @@
 
     /** False if the connection ends with this. */
     private fun pass(buffer: ByteArray, count: Int, from: Socket, to: OutputStream, isRequest: Boolean): Boolean {
-        waitWhile { trouble == Trouble.HOLD || trouble == Trouble.HOLD_DATA }
+        waitWhile { trouble == NetworkFault.HOLD || trouble == NetworkFault.HOLD_DATA }
         when (trouble) {
-            Trouble.RESET -> {
+            NetworkFault.RESET -> {
                 from.setSoLinger(true, 0)
                 return false
             }
-            Trouble.REFUSE -> if (isRequest) {
+            NetworkFault.REFUSE -> if (isRequest) {
                 from.getOutputStream().write(REFUSAL)
                 return drainAndClose(from.getInputStream())
             }
-            Trouble.SLOW -> Thread.sleep(synchronized(random) { random.nextLong(MOST_DELAY_MS) })
-            Trouble.NONE, Trouble.HOLD, Trouble.HOLD_DATA -> Unit
+            NetworkFault.SLOW -> Thread.sleep(synchronized(random) { random.nextLong(MOST_DELAY_MS) })
+            NetworkFault.NONE, NetworkFault.HOLD, NetworkFault.HOLD_DATA -> Unit
         }
         to.write(buffer, 0, count)
         return true
--- a/src/test/kotlin/cleathitch/LoopbackCluster.kt
+++ b/src/test/kotlin/cleathitch/loopback/LoopbackCluster.kt
@@ -1,6 +1,6 @@
-package cleathitch
+package cleathitch.loopback
 
-import cleathitch.protocol.Wire
+import cleathitch.protocol.MessageCodec
 import com.fasterxml.jackson.databind.JsonNode
 import com.fasterxml.jackson.databind.node.ObjectNode
 import java.io.IOException
@@ -22,13 +22,21 @@
 
 /** The answer of the server at [port], or null if there is none within the time that workers wait. */
 fun ask(port: Int, method: String, path: String, body: JsonNode? = null): Reply? =
-    askRaw(port, method, path, body)?.let { (status, bytes) -> Reply(status, bytes.takeIf { it.isNotEmpty() }?.let(Wire::decodeMap)) }
+    askRaw(port, method, path, body)?.let { (status, bytes) ->
+        Reply(status, bytes.takeIf { it.isNotEmpty() }?.let(MessageCodec::decodeMap))
+    }
 
 /** The text at [path], or null if there is none. */
 fun askText(port: Int, path: String): String? = askRaw(port, "GET", path, null)?.second?.decodeToString()
 
 private fun askRaw(port: Int, method: String, path: String, body: JsonNode?): Pair<Int, ByteArray>? = try {
-    val publisher = if (body == null) HttpRequest.BodyPublishers.noBody() else HttpRequest.BodyPublishers.ofByteArray(Wire.encode(body))
+    val publisher = if (body ==
+        null
+    ) {
+        HttpRequest.BodyPublishers.noBody()
+    } else {
+        HttpRequest.BodyPublishers.ofByteArray(MessageCodec.encode(body))
+    }
     val request = HttpRequest.newBuilder(URI("http://127.0.0.1:$port$path")).timeout(Duration.ofSeconds(4)).method(method, publisher)
     val answer = client.send(request.build(), HttpResponse.BodyHandlers.ofByteArray())
     answer.statusCode() to answer.body()
@@ -64,7 +72,10 @@
     }
 
     private fun report(): ObjectNode {
-        val map = Wire.newMap().put("burro", "vm-000001").put("addr", addr).put("hornada", "m").put("comarca", "z").put("prestados", false)
+        val map = MessageCodec.newMap().put(
+            "burro",
+            "vm-000001",
+        ).put("addr", addr).put("hornada", "m").put("comarca", "z").put("prestados", false)
             .put("jornada", 1).put("folio", ++seq).put("vara", version)
         val list = map.putArray("tareas")
         for ((id, endMs) in tasks) {
@@ -91,7 +102,8 @@
 }
 
 /** Three controllers as real processes on loopback; [statePort] is where node 0, 1 or 2 finds the state service. */
-class LoopbackCluster(private val dir: Path, private val platform: Platform, private val statePort: (node: Int) -> Int) : AutoCloseable {
+class LoopbackCluster(private val dir: Path, private val platform: SimulatedPlatform, private val statePort: (node: Int) -> Int) :
+    AutoCloseable {
     private val ports = List(2 * NODES) { ServerSocket(0) }.onEach { it.close() }.map { it.localPort }
     private val processes = arrayOfNulls<Process>(NODES)
 
@@ -151,7 +163,7 @@
     }
 
     fun job(id: String, tasks: Int = 3): ObjectNode =
-        Wire.newMap().put("nameId", id).put("cuadrilla", "c").put("ownerCrew", "t").put("oficio", "array")
+        MessageCodec.newMap().put("nameId", id).put("cuadrilla", "c").put("ownerCrew", "t").put("oficio", "array")
             .put("urgencia", "normal").put("tareas", tasks).put("vcpus", 1.0).put("gpus", 0.0).put("memoryGb", 1.0)
             .put("imagen", "i").put("pullGb", 1.0).put("oneZone", false).put("scatter", false).put("prestados", false)
             .put("aproxS", 1.0).put("hitoS", 0.0).put("guardadoS", 0.0)
--- a/src/test/kotlin/cleathitch/LoopbackTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/LoopbackTest.kt
@@ -1,4 +1,4 @@
-package cleathitch
+package cleathitch.loopback
 
 import org.junit.jupiter.api.AfterEach
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -13,7 +13,7 @@
 class LoopbackTest {
     @TempDir
     lateinit var dir: Path
-    private val platform = Platform()
+    private val platform = SimulatedPlatform()
     private val cluster by lazy { LoopbackCluster(dir, platform) { platform.port } }
 
     @AfterEach
--- a/src/test/kotlin/cleathitch/Platform.kt
+++ b/src/test/kotlin/cleathitch/loopback/SimulatedPlatform.kt
@@ -1,6 +1,6 @@
-package cleathitch
+package cleathitch.loopback
 
-import cleathitch.protocol.Wire
+import cleathitch.protocol.MessageCodec
 import com.fasterxml.jackson.databind.JsonNode
 import com.fasterxml.jackson.databind.node.ObjectNode
 import com.sun.net.httpserver.HttpExchange
@@ -11,7 +11,7 @@
 import java.util.concurrent.Executors
 
 /** State service and cloud over HTTP, as far as one small deployment needs them. */
-class Platform {
+class SimulatedPlatform {
     private class Entry(val data: JsonNode, val revision: Long, val lease: Long?)
     private class Held(val ttlMs: Long, var endMs: Long)
 
@@ -42,8 +42,13 @@
             .associate { part -> part.substringBefore('=') to URLDecoder.decode(part.substringAfter('='), Charsets.UTF_8) }
         val bytes = it.requestBody.readAllBytes()
         if (it.requestURI.path == "/follow") Thread.sleep(100)
-        val (status, answer) = handle(it.requestMethod, it.requestURI.path, query, if (bytes.isEmpty()) null else Wire.decodeMap(bytes))
-        val body = Wire.encode(answer)
+        val (status, answer) = handle(
+            it.requestMethod,
+            it.requestURI.path,
+            query,
+            if (bytes.isEmpty()) null else MessageCodec.decodeMap(bytes),
+        )
+        val body = MessageCodec.encode(answer)
         it.sendResponseHeaders(status, body.size.toLong())
         it.responseBody.write(body)
     }
@@ -52,7 +57,7 @@
     private fun handle(method: String, path: String, query: Map<String, String>, body: JsonNode?): Pair<Int, JsonNode> {
         val nowMs = System.nanoTime() / 1_000_000
         if (leases.values.removeIf { it.endMs <= nowMs }) dropUnheld()
-        val map = Wire.newMap().put("asiento", revision)
+        val map = MessageCodec.newMap().put("asiento", revision)
         return when {
             path == "/keys" -> {
                 val entries = map.put("truncated", false).putArray("entries")
--- a/src/test/kotlin/cleathitch/SoakTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/SoakTest.kt
@@ -1,4 +1,4 @@
-package cleathitch
+package cleathitch.loopback
 
 import com.fasterxml.jackson.databind.JsonNode
 import org.junit.jupiter.api.AfterEach
@@ -25,8 +25,8 @@
     private val seed = Integer.getInteger("soak.seed", 23)
     private val soakMs = Integer.getInteger("soak.seconds", 60) * 1000L
     private val random = Random(seed)
-    private val platform = Platform()
-    private val proxies = List(LoopbackCluster.NODES) { TroubledProxy(platform.port, seed + it) }
+    private val platform = SimulatedPlatform()
+    private val proxies = List(LoopbackCluster.NODES) { FaultyProxy(platform.port, seed + it) }
     private val cluster by lazy { LoopbackCluster(dir, platform) { proxies[it].port } }
 
     private val accepted = ConcurrentHashMap.newKeySet<String>()
@@ -53,7 +53,7 @@
         val threads = listOf(thread(isDaemon = true) { worker.live() }, user(Random(seed + 1)))
         val endMs = nowMs() + soakMs
         while (nowMs() < endMs && broken.isEmpty()) trouble()
-        proxies.forEach { it.trouble = Trouble.NONE }
+        proxies.forEach { it.trouble = NetworkFault.NONE }
         worker.use(threads) {
             val quietSinceMs = nowMs()
             for (id in accepted.toList()) {
@@ -81,11 +81,11 @@
 
     /** One trouble and a pause: for all nodes, which see the same, or for one of them. */
     private fun trouble() {
-        val kind = Trouble.entries.random(random)
+        val kind = NetworkFault.entries.random(random)
         val troubled = if (random.nextBoolean()) proxies else listOf(proxies.random(random))
         troubled.forEach { it.trouble = kind }
         Thread.sleep(random.nextLong(300, 3500))
-        troubled.forEach { it.trouble = Trouble.NONE }
+        troubled.forEach { it.trouble = NetworkFault.NONE }
         Thread.sleep(random.nextLong(200, 3000))
     }
 
--- a/src/test/kotlin/cleathitch/peers/LeaderBatchesTest.kt
+++ b/src/test/kotlin/cleathitch/peers/LeaderBatcherTest.kt
@@ -1,11 +1,11 @@
 package cleathitch.peers
 
-import cleathitch.core.JobId
-import cleathitch.core.MachineId
-import cleathitch.core.OrderVersion
-import cleathitch.core.Report
-import cleathitch.core.ShownState
-import cleathitch.core.UserReply
+import cleathitch.scheduler.api.JobState
+import cleathitch.scheduler.api.UserReply
+import cleathitch.scheduler.model.FencingToken
+import cleathitch.scheduler.model.Heartbeat
+import cleathitch.scheduler.model.JobId
+import cleathitch.scheduler.model.MachineId
 import cleathitch.workers.ForwardOutcome
 import kotlinx.coroutines.async
 import kotlinx.coroutines.cancelAndJoin
@@ -19,14 +19,14 @@
 import org.junit.jupiter.api.Test
 
 /** Those who wait for a follower's batch get an answer, whatever becomes of it. */
-class LeaderBatchesTest {
+class LeaderBatcherTest {
     private val job = JobId("j-000001")
-    private val done = UserReply.Status(job, ShownState.DONE, 1, 0)
+    private val done = UserReply.Status(job, JobState.DONE, 1, 0)
     private val report =
-        Report(MachineId("vm-000001"), "10.0.0.1:9000", "m4", "a", false, 1, 7, OrderVersion.first(9), null, emptyList())
+        Heartbeat(MachineId("vm-000001"), "10.0.0.1:9000", "m4", "a", false, 1, 7, FencingToken.first(9), null, emptyList())
     private var leader: KnownLeader? = KnownLeader("n1", 9)
     private var send: suspend (OutgoingBatch) -> BatchResult = { answered(it) }
-    private val batches = LeaderBatches(intervalMs = 1, unreachableMs = 1000, ::nowMs, { leader }, { _, batch, _ -> send(batch) })
+    private val batches = LeaderBatcher(intervalMs = 1, unreachableMs = 1000, ::nowMs, { leader }, { _, batch, _ -> send(batch) })
 
     private fun nowMs() = System.nanoTime() / 1_000_000
 
--- a/src/test/kotlin/cleathitch/peers/PollQueueTest.kt
+++ b/src/test/kotlin/cleathitch/peers/PollQueueTest.kt
@@ -1,8 +1,8 @@
 package cleathitch.peers
 
-import cleathitch.core.JobId
-import cleathitch.core.ShownState
-import cleathitch.core.UserReply
+import cleathitch.scheduler.api.JobState
+import cleathitch.scheduler.api.UserReply
+import cleathitch.scheduler.model.JobId
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -13,7 +13,7 @@
     private val job = JobId("j-000001")
     private val other = JobId("j-000002")
     private val answers = ArrayList<UserReply?>()
-    private val running = UserReply.Status(job, ShownState.RUNNING, 1, 2)
+    private val running = UserReply.Status(job, JobState.RUNNING, 1, 2)
 
     private fun add(job: JobId, atMs: Long = 0) = queue.add(job, atMs) { answers += it }
 
--- a/src/test/kotlin/cleathitch/peers/CommandDeliveryTest.kt
+++ b/src/test/kotlin/cleathitch/peers/WorkerCommandDeliveryTest.kt
@@ -1,31 +1,31 @@
 package cleathitch.peers
 
-import cleathitch.core.AttemptId
-import cleathitch.core.Command
-import cleathitch.core.Effect
-import cleathitch.core.JobId
-import cleathitch.core.MachineId
-import cleathitch.core.Order
-import cleathitch.core.OrderVersion
-import cleathitch.core.Report
-import cleathitch.core.TaskId
+import cleathitch.scheduler.api.Effect
+import cleathitch.scheduler.api.Input
+import cleathitch.scheduler.model.AttemptId
+import cleathitch.scheduler.model.FencingToken
+import cleathitch.scheduler.model.Heartbeat
+import cleathitch.scheduler.model.JobId
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.model.TaskId
+import cleathitch.scheduler.model.WorkerCommand
 import kotlinx.coroutines.runBlocking
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
 /** How commands reach workers, and which answers count. */
-class CommandDeliveryTest {
-    private val posted = ArrayList<Command>()
+class WorkerCommandDeliveryTest {
+    private val posted = ArrayList<Input>()
     private var nowMs = 0L
 
     /** What went to each follower, and to workers directly. */
-    private val throughFollowers = ArrayList<Pair<String, List<DirectMessage>>>()
+    private val throughFollowers = ArrayList<Pair<String, List<DeliveryMessage>>>()
     private val direct = ArrayList<MachineId>()
     private var followersTakeCommands = true
     private var workersAnswer = true
 
-    private val routes = object : CommandRoutes {
+    private val routes = object : WorkerCommandRoutes {
         override fun reachableFollowers() = listOf("n1", "n2")
         override fun followerOf(machine: MachineId) = when (machine.text) {
             "vm-1", "vm-2" -> "n1"
@@ -34,32 +34,32 @@
             else -> null
         }
 
-        override suspend fun toFollower(follower: String, commands: List<DirectMessage>): Boolean {
+        override suspend fun toFollower(follower: String, commands: List<DeliveryMessage>): Boolean {
             throughFollowers += follower to commands
             return followersTakeCommands
         }
 
-        override suspend fun toWorker(command: Effect.ToWorker): Report? {
+        override suspend fun toWorker(command: Effect.ToWorker): Heartbeat? {
             direct += command.machine
             return if (workersAnswer) report(command.machine) else null
         }
     }
-    private val delivery = CommandDelivery(routes, openMs = 6000, { nowMs }, { posted += it })
+    private val delivery = WorkerCommandDelivery(routes, openMs = 6000, { nowMs }, { posted += it })
 
     private fun report(machine: MachineId) =
-        Report(machine, "10.0.0.1:9000", "m4", "a", false, 1, 7, OrderVersion.first(9), null, emptyList())
+        Heartbeat(machine, "10.0.0.1:9000", "m4", "a", false, 1, 7, FencingToken.first(9), null, emptyList())
 
-    private fun push(machine: Int) = Effect.Push(
+    private fun push(machine: Int) = Effect.SendCommands(
         MachineId("vm-$machine"),
         "10.0.0.1:9000",
         1,
-        OrderVersion.first(9),
-        listOf(Order.Start(AttemptId(TaskId(JobId("j-1"), 0), 1))),
+        FencingToken.first(9),
+        listOf(WorkerCommand.Start(AttemptId(TaskId(JobId("j-1"), 0), 1))),
     )
 
     private fun deliver(vararg commands: Effect.ToWorker) = runBlocking { delivery.deliver(this, commands.toList()) }
 
-    private fun result(id: Long, machine: Int) = DirectResultMessage(id, ReportMessage.of(report(MachineId("vm-$machine"))))
+    private fun result(id: Long, machine: Int) = DeliveryResultMessage(id, FullHeartbeatMessage.of(report(MachineId("vm-$machine"))))
 
     @Test
     fun `commands go through the followers to which the workers report, in one request each`() {
@@ -72,7 +72,7 @@
     fun `commands go directly where no reachable follower is known`() {
         deliver(push(4), push(5))
         assertEquals(setOf("vm-4", "vm-5"), direct.map { it.text }.toSet())
-        assertEquals(2, posted.count { it is Command.Inspected })
+        assertEquals(2, posted.count { it is Input.ProbeAnswered })
     }
 
     @Test
@@ -86,7 +86,7 @@
     fun `a worker that gives no answer is told as such`() {
         workersAnswer = false
         deliver(push(5))
-        assertEquals(listOf<Command>(Command.DirectUnanswered(MachineId("vm-5"))), posted)
+        assertEquals(listOf<Input>(Input.DirectCallUnanswered(MachineId("vm-5"))), posted)
     }
 
     @Test
@@ -94,7 +94,7 @@
         deliver(push(1), push(3))
         val (first, second) = throughFollowers.flatMap { it.second }.map { it.id }
         delivery.answered(listOf(result(first, machine = 1), result(first, machine = 1), result(second, machine = 1)))
-        assertEquals(listOf<Command>(Command.Inspected(report(MachineId("vm-1")))), posted)
+        assertEquals(listOf<Input>(Input.ProbeAnswered(report(MachineId("vm-1")))), posted)
     }
 
     /** By then the machine may be gone: a batch that was held up on its way shows nothing about it. */
@@ -104,15 +104,15 @@
         val id = throughFollowers.single().second.single().id
         nowMs = 6000
         delivery.answered(listOf(result(id, machine = 1)))
-        assertEquals(emptyList<Command>(), posted)
+        assertEquals(emptyList<Input>(), posted)
     }
 
     /** A machine that skips reports may have lost its follower: it is asked on more than one way. */
     @Test
     fun `questions take turns between the followers and this node`() {
-        repeat(3) { deliver(Effect.Inspect(MachineId("vm-1"), "10.0.0.1:9000")) }
+        repeat(3) { deliver(Effect.Probe(MachineId("vm-1"), "10.0.0.1:9000")) }
         assertEquals(setOf("n1", "n2"), throughFollowers.map { it.first }.toSet())
         assertEquals(1, direct.size)
-        assertTrue(throughFollowers.all { (_, commands) -> commands.single().toCommand() is Effect.Inspect })
+        assertTrue(throughFollowers.all { (_, commands) -> commands.single().toCommand() is Effect.Probe })
     }
 }
--- a/src/test/kotlin/cleathitch/protocol/CodecTest.kt
+++ b/src/test/kotlin/cleathitch/protocol/ProtocolCodecTest.kt
@@ -1,17 +1,17 @@
 package cleathitch.protocol
 
-import cleathitch.core.AttemptId
-import cleathitch.core.ExitReason
-import cleathitch.core.HeldImages
-import cleathitch.core.JobId
-import cleathitch.core.MachineId
-import cleathitch.core.Order
-import cleathitch.core.OrderVersion
-import cleathitch.core.ReportedTask
-import cleathitch.core.TaskId
-import cleathitch.core.TaskState
 import cleathitch.peers.PeerCodec
 import cleathitch.peers.PeerRequest
+import cleathitch.scheduler.model.AttemptId
+import cleathitch.scheduler.model.ExitReason
+import cleathitch.scheduler.model.FencingToken
+import cleathitch.scheduler.model.ImageCache
+import cleathitch.scheduler.model.JobId
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.model.TaskId
+import cleathitch.scheduler.model.TaskState
+import cleathitch.scheduler.model.TaskStatus
+import cleathitch.scheduler.model.WorkerCommand
 import com.fasterxml.jackson.databind.ObjectMapper
 import com.fasterxml.jackson.databind.node.ArrayNode
 import com.fasterxml.jackson.databind.node.ObjectNode
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.TestFactory
 
 /** What workers, cloud, state service and peers send: read as the page says, and garbled messages told as such. */
-class CodecTest {
+class ProtocolCodecTest {
     private val json = ObjectMapper()
     private fun node(text: String) = json.readTree(text) as ObjectNode
 
@@ -37,7 +37,7 @@
                 "avisoS":null,"tareas":[{"tarea":"j-000412/3","intento":2,"estado":"running"}]}""",
             listOf("burro", "addr", "hornada", "comarca", "prestados", "jornada", "folio", "vara", "tareas") +
                 listOf("tareas.tarea", "tareas.intento", "tareas.estado"),
-            WorkerWire::report,
+            WorkerProtocol::report,
         ),
         Row(
             "machine types",
@@ -52,7 +52,7 @@
                 "hornadas.bootS",
                 "hornadas.comarcas",
             ),
-            CloudWire::types,
+            CloudProtocol::types,
         ),
         Row(
             "machines",
@@ -68,24 +68,24 @@
                 "burros.estado",
                 "burros.heldS",
             ),
-            CloudWire::page,
+            CloudProtocol::page,
         ),
-        Row("rental", """{"burros":["vm-000231"]}""", listOf("burros"), CloudWire::rented),
+        Row("rental", """{"burros":["vm-000231"]}""", listOf("burros"), CloudProtocol::rented),
         Row(
             "keys",
             """{"entries":[{"k":"a/b","data":{"x":1},"retoque":412}],"truncated":true,"asiento":431}""",
             listOf("entries", "truncated", "asiento", "entries.k", "entries.data", "entries.retoque"),
-            StateWire::page,
+            KeyValueStoreProtocol::page,
         ),
-        Row("revision", """{"asiento":432}""", listOf("asiento"), StateWire::revision),
-        Row("failed keys", """{"failed":["a/b"],"asiento":431}""", listOf("failed"), StateWire::failedKeys),
-        Row("lease", """{"arriendo":7}""", listOf("arriendo"), StateWire::lease),
+        Row("revision", """{"asiento":432}""", listOf("asiento"), KeyValueStoreProtocol::revision),
+        Row("failed keys", """{"failed":["a/b"],"asiento":431}""", listOf("failed"), KeyValueStoreProtocol::failedKeys),
+        Row("lease", """{"arriendo":7}""", listOf("arriendo"), KeyValueStoreProtocol::lease),
     )
 
     @TestFactory
     fun `each message is read, and without a needed field it is malformed`() = rows.flatMap { row ->
         val good = DynamicTest.dynamicTest("${row.name} is read, with fields that nobody knows") {
-            row.read(Wire.encode(node(row.text).put("later", 1)))
+            row.read(MessageCodec.encode(node(row.text).put("later", 1)))
         }
         listOf(good) + row.needed.flatMap { field ->
             listOf("missing" to null, "of another type" to json.readTree("""[{"x":"y"}]""")).map { (how, value) ->
@@ -99,7 +99,7 @@
                         broken to field
                     }
                     if (value == null) holder.remove(name) else holder.set<ObjectNode>(name, if (name == "data") json.nullNode() else value)
-                    assertThrows(Malformed::class.java) { row.read(Wire.encode(broken)) }
+                    assertThrows(MalformedMessageException::class.java) { row.read(MessageCodec.encode(broken)) }
                 }
             }
         }
@@ -107,7 +107,7 @@
 
     @TestFactory
     fun `what isn't one whole map is malformed`() = rows.flatMap { row ->
-        val whole = Wire.encode(node(row.text))
+        val whole = MessageCodec.encode(node(row.text))
         listOf(
             "empty" to ByteArray(0),
             "cut short" to whole.copyOf(whole.size - 1),
@@ -115,50 +115,54 @@
             "a list" to byteArrayOf(0x90.toByte()),
         )
             .map { (how, bytes) ->
-                DynamicTest.dynamicTest("${row.name}: $how") { assertThrows(Malformed::class.java) { row.read(bytes) } }
+                DynamicTest.dynamicTest("${row.name}: $how") { assertThrows(MalformedMessageException::class.java) { row.read(bytes) } }
             }
     }
 
     @Test
     fun `states and reasons of tasks are read by their names`() {
-        fun task(fields: String) = WorkerWire.report(
-            Wire.encode(
+        fun task(fields: String) = WorkerProtocol.report(
+            MessageCodec.encode(
                 node(rows[0].text).also {
                     (it.get("tareas") as ArrayNode).removeAll().add(node("""{"tarea":"j-000412/3","intento":2,$fields}"""))
                 },
             ),
         ).tasks.single()
         val id = AttemptId(TaskId(JobId("j-000412"), 3), 2)
-        assertEquals(ReportedTask(id, TaskState.FETCHING), task(""""estado":"pulling""""))
-        assertEquals(ReportedTask(id, TaskState.SAVING), task(""""estado":"flushing""""))
+        assertEquals(TaskStatus(id, TaskState.FETCHING), task(""""estado":"pulling""""))
+        assertEquals(TaskStatus(id, TaskState.SAVING), task(""""estado":"flushing""""))
         assertEquals(
-            ReportedTask(id, TaskState.EXITED, ExitReason.STOPPED, saved = true),
+            TaskStatus(id, TaskState.EXITED, ExitReason.STOPPED, saved = true),
             task(""""estado":"exited","motivo":"halted","kept":true"""),
         )
-        assertEquals(ReportedTask(id, TaskState.EXITED, null), task(""""estado":"exited","motivo":"later known""""))
-        assertThrows(Malformed::class.java) { task(""""estado":"dancing"""") }
+        assertEquals(TaskStatus(id, TaskState.EXITED, null), task(""""estado":"exited","motivo":"later known""""))
+        assertThrows(MalformedMessageException::class.java) { task(""""estado":"dancing"""") }
     }
 
     @Test
     fun `orders are written as the page shows them`() {
         val id = AttemptId(TaskId(JobId("j-000412"), 4), 2)
-        val body = WorkerWire.direct(OrderVersion(41), 1, listOf(Order.Start(id), Order.Stop(id, 10.0), Order.Forget(id)))
+        val body = WorkerProtocol.direct(
+            FencingToken(41),
+            1,
+            listOf(WorkerCommand.Start(id), WorkerCommand.Stop(id, 10.0), WorkerCommand.Forget(id)),
+        )
         val shown = node(
             """{"vara":41,"ordenes":[{"orden":"run","tarea":"j-000412/4","intento":2},{"orden":"stop","tarea":"j-000412/4","intento":2,"graciaS":10.0},
                 {"orden":"clear","tarea":"j-000412/4","intento":2}],"jornada":1}""",
         )
-        assertEquals(json.readTree(shown.toString()), json.readTree(Wire.decodeMap(body).toString()))
+        assertEquals(json.readTree(shown.toString()), json.readTree(MessageCodec.decodeMap(body).toString()))
     }
 
     @Test
     fun `peers understand each other, and garbled requests are told as such`() {
         val held = mapOf(
-            MachineId("vm-1") to HeldImages(2, mapOf("a" to 1.5, "b" to 0.5)),
-            MachineId("vm-2") to HeldImages(1, mapOf("b" to 0.5)),
+            MachineId("vm-1") to ImageCache(2, mapOf("a" to 1.5, "b" to 0.5)),
+            MachineId("vm-2") to ImageCache(1, mapOf("b" to 0.5)),
         )
-        val part = PeerRequest.Images.of(held).single()
-        assertEquals(held, (PeerCodec.decodeRequest(PeerCodec.encode(part)) as PeerRequest.Images).held())
-        val leads = PeerRequest.Leads("n0", "n0", 9)
+        val part = PeerRequest.ImageCacheHints.of(held).single()
+        assertEquals(held, (PeerCodec.decodeRequest(PeerCodec.encode(part)) as PeerRequest.ImageCacheHints).held())
+        val leads = PeerRequest.AnnounceLeader("n0", "n0", 9)
         assertEquals(leads, PeerCodec.decodeRequest(PeerCodec.encode(leads)))
         assertThrows(SerializationException::class.java) { PeerCodec.decodeRequest(byteArrayOf(1, 2, 3)) }
     }
--- a/src/test/kotlin/cleathitch/protocol/UserWireTest.kt
+++ b/src/test/kotlin/cleathitch/protocol/UserProtocolTest.kt
@@ -1,7 +1,7 @@
 package cleathitch.protocol
 
-import cleathitch.core.JobKind
-import cleathitch.core.Priority
+import cleathitch.scheduler.model.JobKind
+import cleathitch.scheduler.model.Priority
 import com.fasterxml.jackson.databind.ObjectMapper
 import com.fasterxml.jackson.databind.node.ObjectNode
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test
 import java.math.BigInteger
 
-class UserWireTest {
+class UserProtocolTest {
     private val json = ObjectMapper()
 
     private fun valid(): ObjectNode = json.readTree(
@@ -21,7 +21,7 @@
         """,
     ) as ObjectNode
 
-    private fun parse(node: ObjectNode) = UserWire.submission(Wire.encode(node))
+    private fun parse(node: ObjectNode) = UserProtocol.submission(MessageCodec.encode(node))
 
     @Test
     fun `a submission is read field by field`() {
@@ -72,13 +72,13 @@
             "spread missing" to { it.remove("scatter") },
         )
         for ((name, spoil) in bad) {
-            assertThrows(Malformed::class.java, { parse(valid().also(spoil)) }, name)
+            assertThrows(MalformedMessageException::class.java, { parse(valid().also(spoil)) }, name)
         }
     }
 
     @Test
     fun `bodies that aren't one MessagePack map are malformed`() {
-        val whole = Wire.encode(valid())
+        val whole = MessageCodec.encode(valid())
         val bodies = mapOf(
             "empty" to ByteArray(0),
             "cut off" to whole.copyOf(whole.size - 1),
@@ -87,6 +87,6 @@
             "a never used code" to byteArrayOf(0xc1.toByte()),
             "JSON" to """{"nameId":"j-000412"}""".toByteArray(),
         )
-        for ((name, body) in bodies) assertThrows(Malformed::class.java, { UserWire.submission(body) }, name)
+        for ((name, body) in bodies) assertThrows(MalformedMessageException::class.java, { UserProtocol.submission(body) }, name)
     }
 }
--- a/src/test/kotlin/cleathitch/core/UncommittedTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/CommitVisibilityTest.kt
@@ -1,12 +1,18 @@
-package cleathitch.core
+package cleathitch.scheduler
 
+import cleathitch.scheduler.api.Effect
+import cleathitch.scheduler.api.Input
+import cleathitch.scheduler.api.JobState
+import cleathitch.scheduler.api.UserReply
+import cleathitch.scheduler.log.DecisionLog
+import cleathitch.scheduler.simulation.SimulatedCluster
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
 /** What a transaction records isn't told to anyone before it is committed: its leader may end before that. */
-class UncommittedTest : MeetingTrace() {
+class CommitVisibilityTest : CombinedFaultsHarness() {
     private val job get() = taskOf(1).job
 
     /** The last task's result is reported just as a trim is due, so that one transaction records and archives the end. */
@@ -19,26 +25,26 @@
         at(nowMs + tuning.trimMs)
         machine.ends()
         val archives = machine.reports().filterIsInstance<Effect.Write>().single().commit.changes.filter {
-            it.key.startsWith(Journal.FINALS_PREFIX)
+            it.key.startsWith(DecisionLog.FINALS_PREFIX)
         }
         assertEquals(1, archives.size) { "the transaction doesn't archive, so this test shows nothing" }
     }
 
-    private fun state(reply: UserReply): ShownState? = when (reply) {
+    private fun state(reply: UserReply): JobState? = when (reply) {
         is UserReply.Status -> reply.state
         is UserReply.Accepted -> reply.state
-        is UserReply.Aborted -> reply.state
-        is UserReply.NotNow, is UserReply.NeverRuns, UserReply.NotFound -> null
+        is UserReply.Cancelled -> reply.state
+        is UserReply.Unavailable, is UserReply.Unsatisfiable, UserReply.NotFound -> null
     }
 
     private fun told(effects: List<Effect>) = effects.filterIsInstance<Effect.Answer>().map { state(it.reply) } +
         effects.filterIsInstance<Effect.AnswerFollower>().flatMap { answer -> answer.statuses.map(::state) }
 
-    private val questions = mapOf<String, () -> Command>(
-        "a poll" to { Command.Poll(request(), job) },
-        "a repeated submission" to { Command.Submit(request(), World.job(1, tasks = 1)) },
-        "a cancellation" to { Command.Abort(request(), job) },
-        "a follower's batch of polls" to { Command.FollowerBatch(request(), emptyList(), listOf(job)) },
+    private val questions = mapOf<String, () -> Input>(
+        "a poll" to { Input.Poll(request(), job) },
+        "a repeated submission" to { Input.Submit(request(), SimulatedCluster.job(1, tasks = 1)) },
+        "a cancellation" to { Input.Cancel(request(), job) },
+        "a follower's batch of polls" to { Input.FollowerBatchReceived(request(), emptyList(), listOf(job)) },
     )
 
     /** Told as done by this leader, it would be queued again for the next. */
@@ -46,21 +52,21 @@
     fun `an end that is archived with its own record isn't told before the commit`() {
         endsWithTrimUncommitted()
         for ((question, command) in questions) {
-            assertFalse(ShownState.DONE in told(step(command())), question)
+            assertFalse(JobState.DONE in told(step(command())), question)
         }
         takeOver()
-        assertEquals(ShownState.QUEUED, state(asks(1)))
+        assertEquals(JobState.QUEUED, state(asks(1)))
     }
 
     @Test
     fun `an end that is archived with its own record is told once that is committed, and by the next leader`() {
         endsWithTrimUncommitted()
-        val cancellation = step(Command.Abort(request(), job))
-        assertEquals(emptyList<ShownState?>(), told(cancellation))
-        assertEquals(listOf(ShownState.DONE), told(stateServiceBack()))
-        assertEquals(ShownState.DONE, state(asks(1)))
+        val cancellation = step(Input.Cancel(request(), job))
+        assertEquals(emptyList<JobState?>(), told(cancellation))
+        assertEquals(listOf(JobState.DONE), told(stateServiceBack()))
+        assertEquals(JobState.DONE, state(asks(1)))
         takeOver()
-        for ((question, command) in questions) assertEquals(listOf(ShownState.DONE), told(step(command())), question)
+        for ((question, command) in questions) assertEquals(listOf(JobState.DONE), told(step(command())), question)
     }
 
     /** The same for a cancelled job, whose last attempt ends with the trim. */
@@ -74,8 +80,8 @@
         at(nowMs + tuning.trimMs)
         machine.reports()
         machine.reports()
-        assertEquals(listOf(ShownState.CANCELLED), told(step(Command.Poll(request(), job))))
+        assertEquals(listOf(JobState.CANCELLED), told(step(Input.Poll(request(), job))))
         takeOver()
-        assertEquals(ShownState.CANCELLED, state(asks(1)))
+        assertEquals(JobState.CANCELLED, state(asks(1)))
     }
 }
--- a/src/test/kotlin/cleathitch/core/SilenceTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FailureDetectorTest.kt
@@ -1,40 +1,49 @@
-package cleathitch.core
+package cleathitch.scheduler
 
+import cleathitch.scheduler.api.Effect
+import cleathitch.scheduler.api.ForwardedHeartbeat
+import cleathitch.scheduler.api.HeartbeatDecision
+import cleathitch.scheduler.api.Input
+import cleathitch.scheduler.model.FencingToken
+import cleathitch.scheduler.model.Heartbeat
+import cleathitch.scheduler.model.JobKind
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.simulation.SimulatedCluster
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
 /** Many machines fall silent together: whose fault it is decides what becomes of them. */
-class SilenceTest : EngineTrace() {
+class FailureDetectorTest : SchedulerHarness() {
     private var seq = 1L
     private val roundsPerReport = (deployment.reportS * 1000 / tuning.roundMs).toInt()
 
     /** One report period in which the machines of [heard] report, spread over it as they are in life. */
-    private fun period(heard: Iterable<Int>, version: OrderVersion? = null, throughFollower: Boolean = false): List<Effect> {
+    private fun period(heard: Iterable<Int>, version: FencingToken? = null, throughFollower: Boolean = false): List<Effect> {
         seq++
         return (0 until roundsPerReport).flatMap { round ->
             heard.filter { it % roundsPerReport == round }.flatMap {
-                val report = report(it, seq, version ?: shown[it] ?: OrderVersion.first(revision))
-                val effects = step(if (throughFollower) forwarded(report) else Command.Reported(request(), report))
+                val report = report(it, seq, version ?: shown[it] ?: FencingToken.first(revision))
+                val effects = step(if (throughFollower) forwarded(report) else Input.HeartbeatReceived(request(), report))
                 effects.filterIsInstance<Effect.AnswerFollower>().flatMap { answer -> answer.decisions }
-                    .forEach { decision -> if (decision is ReportDecision.Answer) shown[it] = decision.version }
+                    .forEach { decision -> if (decision is HeartbeatDecision.Answer) shown[it] = decision.version }
                 effects
             } + settle(rounds = 1)
         }
     }
 
     /** The newest version that each machine was answered with through a follower, which its next report shows. */
-    private val shown = HashMap<Int, OrderVersion>()
+    private val shown = HashMap<Int, FencingToken>()
 
-    private fun forwarded(report: Report) = Command.FollowerBatch(request(), listOf(ForwardedReport.Whole(report)))
+    private fun forwarded(report: Heartbeat) = Input.FollowerBatchReceived(request(), listOf(ForwardedHeartbeat.Full(report)))
 
-    private fun returned(effects: List<Effect>) = effects.filterIsInstance<Effect.Return>().flatMapTo(HashSet()) { it.machines }
+    private fun returned(effects: List<Effect>) = effects.filterIsInstance<Effect.TerminateMachines>().flatMapTo(HashSet()) { it.machines }
 
     /** All machines with a service on each, so that none is idle; even ones in zone a, odd ones in zone b. */
     private fun busy(count: Int) {
         machines(count)
         val request = request()
-        step(Command.Submit(request, World.job(request.number.toInt(), JobKind.SERVICE, tasks = count * 2)))
+        step(Input.Submit(request, SimulatedCluster.job(request.number.toInt(), JobKind.SERVICE, tasks = count * 2)))
         repeat(3) { period(0 until count) }
     }
 
@@ -51,7 +60,7 @@
     fun `a leader whose direct commands are lost hands over`() {
         busy(40)
         period(0 until 40, throughFollower = true)
-        repeat(4) { step(Command.DirectUnanswered(report(it).machine)) }
+        repeat(4) { step(Input.DirectCallUnanswered(report(it).machine)) }
         val stepDown = (1..2).flatMap { period(0 until 40, throughFollower = true) }.filterIsInstance<Effect.StepDown>().single()
         assertTrue(stepDown.handOver)
     }
@@ -60,7 +69,7 @@
     @Test
     fun `a leader whose machines all report to followers stays`() {
         busy(40)
-        repeat(2) { step(Command.DirectUnanswered(report(it).machine)) }
+        repeat(2) { step(Input.DirectCallUnanswered(report(it).machine)) }
         val effects = (1..8).flatMap { period(0 until 40, throughFollower = true) }
         assertEquals(emptyList<Effect>(), effects.filterIsInstance<Effect.StepDown>())
     }
@@ -69,8 +78,8 @@
     @Test
     fun `a leader stays when lost commands went to machines that don't show its answers`() {
         busy(40)
-        repeat(10) { step(Command.DirectUnanswered(report(it).machine)) }
-        val old = OrderVersion.first(revision)
+        repeat(10) { step(Input.DirectCallUnanswered(report(it).machine)) }
+        val old = FencingToken.first(revision)
         val effects = (1..4).flatMap {
             period(10 until 40, throughFollower = true) +
                 period(5 until 10, version = old, throughFollower = true)
@@ -82,8 +91,8 @@
     @Test
     fun `a leader stays when other direct commands are answered`() {
         busy(40)
-        repeat(4) { step(Command.DirectUnanswered(report(it).machine)) }
-        step(Command.Inspected(report(20, seq = 1000)))
+        repeat(4) { step(Input.DirectCallUnanswered(report(it).machine)) }
+        step(Input.ProbeAnswered(report(20, seq = 1000)))
         val effects = (1..4).flatMap { period(0 until 20, throughFollower = true) }
         assertEquals(emptyList<Effect>(), effects.filterIsInstance<Effect.StepDown>())
     }
@@ -106,7 +115,7 @@
     @Test
     fun `when all machines miss our answers, none is to blame`() {
         busy(40)
-        val old = OrderVersion.first(7)
+        val old = FencingToken.first(7)
         val effects = (1..8).flatMap { period(0 until 40, version = old) }
         assertEquals(emptySet<MachineId>(), returned(effects))
     }
--- a/src/test/kotlin/cleathitch/core/ForwardedReportsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/ForwardedHeartbeatsTest.kt
@@ -1,31 +1,45 @@
-package cleathitch.core
+package cleathitch.scheduler
 
+import cleathitch.scheduler.api.Effect
+import cleathitch.scheduler.api.ForwardedHeartbeat
+import cleathitch.scheduler.api.HeartbeatDecision
+import cleathitch.scheduler.api.Input
+import cleathitch.scheduler.model.AttemptId
+import cleathitch.scheduler.model.FencingToken
+import cleathitch.scheduler.model.Heartbeat
+import cleathitch.scheduler.model.ListedState
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.model.TaskState
+import cleathitch.scheduler.model.TaskStatus
+import cleathitch.scheduler.model.WorkerCommand
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
 /** The leader decides about a report that a follower hands on exactly as about one that comes to it directly. */
-class ForwardedReportsTest : EngineTrace() {
-    private fun forward(vararg reports: ForwardedReport): List<ReportDecision> =
-        step(Command.FollowerBatch(request(), reports.toList())).filterIsInstance<Effect.AnswerFollower>().single().decisions
+class ForwardedHeartbeatsTest : SchedulerHarness() {
+    private fun forward(vararg reports: ForwardedHeartbeat): List<HeartbeatDecision> =
+        step(Input.FollowerBatchReceived(request(), reports.toList())).filterIsInstance<Effect.AnswerFollower>().single().decisions
 
-    private fun whole(report: Report) = ForwardedReport.Whole(report)
+    private fun whole(report: Heartbeat) = ForwardedHeartbeat.Full(report)
 
     private fun heartbeat(machine: Int, seq: Long, baseSeq: Long, session: Long = 1) =
-        ForwardedReport.Heartbeat(report(machine).machine, session, seq, OrderVersion.first(revision), noticeS = null, baseSeq)
+        ForwardedHeartbeat.Unchanged(report(machine).machine, session, seq, FencingToken.first(revision), noticeS = null, baseSeq)
 
     /** The machines on which tasks start by orders sent directly. */
-    private fun started(effects: List<Effect>) = effects.filterIsInstance<Effect.Push>()
-        .filter { push -> push.orders.any { it is Order.Start } }.map { it.machine }
+    private fun started(effects: List<Effect>) = effects.filterIsInstance<Effect.SendCommands>()
+        .filter { push -> push.orders.any { it is WorkerCommand.Start } }.map { it.machine }
 
     private fun reportsTask(machine: Int, seq: Long, attempt: AttemptId) =
-        report(machine, seq).copy(tasks = listOf(ReportedTask(attempt, TaskState.RUNNING)))
+        report(machine, seq).copy(tasks = listOf(TaskStatus(attempt, TaskState.RUNNING)))
 
     /** One machine with the only task there is, which a follower has reported as running. */
     private fun oneRunningTask(): AttemptId {
         machines(1)
         submit(jobs = 1, tasks = 1)
-        val push = settle(rounds = 3).filterIsInstance<Effect.Push>().first { push -> push.orders.any { it is Order.Start } }
+        val push = settle(rounds = 3).filterIsInstance<Effect.SendCommands>().first { push ->
+            push.orders.any { it is WorkerCommand.Start }
+        }
         val attempt = push.orders.single().attempt
         forward(whole(reportsTask(0, seq = 2, attempt)))
         return attempt
@@ -37,11 +51,11 @@
         val leaseMs = (deployment.leaseS * 1000).toLong()
         val effects = (1L..20).flatMap { period ->
             at(nowMs + (deployment.reportS * 1000).toLong())
-            assertTrue(forward(heartbeat(0, seq = 2 + period, baseSeq = 1 + period)).single() is ReportDecision.Answer)
+            assertTrue(forward(heartbeat(0, seq = 2 + period, baseSeq = 1 + period)).single() is HeartbeatDecision.Answer)
             settle(rounds = 1)
         }
         assertTrue(nowMs > leaseMs)
-        assertEquals(emptyList<Effect>(), effects.filterIsInstance<Effect.Return>())
+        assertEquals(emptyList<Effect>(), effects.filterIsInstance<Effect.TerminateMachines>())
         assertEquals(emptyList<MachineId>(), started(effects))
     }
 
@@ -50,18 +64,18 @@
     fun `a heartbeat whose base isn't the last report heard is answered by a call for the whole`() {
         machines(1)
         forward(whole(report(0, seq = 2)))
-        step(Command.Reported(request(), report(0, seq = 3)))
-        assertEquals(ReportDecision.SendWhole, forward(heartbeat(0, seq = 4, baseSeq = 2)).single())
+        step(Input.HeartbeatReceived(request(), report(0, seq = 3)))
+        assertEquals(HeartbeatDecision.RequestFull, forward(heartbeat(0, seq = 4, baseSeq = 2)).single())
     }
 
     @Test
     fun `a heartbeat of another session, of an unknown machine or before a take-over is answered by a call for the whole`() {
         machines(1)
         forward(whole(report(0, seq = 2)))
-        assertEquals(ReportDecision.SendWhole, forward(heartbeat(0, seq = 3, baseSeq = 2, session = 2)).single())
-        assertEquals(ReportDecision.SendWhole, forward(heartbeat(5, seq = 3, baseSeq = 2)).single())
+        assertEquals(HeartbeatDecision.RequestFull, forward(heartbeat(0, seq = 3, baseSeq = 2, session = 2)).single())
+        assertEquals(HeartbeatDecision.RequestFull, forward(heartbeat(5, seq = 3, baseSeq = 2)).single())
         takeOver()
-        assertEquals(ReportDecision.SendWhole, forward(heartbeat(0, seq = 3, baseSeq = 2)).single())
+        assertEquals(HeartbeatDecision.RequestFull, forward(heartbeat(0, seq = 3, baseSeq = 2)).single())
     }
 
     /** As when a batch is delivered twice, or a report's copy reaches a second node. */
@@ -69,10 +83,10 @@
     fun `the same report isn't answered a second time, and doesn't spoil the rest of its batch`() {
         machines(2)
         val first = forward(whole(report(0, seq = 2)), whole(report(1, seq = 2)))
-        assertTrue(first.all { it is ReportDecision.Answer })
+        assertTrue(first.all { it is HeartbeatDecision.Answer })
         val second = forward(whole(report(0, seq = 2)), whole(report(1, seq = 3)))
-        assertEquals(ReportDecision.Refuse, second[0])
-        assertTrue(second[1] is ReportDecision.Answer)
+        assertEquals(HeartbeatDecision.Refuse, second[0])
+        assertTrue(second[1] is HeartbeatDecision.Answer)
     }
 
     /** The worker's lease runs from when it sent the report, which is earlier; the leader's bound must not be. */
@@ -82,11 +96,11 @@
         at(nowMs + (deployment.leaseS * 1000).toLong() / 2)
         forward(heartbeat(0, seq = 3, baseSeq = 2))
         val leaseEndMs = nowMs + (deployment.leaseS * 1000).toLong()
-        var shown = OrderVersion.first(revision)
+        var shown = FencingToken.first(revision)
         val starts = ArrayList<Long>()
         while (nowMs < leaseEndMs * 2) {
-            val answers = step(Command.Reported(request(), report(1, seq = nowMs, version = shown)))
-            shown = answers.filterIsInstance<Effect.AnswerReport>().single().version
+            val answers = step(Input.HeartbeatReceived(request(), report(1, seq = nowMs, version = shown)))
+            shown = answers.filterIsInstance<Effect.AnswerHeartbeat>().single().version
             if (started(settle(rounds = 1)).isNotEmpty()) starts += nowMs
         }
         assertTrue(starts.isNotEmpty() && starts.first() >= leaseEndMs) { "$starts, the lease may run until $leaseEndMs" }
@@ -97,29 +111,29 @@
     fun `nothing is answered through followers once the grace is over`() {
         machines(1, heldUntilMs = 1000)
         at(1000 + tuning.graceMs - 1)
-        assertTrue(forward(whole(report(0, seq = 2))).single() is ReportDecision.Answer)
+        assertTrue(forward(whole(report(0, seq = 2))).single() is HeartbeatDecision.Answer)
         at(1000 + tuning.graceMs)
-        assertEquals(ReportDecision.Refuse, forward(whole(report(0, seq = 3))).single())
-        assertEquals(ReportDecision.Refuse, forward(heartbeat(0, seq = 4, baseSeq = 3)).single())
+        assertEquals(HeartbeatDecision.Refuse, forward(whole(report(0, seq = 3))).single())
+        assertEquals(HeartbeatDecision.Refuse, forward(heartbeat(0, seq = 4, baseSeq = 3)).single())
     }
 
     /** Whoever has seen a higher version has met a newer leader; what comes after it in the batch gets nothing either. */
     @Test
     fun `a higher version in a batch ends the term and the answers`() {
         machines(2)
-        val newer = report(0, seq = 2, version = OrderVersion.first(revision + 1000))
-        val effects = step(Command.FollowerBatch(request(), listOf(whole(newer), whole(report(1, seq = 2)))))
+        val newer = report(0, seq = 2, version = FencingToken.first(revision + 1000))
+        val effects = step(Input.FollowerBatchReceived(request(), listOf(whole(newer), whole(report(1, seq = 2)))))
         assertEquals(1, effects.filterIsInstance<Effect.StepDown>().size)
-        assertEquals(List(2) { ReportDecision.Refuse }, effects.filterIsInstance<Effect.AnswerFollower>().single().decisions)
+        assertEquals(List(2) { HeartbeatDecision.Refuse }, effects.filterIsInstance<Effect.AnswerFollower>().single().decisions)
     }
 
     @Test
     fun `a machine that was returned gets no answer through a follower`() {
         machines(1)
-        step(Command.MachinesListed(listOf(listed(0, ListedState.FAILED))))
+        step(Input.MachinesListed(listOf(listed(0, ListedState.FAILED))))
         settle(rounds = 40)
-        step(Command.Returned(listOf(report(0).machine)))
-        assertEquals(ReportDecision.Refuse, forward(whole(report(0, seq = 2))).single())
-        assertEquals(ReportDecision.Refuse, forward(heartbeat(0, seq = 3, baseSeq = 1)).single())
+        step(Input.MachinesTerminated(listOf(report(0).machine)))
+        assertEquals(HeartbeatDecision.Refuse, forward(whole(report(0, seq = 2))).single())
+        assertEquals(HeartbeatDecision.Refuse, forward(heartbeat(0, seq = 3, baseSeq = 1)).single())
     }
 }
--- a/src/test/kotlin/cleathitch/core/LargeFleetTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/LargeFleetTest.kt
@@ -1,6 +1,14 @@
-package cleathitch.core
+package cleathitch.scheduler
 
-import cleathitch.protocol.Wire
+import cleathitch.protocol.MessageCodec
+import cleathitch.scheduler.api.Effect
+import cleathitch.scheduler.api.Input
+import cleathitch.scheduler.model.ExitReason
+import cleathitch.scheduler.model.Heartbeat
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.model.TaskState
+import cleathitch.scheduler.model.TaskStatus
+import cleathitch.scheduler.model.WorkerCommand
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -11,18 +19,18 @@
  *
  * `mvn -Dtest=LargeFleetTest test` prints the figures of one engine and its replay.
  */
-class LargeFleetTest : EngineTrace() {
+class LargeFleetTest : SchedulerHarness() {
     private val reportMs = (deployment.reportS * 1000).toLong()
 
     /** Half of the machines run two tasks each. */
-    private fun running(machines: Int): List<Report> {
+    private fun running(machines: Int): List<Heartbeat> {
         machines(machines)
         submit(jobs = machines / TASKS_PER_JOB, tasks = TASKS_PER_JOB)
-        val tasks = HashMap<MachineId, MutableSet<ReportedTask>>()
+        val tasks = HashMap<MachineId, MutableSet<TaskStatus>>()
         var rounds = 0
         while (tasks.values.sumOf { it.size } < machines && rounds++ < MOST_ROUNDS) {
-            val starts = settle(rounds = 1).filterIsInstance<Effect.Push>().flatMap { push ->
-                push.orders.filterIsInstance<Order.Start>().map { push.machine to ReportedTask(it.attempt, TaskState.RUNNING) }
+            val starts = settle(rounds = 1).filterIsInstance<Effect.SendCommands>().flatMap { push ->
+                push.orders.filterIsInstance<WorkerCommand.Start>().map { push.machine to TaskStatus(it.attempt, TaskState.RUNNING) }
             }
             // An order that no report has shown yet may be sent again.
             starts.forEach { (machine, task) -> tasks.getOrPut(machine) { LinkedHashSet() } += task }
@@ -33,9 +41,9 @@
         return reportAll(machines, tasks, MOST_ROUNDS + 1L)
     }
 
-    private fun reportAll(machines: Int, tasks: Map<MachineId, Set<ReportedTask>>, seq: Long): List<Report> {
+    private fun reportAll(machines: Int, tasks: Map<MachineId, Set<TaskStatus>>, seq: Long): List<Heartbeat> {
         val reports = List(machines) { number -> report(number, seq + 1).let { it.copy(tasks = tasks[it.machine].orEmpty().toList()) } }
-        reports.forEach { step(Command.Reported(request(), it)) }
+        reports.forEach { step(Input.HeartbeatReceived(request(), it)) }
         return reports
     }
 
@@ -51,16 +59,16 @@
         val before = usedMb()
         val reports = running(MACHINES)
         val stored = storedEntries()
-        val bytes = stored.sumOf { Wire.encode(it.value).size.toLong() + it.key.length }
+        val bytes = stored.sumOf { MessageCodec.encode(it.value).size.toLong() + it.key.length }
         val pages = pagesOf(stored.size, bytes)
         val withEngine = usedMb()
         val startNs = System.nanoTime()
         takeOver()
         val replayMs = (System.nanoTime() - startNs) / 1_000_000
-        step(Command.MachinesListed(List(MACHINES) { listed(it) }))
+        step(Input.MachinesListed(List(MACHINES) { listed(it) }))
         val beginMs = nowMs
         val asked = HashSet<MachineId>()
-        while (nowMs - beginMs < reportMs) settle(rounds = 1).filterIsInstance<Effect.Inspect>().mapTo(asked) { it.machine }
+        while (nowMs - beginMs < reportMs) settle(rounds = 1).filterIsInstance<Effect.Probe>().mapTo(asked) { it.machine }
         println(
             "$MACHINES machines, as many tasks: ${stored.size} entries, ${bytes / 1000} kB, $pages pages, replay $replayMs ms; " +
                 "${asked.size} machines asked in a report period of $reportMs ms; " +
@@ -68,7 +76,7 @@
         )
         assertTrue(pages <= MOST_PAGES) { "$pages pages, $bytes bytes, ${stored.size} entries" }
         val heard = reports.count { report ->
-            step(Command.Reported(request(), report.copy(seq = report.seq + 1))).any { it is Effect.AnswerReport }
+            step(Input.HeartbeatReceived(request(), report.copy(seq = report.seq + 1))).any { it is Effect.AnswerHeartbeat }
         }
         assertEquals(MACHINES, heard)
     }
@@ -80,7 +88,7 @@
         val atFirst = storedEntries().size
         reports.forEach { report ->
             val ended = report.tasks.map { it.copy(state = TaskState.EXITED, why = ExitReason.DONE) }
-            step(Command.Reported(request(), report.copy(seq = report.seq + 1, tasks = ended)))
+            step(Input.HeartbeatReceived(request(), report.copy(seq = report.seq + 1, tasks = ended)))
         }
         var rounds = 0
         while (storedEntries().size > LEFT_ENTRIES && rounds++ < MOST_ROUNDS) settle(rounds = 1)
--- a/src/test/kotlin/cleathitch/core/GrownTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/ScalabilityTest.kt
@@ -1,6 +1,14 @@
-package cleathitch.core
+package cleathitch.scheduler
 
-import cleathitch.state.StoredCodec
+import cleathitch.scheduler.api.Effect
+import cleathitch.scheduler.api.Input
+import cleathitch.scheduler.log.Mutation
+import cleathitch.scheduler.model.FencingToken
+import cleathitch.scheduler.model.ListedMachine
+import cleathitch.scheduler.model.ListedState
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.model.Offer
+import cleathitch.storage.LogCodec
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -9,9 +17,9 @@
  * One engine with a fleet and a queue of the size of large deployments. What is counted are looks and
  * bytes, not seconds, so that the verdict is the same each time.
  */
-class GrownTest : EngineTrace() {
+class ScalabilityTest : SchedulerHarness() {
     private fun looksFor(machines: Int, jobs: Int): Long {
-        val fresh = GrownTest()
+        val fresh = ScalabilityTest()
         fresh.machines(machines)
         fresh.submit(jobs, tasks = 2)
         val before = fresh.engine.looks
@@ -36,8 +44,8 @@
         settle(rounds = 100)
         assertTrue(commits.sumOf { it.changes.size } > 300)
         for (commit in commits) {
-            val values = commit.changes.filterIsInstance<Change.Put>().flatMap { StoredCodec.encode(it.value, it.parts) }
-            val operations = values.size + commit.changes.count { it is Change.Delete }
+            val values = commit.changes.filterIsInstance<Mutation.Put>().flatMap { LogCodec.encode(it.value, it.parts) }
+            val operations = values.size + commit.changes.count { it is Mutation.Delete }
             assertTrue(operations <= deployment.stateTxnOps) { "$operations operations" }
             values.forEach { assertTrue(it.toString().length <= deployment.stateValueBytes) { "a value of ${it.toString().length}" } }
             val bytes = values.sumOf { it.toString().length + 80 }
@@ -62,12 +70,12 @@
     /** A late copy of a report may be the first that a new leader hears of a machine that is long gone. */
     @Test
     fun `a machine gets tasks once it shows a version of this term, not before`() {
-        step(Command.LeaseHeld(Long.MAX_VALUE / 2), Command.TypesListed(listOf(type)))
-        step(Command.Reported(request(), report(1, seq = 1, OrderVersion.first(3))))
+        step(Input.LeaseRenewed(Long.MAX_VALUE / 2), Input.MachineTypesListed(listOf(type)))
+        step(Input.HeartbeatReceived(request(), report(1, seq = 1, FencingToken.first(3))))
         submit(jobs = 1, tasks = 1)
-        assertTrue(settle(rounds = 4).none { it is Effect.Push })
-        step(Command.Reported(request(), report(1, seq = 2, OrderVersion.first(7))))
-        assertEquals(1, settle(rounds = 2).count { it is Effect.Push })
+        assertTrue(settle(rounds = 4).none { it is Effect.SendCommands })
+        step(Input.HeartbeatReceived(request(), report(1, seq = 2, FencingToken.first(7))))
+        assertEquals(1, settle(rounds = 2).count { it is Effect.SendCommands })
     }
 
     /** Every machine's last answered report is then older than its lease; counted over the outage, all went back at once. */
@@ -75,34 +83,34 @@
     fun `after a long outage of the state service no machine is returned for its silence`() {
         machines(20, heldUntilMs = 1000)
         submit(jobs = 20, tasks = 2)
-        assertTrue(settle(rounds = 3).any { it is Effect.Push })
+        assertTrue(settle(rounds = 3).any { it is Effect.SendCommands })
         settle(rounds = 4 * 60)
-        val after = step(Command.LeaseHeld(Long.MAX_VALUE / 2)) + settle(rounds = 2)
-        assertEquals(emptyList<Effect>(), after.filter { it is Effect.Note && "is returned" in it.text })
+        val after = step(Input.LeaseRenewed(Long.MAX_VALUE / 2)) + settle(rounds = 2)
+        assertEquals(emptyList<Effect>(), after.filter { it is Effect.Log && "is returned" in it.text })
     }
 
     /** Otherwise its free room, and starts that its old leader didn't get through, wait for its next report. */
     @Test
     fun `after a take-over a machine that the cloud lists is asked, and its answer is enough`() {
-        step(Command.LeaseHeld(Long.MAX_VALUE / 2), Command.TypesListed(listOf(type)))
-        val seen = report(1, seq = 5, OrderVersion.first(3))
-        step(Command.MachinesListed(listOf(ListedMachine(seen.machine, seen.addr, Offer("m4", "b", false), ListedState.RUNNING, 100.0))))
-        assertTrue(Effect.Inspect(seen.machine, seen.addr) in settle(rounds = 4))
-        step(Command.Inspected(seen))
+        step(Input.LeaseRenewed(Long.MAX_VALUE / 2), Input.MachineTypesListed(listOf(type)))
+        val seen = report(1, seq = 5, FencingToken.first(3))
+        step(Input.MachinesListed(listOf(ListedMachine(seen.machine, seen.addr, Offer("m4", "b", false), ListedState.RUNNING, 100.0))))
+        assertTrue(Effect.Probe(seen.machine, seen.addr) in settle(rounds = 4))
+        step(Input.ProbeAnswered(seen))
         submit(jobs = 1, tasks = 1)
-        assertEquals(1, settle(rounds = 2).count { it is Effect.Push })
+        assertEquals(1, settle(rounds = 2).count { it is Effect.SendCommands })
     }
 
     /** Nothing placed there would ever run, and nobody would know before the machine counted as silent. */
     @Test
     fun `a late copy of a report doesn't revive a machine that was returned`() {
         machines(1)
-        val returned = settle(rounds = 4 * 70).filterIsInstance<Effect.Return>().first().machines
-        step(Command.Returned(returned))
+        val returned = settle(rounds = 4 * 70).filterIsInstance<Effect.TerminateMachines>().first().machines
+        step(Input.MachinesTerminated(returned))
         val request = request()
-        assertTrue(Effect.RefuseReport(request) in step(Command.Reported(request, report(0, seq = 9))))
+        assertTrue(Effect.RefuseHeartbeat(request) in step(Input.HeartbeatReceived(request, report(0, seq = 9))))
         submit(jobs = 1, tasks = 1)
-        assertTrue(settle(rounds = 4).none { it is Effect.Push })
+        assertTrue(settle(rounds = 4).none { it is Effect.SendCommands })
     }
 
     /** Its reports would keep it in the fleet for ever, and what is placed there would never run. */
@@ -115,10 +123,10 @@
             seq++
             submit(jobs = 1, tasks = 1)
             for (i in 0 until 20) {
-                val version = if (i == 0) OrderVersion.first(7) else OrderVersion.first(revision + 1)
-                step(Command.Reported(request(), report(i, seq, minOf(version, OrderVersion.first(revision)))))
+                val version = if (i == 0) FencingToken.first(7) else FencingToken.first(revision + 1)
+                step(Input.HeartbeatReceived(request(), report(i, seq, minOf(version, FencingToken.first(revision)))))
             }
-            returned += settle(rounds = 8).filterIsInstance<Effect.Return>().flatMap { it.machines }
+            returned += settle(rounds = 8).filterIsInstance<Effect.TerminateMachines>().flatMap { it.machines }
         }
         assertEquals(setOf(MachineId("vm-000000")), returned)
     }
--- a/src/test/kotlin/cleathitch/core/QueueTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/placement/SchedulingOrderTest.kt
@@ -1,21 +1,28 @@
-package cleathitch.core
-
+package cleathitch.scheduler.placement
+
+import cleathitch.scheduler.jobs.Job
+import cleathitch.scheduler.jobs.JobTable
+import cleathitch.scheduler.jobs.Quota
+import cleathitch.scheduler.log.LogIndex
+import cleathitch.scheduler.model.JobKind
+import cleathitch.scheduler.model.Team
+import cleathitch.scheduler.simulation.SimulatedCluster
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
 /** Who is served first when not all can be. */
-class QueueTest {
+class SchedulingOrderTest {
     private val teams = mapOf("red" to Team("red", 4.0, null, 0.0, null), "blue" to Team("blue", 0.0, null, 0.0, null))
-    private val quota = Quota(teams, Ledger())
+    private val quota = Quota(teams, JobTable())
     private val aims = mapOf("batch" to listOf(100.0, 200.0))
 
     private fun job(number: Int, submittedS: Int, tasks: Int, team: String = "blue", kind: JobKind = JobKind.ARRAY) =
-        Job(World.job(number, kind, tasks, team), submittedS * 1000L, Seq(1))
+        Job(SimulatedCluster.job(number, kind, tasks, team), submittedS * 1000L, LogIndex(1))
 
     private fun order(nowS: Int, vararg jobs: Job) =
-        Queue(aims, quota, nowS * 1000L).order(jobs.toList()).map { it.id.text.removePrefix("j-").toInt() }
+        SchedulingOrder(aims, quota, nowS * 1000L).order(jobs.toList()).map { it.id.text.removePrefix("j-").toInt() }
 
     @Test
     fun `services, then guarantees, then small jobs before large ones of about the same age`() {
@@ -44,9 +51,9 @@
     @Test
     fun `a job of which nothing began within two minutes is overdue`() {
         val waiting = job(1, submittedS = 0, tasks = 5)
-        assertFalse(Queue.overdue(waiting, 119_000))
-        assertTrue(Queue.overdue(waiting, 120_000))
+        assertFalse(SchedulingOrder.overdue(waiting, 119_000))
+        assertTrue(SchedulingOrder.overdue(waiting, 120_000))
         waiting.lastNumber = 1
-        assertFalse(Queue.overdue(waiting, 120_000))
+        assertFalse(SchedulingOrder.overdue(waiting, 120_000))
     }
 }
--- a/src/test/kotlin/cleathitch/core/FairnessTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/FairnessTest.kt
@@ -1,5 +1,7 @@
-package cleathitch.core
+package cleathitch.scheduler.simulation
 
+import cleathitch.scheduler.model.JobSpec
+import cleathitch.scheduler.model.Team
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -7,10 +9,10 @@
 /** A whole day on which far more is asked than can be done, in the stand-in world. */
 class FairnessTest {
     private val teams = listOf("red", "blue", "green")
-    private val world = World(
+    private val world = SimulatedCluster(
         seed = 5,
-        weather = Weather(held = 0.01, killS = 90.0),
-        deployment = World.standard.copy(teams = teams.associateWith { Team(it, 8.0, null, 0.0, null) }),
+        weather = FaultSchedule(held = 0.01, killS = 90.0),
+        deployment = SimulatedCluster.standard.copy(teams = teams.associateWith { Team(it, 8.0, null, 0.0, null) }),
     )
 
     private class Asked(val spec: JobSpec, val atMs: Long)
@@ -38,7 +40,7 @@
         for (second in 0 until OVERLOAD_S) {
             val large = second % LARGE_EVERY_S == 0
             val className = if (second % 2 == 0) "batch" else "other"
-            val spec = World.job(number++, tasks = if (large) LARGE else SMALL, team = teams[second % teams.size])
+            val spec = SimulatedCluster.job(number++, tasks = if (large) LARGE else SMALL, team = teams[second % teams.size])
             submit(second * 1000L, spec.copy(className = className))
         }
         world.begin()
--- a/src/test/kotlin/cleathitch/core/Weather.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/FaultSchedule.kt
@@ -1,7 +1,7 @@
-package cleathitch.core
+package cleathitch.scheduler.simulation
 
 /** What a world's days are like. */
-data class Weather(
+data class FaultSchedule(
     /** Share of messages that are lost, held for up to a minute, or delivered twice. */
     val lost: Double = 0.0,
     val held: Double = 0.0,
--- a/src/test/kotlin/cleathitch/core/World.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
@@ -1,8 +1,40 @@
-package cleathitch.core
-
-import cleathitch.state.StoredCodec
+package cleathitch.scheduler.simulation
+
+import cleathitch.scheduler.Scheduler
+import cleathitch.scheduler.api.Effect
+import cleathitch.scheduler.api.HeartbeatDecision
+import cleathitch.scheduler.api.Input
+import cleathitch.scheduler.api.JobState
+import cleathitch.scheduler.api.RentalAnswer
+import cleathitch.scheduler.api.SchedulerTimings
+import cleathitch.scheduler.api.UserReply
+import cleathitch.scheduler.log.Commit
+import cleathitch.scheduler.log.DecisionLog
+import cleathitch.scheduler.log.Event
+import cleathitch.scheduler.model.AttemptId
+import cleathitch.scheduler.model.ClockReading
+import cleathitch.scheduler.model.Deployment
+import cleathitch.scheduler.model.ExitReason
+import cleathitch.scheduler.model.FencingToken
+import cleathitch.scheduler.model.Heartbeat
+import cleathitch.scheduler.model.JobId
+import cleathitch.scheduler.model.JobKind
+import cleathitch.scheduler.model.JobSpec
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.model.MachineType
+import cleathitch.scheduler.model.Objective
+import cleathitch.scheduler.model.Offer
+import cleathitch.scheduler.model.Priority
+import cleathitch.scheduler.model.RequestId
+import cleathitch.scheduler.model.TaskId
+import cleathitch.scheduler.model.TaskState
+import cleathitch.scheduler.model.TaskStatus
+import cleathitch.scheduler.model.Team
+import cleathitch.scheduler.model.Term
+import cleathitch.scheduler.model.WorkerCommand
+import cleathitch.storage.LogCodec
 import cleathitch.workers.ForwardOutcome
-import cleathitch.workers.ReportQueue
+import cleathitch.workers.HeartbeatQueue
 import java.util.PriorityQueue
 import kotlin.random.Random
 
@@ -10,7 +42,12 @@
  * A stand-in for everything round the core: state service, cloud, workers, users and the nodes' own
  * elections, in simulated time and from one seed. After each step it checks the page's rules.
  */
-class World(seed: Long, private val weather: Weather, val deployment: Deployment = standard, private val mostMachines: Int = 24) {
+class SimulatedCluster(
+    seed: Long,
+    private val weather: FaultSchedule,
+    val deployment: Deployment = standard,
+    private val mostMachines: Int = 24,
+) {
     private class Step(val atMs: Long, val order: Long, val action: () -> Unit)
 
     val random = Random(seed)
@@ -23,8 +60,8 @@
     val broken = ArrayList<String>()
     val trace = ArrayList<String>()
 
-    private val tuning = Tuning.of(deployment, weather.trimS)
-    private val state = StateServiceModel<Node>(TTL_MS) { nowMs }
+    private val tuning = SchedulerTimings.of(deployment, weather.trimS)
+    private val state = SimulatedKeyValueStore<Node>(TTL_MS) { nowMs }
     private val type = MachineType("m4", 4.0, 0.0, 16.0, 50.0, 1.0, 1.0, 0.4, 5.0, deployment.zones)
 
     fun after(ms: Long, action: () -> Unit) {
@@ -53,7 +90,7 @@
     // ---- nodes
 
     inner class Node(val name: String, private val drift: Double) {
-        var engine: Engine? = null
+        var engine: Scheduler? = null
         private var term = 0L
         private var head = 0L
         private var life = 0
@@ -68,11 +105,11 @@
         private var lastRenewal = 0L
 
         /** Reports of workers that came here while another node leads. */
-        private var forwarding = ReportQueue(FORWARD_WITHIN_MS)
-        private var openBatch: ReportQueue.Batch? = null
+        private var forwarding = HeartbeatQueue(FORWARD_WITHIN_MS)
+        private var openBatch: HeartbeatQueue.Batch? = null
 
         fun steadyMs() = (nowMs * drift).toLong() + 1_000_000
-        private fun moment() = Moment(steadyMs(), nowMs)
+        private fun moment() = ClockReading(steadyMs(), nowMs)
 
         fun live() {
             val mine = life
@@ -82,7 +119,7 @@
                 state.expireLease()
                 if (engine == null && state.isLeaderless && served) elect()
                 engine?.let { if (nowMs - lastRenewal >= TTL_MS / 4) renew() }
-                take(Command.Tick)
+                take(Input.Tick)
                 forwardReports()
                 after(200, ::loop)
             }
@@ -92,7 +129,7 @@
         fun kill(awayMs: Long? = null) {
             engine = null
             life++
-            forwarding = ReportQueue(FORWARD_WITHIN_MS)
+            forwarding = HeartbeatQueue(FORWARD_WITHIN_MS)
             openBatch = null
             if (awayMs != null) return after(awayMs) { live() }
             after(if (weather.quick) random.nextLong(10, 400) else random.nextLong(200, 4000)) { live() }
@@ -105,10 +142,10 @@
             heldUntil = steadyMs() + TTL_MS * 999 / 1000
             lastRenewal = nowMs
             inFlight = null
-            engine = Engine(deployment, tuning, Term(term), state.snapshot(), moment(), StoredCodec)
+            engine = Scheduler(deployment, tuning, Term(term), state.snapshot(), moment(), LogCodec)
             trace += "${nowMs / 1000.0} $name leads in term $term"
-            take(Command.LeaseHeld(heldUntil))
-            take(Command.TypesListed(listOf(type)))
+            take(Input.LeaseRenewed(heldUntil))
+            take(Input.MachineTypesListed(listOf(type)))
         }
 
         private fun renew() {
@@ -120,7 +157,7 @@
                 val held = state.renew(mine)
                 after(random.nextLong(1, 10)) {
                     if (term == mine && engine != null) {
-                        if (held) take(Command.LeaseHeld(sent + TTL_MS * 999 / 1000)) else resign()
+                        if (held) take(Input.LeaseRenewed(sent + TTL_MS * 999 / 1000)) else resign()
                     }
                 }
             }
@@ -130,7 +167,7 @@
             engine = null
         }
 
-        fun take(command: Command) {
+        fun take(command: Input) {
             if (nowMs < standsUntilMs) {
                 val mine = life
                 return after(standsUntilMs - nowMs) { if (life == mine) take(command) }
@@ -140,7 +177,7 @@
         }
 
         /** A worker's report reaches this node, which answers it as leader or through the leader. */
-        fun takeReport(report: Report, answer: (OrderVersion, List<Order>) -> Unit) {
+        fun takeReport(report: Heartbeat, answer: (FencingToken, List<WorkerCommand>) -> Unit) {
             if (nowMs < standsUntilMs) {
                 val mine = life
                 return after(standsUntilMs - nowMs) { if (life == mine) takeReport(report, answer) }
@@ -150,7 +187,7 @@
             }
             val request = RequestId(++requests)
             reportAnswers[request] = { answer(it.version, it.orders) }
-            take(Command.Reported(request, report))
+            take(Input.HeartbeatReceived(request, report))
         }
 
         private fun forwardReports() {
@@ -165,25 +202,29 @@
             send {
                 leader.decide(batch) { decisions ->
                     send {
-                        if (life == mine) close(batch) { forwarding.decided(batch, decisions, this@World.leader?.term, steadyMs()) }
+                        if (life ==
+                            mine
+                        ) {
+                            close(batch) { forwarding.decided(batch, decisions, this@SimulatedCluster.leader?.term, steadyMs()) }
+                        }
                     }
                 }
             }
         }
 
         /** Only the first end of a batch counts, and a node that stands still sees it when it goes on. */
-        private fun close(batch: ReportQueue.Batch, action: () -> Unit) {
+        private fun close(batch: HeartbeatQueue.Batch, action: () -> Unit) {
             if (openBatch !== batch) return
             if (nowMs < standsUntilMs) return after(standsUntilMs - nowMs) { close(batch, action) }
             openBatch = null
             action()
         }
 
-        private fun decide(batch: ReportQueue.Batch, answer: (List<ReportDecision>) -> Unit) {
+        private fun decide(batch: HeartbeatQueue.Batch, answer: (List<HeartbeatDecision>) -> Unit) {
             if (engine == null || term != batch.term) return
             val request = RequestId(++requests)
             batchAnswers[request] = { answer(it.decisions) }
-            take(Command.FollowerBatch(request, batch.reports))
+            take(Input.FollowerBatchReceived(request, batch.reports))
         }
 
         private var inFlight: Commit? = null
@@ -207,7 +248,7 @@
                                     } else {
                                         inFlight = null
                                         head = result!!
-                                        take(Command.Committed(commit.seq, result))
+                                        take(Input.CommitSucceeded(commit.seq, result))
                                     }
                                 }
                             }
@@ -217,7 +258,7 @@
                 after(300, ::attempt)
             }
             inFlight = commit
-            val archives = commit.changes.any { it.key.startsWith(Journal.FINALS_PREFIX) }
+            val archives = commit.changes.any { it.key.startsWith(DecisionLog.FINALS_PREFIX) }
             if (!calm && archives && random.nextDouble() < weather.endsAtArchive) {
                 after(random.nextLong(TTL_MS)) { if (term == mine && inFlight === commit) kill() }
             } else {
@@ -225,40 +266,40 @@
             }
         }
 
-        private fun direct(id: MachineId, deliver: (Worker) -> Report?) {
+        private fun direct(id: MachineId, deliver: (Worker) -> Heartbeat?) {
             val mine = term
             var answered = false
             send {
                 machines[id]?.let(deliver)?.let { report ->
                     send {
                         answered = true
-                        take(Command.Inspected(report))
+                        take(Input.ProbeAnswered(report))
                     }
                 }
             }
-            after((deployment.reportS * 1000).toLong()) { if (!answered && term == mine) take(Command.DirectUnanswered(id)) }
+            after((deployment.reportS * 1000).toLong()) { if (!answered && term == mine) take(Input.DirectCallUnanswered(id)) }
         }
 
         private fun perform(effect: Effect) {
             when (effect) {
                 is Effect.Answer -> answers.remove(effect.request)?.invoke(effect.reply)
-                is Effect.AnswerReport -> reportAnswers.remove(effect.request)?.invoke(effect)
-                is Effect.RefuseReport -> reportAnswers.remove(effect.request)
+                is Effect.AnswerHeartbeat -> reportAnswers.remove(effect.request)?.invoke(effect)
+                is Effect.RefuseHeartbeat -> reportAnswers.remove(effect.request)
                 is Effect.AnswerFollower -> batchAnswers.remove(effect.request)?.invoke(effect)
                 is Effect.Write -> commit(effect.commit)
-                is Effect.Push -> direct(effect.machine) { it.direct(effect) }
-                is Effect.Inspect -> direct(effect.machine) { it.inspected() }
+                is Effect.SendCommands -> direct(effect.machine) { it.direct(effect) }
+                is Effect.Probe -> direct(effect.machine) { it.inspected() }
                 is Effect.Rent -> send {
                     val names = rent(effect.asked)
-                    send { take(Command.RentalAnswered(effect.asked.request, RentalAnswer.Rented(names))) }
+                    send { take(Input.RentalCompleted(effect.asked.request, RentalAnswer.Rented(names))) }
                 }
-                is Effect.Return -> send {
+                is Effect.TerminateMachines -> send {
                     effect.machines.forEach { machines.remove(it) }
-                    send { take(Command.Returned(effect.machines)) }
+                    send { take(Input.MachinesTerminated(effect.machines)) }
                 }
-                is Effect.TellImages -> Unit
+                is Effect.ShareImageCacheHints -> Unit
                 is Effect.StepDown -> resign()
-                is Effect.Note -> trace += "${nowMs / 1000.0} $name ${effect.text}"
+                is Effect.Log -> trace += "${nowMs / 1000.0} $name ${effect.text}"
             }
         }
     }
@@ -266,7 +307,7 @@
     val nodes = List(3) { Node("node-$it", 1 + (it - 1) * 0.0005) }
     private var requests = 0L
     private val answers = HashMap<RequestId, (UserReply) -> Unit>()
-    private val reportAnswers = HashMap<RequestId, (Effect.AnswerReport) -> Unit>()
+    private val reportAnswers = HashMap<RequestId, (Effect.AnswerHeartbeat) -> Unit>()
     private val batchAnswers = HashMap<RequestId, (Effect.AnswerFollower) -> Unit>()
     val leader: Node? get() = nodes.filter { it.engine != null }.maxByOrNull { if (it === state.leader) 1 else 0 }
 
@@ -350,11 +391,11 @@
             }
         }
 
-        private fun report(): Report {
+        private fun report(): Heartbeat {
             seq++
-            return Report(
-                id, "x", offer.type, offer.zone, offer.spot, session, seq, OrderVersion(token), null,
-                tasks.values.map { ReportedTask(it.id, it.state, it.why) },
+            return Heartbeat(
+                id, "x", offer.type, offer.zone, offer.spot, session, seq, FencingToken(token), null,
+                tasks.values.map { TaskStatus(it.id, it.state, it.why) },
             )
         }
 
@@ -367,7 +408,7 @@
             if (!calm && random.nextDouble() < weather.copied) {
                 // Whoever leads by then may get it, and nobody waits for the answer.
                 after(random.nextLong(1000, (deployment.leaseS * 2000).toLong())) {
-                    leader?.take(Command.Reported(RequestId(++requests), report))
+                    leader?.take(Input.HeartbeatReceived(RequestId(++requests), report))
                 }
             }
             send(heldMs) {
@@ -394,7 +435,7 @@
             after(1000) { if (!answered) node = random.nextInt(nodes.size) }
         }
 
-        fun direct(push: Effect.Push): Report? {
+        fun direct(push: Effect.SendCommands): Heartbeat? {
             if (deaf) return null
             val waitMs = maxOf(hangsUntilMs - nowMs, heldMs)
             if (waitMs > 0) {
@@ -410,16 +451,16 @@
             return report()
         }
 
-        fun inspected(): Report? {
+        fun inspected(): Heartbeat? {
             if (deaf || nowMs < hangsUntilMs || heldMs > 0) return null
             advance()
             return report()
         }
 
-        private fun execute(orders: List<Order>) {
+        private fun execute(orders: List<WorkerCommand>) {
             for (order in orders) {
                 when (order) {
-                    is Order.Start -> if (order.attempt !in tasks) {
+                    is WorkerCommand.Start -> if (order.attempt !in tasks) {
                         val job = submitted.getValue(order.attempt.task.job)
                         val image = nowMs + random.nextLong(0, 4000)
                         val known = order.attempt.task in results
@@ -433,13 +474,13 @@
                         tasks[order.attempt] = Running(order.attempt, TaskState.FETCHING, image, runs?.let { image + it })
                         started(order.attempt.task, this)
                     }
-                    is Order.Stop -> tasks[order.attempt]?.let {
+                    is WorkerCommand.Stop -> tasks[order.attempt]?.let {
                         if (it.state != TaskState.EXITED) {
                             it.state = TaskState.EXITED
                             it.why = ExitReason.STOPPED
                         }
                     }
-                    is Order.Forget -> tasks[order.attempt]?.let { if (it.state == TaskState.EXITED) tasks.remove(order.attempt) }
+                    is WorkerCommand.Forget -> tasks[order.attempt]?.let { if (it.state == TaskState.EXITED) tasks.remove(order.attempt) }
                 }
             }
         }
@@ -450,7 +491,7 @@
     private val rentals = HashMap<String, List<MachineId>>()
     private var machineCount = 0
 
-    private fun rent(asked: Event.RentalAsked): List<MachineId> = rentals.getOrPut(asked.request) {
+    private fun rent(asked: Event.RentalRequested): List<MachineId> = rentals.getOrPut(asked.request) {
         val count = minOf(asked.count, mostMachines - machines.size).coerceAtLeast(0)
         List(count) {
             val id = MachineId("vm-%06d".format(machineCount++))
@@ -481,12 +522,12 @@
         val known = submitted.getOrPut(spec.id) { Known(spec) }
         fun ask() {
             if (known.accepted) return
-            request(known, { Command.Submit(it, spec) })
+            request(known, { Input.Submit(it, spec) })
             after(1500, ::ask)
         }
         ask()
         fun poll() {
-            if (known.accepted) request(known, { Command.Poll(it, spec.id) })
+            if (known.accepted) request(known, { Input.Poll(it, spec.id) })
             after(5000, ::poll)
         }
         poll()
@@ -497,7 +538,7 @@
         known.abortAsked = true
         fun ask() {
             if (known.cancelledToldMs != null || known.doneTold) return
-            if (known.accepted) request(known, { Command.Abort(it, id) })
+            if (known.accepted) request(known, { Input.Cancel(it, id) })
             after(1500, ::ask)
         }
         ask()
@@ -507,7 +548,7 @@
         val known = submitted.getValue(id)
         if ((0 until known.spec.tasks).any { TaskId(id, it) !in results }) return
         // What is told in the moments round an end is what a successor may deny.
-        if (weather.endsAtArchive > 0) repeat(40) { after(random.nextLong(4 * TTL_MS)) { request(known, { Command.Poll(it, id) }) } }
+        if (weather.endsAtArchive > 0) repeat(40) { after(random.nextLong(4 * TTL_MS)) { request(known, { Input.Poll(it, id) }) } }
         if (random.nextDouble() < weather.cancelAtEnd) after(random.nextLong(200)) { abort(id) }
     }
 
@@ -522,8 +563,8 @@
 
     /** Repeated submissions, cancellations of what is done, and jobs that can't run. */
     private fun oddRequests() {
-        submitted.values.filter { it.accepted }.randomOrNull(random)?.let { known -> request(known) { Command.Submit(it, known.spec) } }
-        submitted.values.filter { it.doneTold }.randomOrNull(random)?.let { known -> request(known) { Command.Abort(it, known.spec.id) } }
+        submitted.values.filter { it.accepted }.randomOrNull(random)?.let { known -> request(known) { Input.Submit(it, known.spec) } }
+        submitted.values.filter { it.doneTold }.randomOrNull(random)?.let { known -> request(known) { Input.Cancel(it, known.spec.id) } }
         val good = job(900_000 + random.nextInt(100_000))
         val odd =
             listOf(
@@ -535,11 +576,12 @@
             )
         val node = nodes.filter { it.engine != null }.randomOrNull(random) ?: return
         val request = RequestId(++requests)
-        answers[request] = { if (it !is UserReply.NeverRuns && it !is UserReply.NotNow) broken += "accepted though it can't run: $it" }
-        node.take(Command.Submit(request, odd.random(random)))
+        answers[request] =
+            { if (it !is UserReply.Unsatisfiable && it !is UserReply.Unavailable) broken += "accepted though it can't run: $it" }
+        node.take(Input.Submit(request, odd.random(random)))
     }
 
-    private fun request(known: Known, command: (RequestId) -> Command) {
+    private fun request(known: Known, command: (RequestId) -> Input) {
         val node = nodes.filter { it.engine != null }.randomOrNull(random) ?: return
         val request = RequestId(++requests)
         val acceptedBefore = known.accepted
@@ -550,28 +592,28 @@
     }
 
     private fun hear(known: Known, reply: UserReply, accepted: Boolean, cancelled: Boolean, done: Boolean) {
-        if (reply !is UserReply.NotNow) known.lastAnswerMs = nowMs
+        if (reply !is UserReply.Unavailable) known.lastAnswerMs = nowMs
         val state = when (reply) {
             is UserReply.Accepted -> reply.state.also { known.accepted = true }
             is UserReply.Status -> reply.state
-            is UserReply.Aborted -> reply.state
+            is UserReply.Cancelled -> reply.state
             UserReply.NotFound -> {
                 if (accepted) broken += "forgotten: ${known.spec.id}"
                 return
             }
-            is UserReply.NeverRuns -> {
+            is UserReply.Unsatisfiable -> {
                 broken += "forgotten: ${known.spec.id} can never run: ${reply.reason}"
                 return
             }
-            is UserReply.NotNow -> return
+            is UserReply.Unavailable -> return
         }
-        if (cancelled && state != ShownState.CANCELLED) broken += "went_back: ${known.spec.id} was cancelled, now $state"
-        if (done && state != ShownState.DONE) broken += "went_back: ${known.spec.id} was done, now $state"
-        if (state == ShownState.CANCELLED) {
+        if (cancelled && state != JobState.CANCELLED) broken += "went_back: ${known.spec.id} was cancelled, now $state"
+        if (done && state != JobState.DONE) broken += "went_back: ${known.spec.id} was done, now $state"
+        if (state == JobState.CANCELLED) {
             if (!known.abortAsked) broken += "went_back: ${known.spec.id} cancelled by nobody"
             if (known.cancelledToldMs == null) known.cancelledToldMs = nowMs
         }
-        if (state == ShownState.DONE) {
+        if (state == JobState.DONE) {
             known.doneTold = true
             val missing = (0 until known.spec.tasks).count { TaskId(known.spec.id, it) !in results }
             if (missing > 0) broken += "not_done: ${known.spec.id} lacks $missing"
--- a/src/test/kotlin/cleathitch/core/StateServiceModel.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedKeyValueStore.kt
@@ -1,39 +1,14 @@
-package cleathitch.core
+package cleathitch.scheduler.simulation
 
-import cleathitch.protocol.StateWire
-import cleathitch.state.StoredCodec
-import java.util.TreeMap
-
-/** The values that commits have left in a state service, as the real codec stores them. */
-class StoredCells {
-    private val cells = TreeMap<String, Change.Put>()
-
-    val head get() = cells[Journal.HEAD]?.value as? Stored.Head
-
-    /** Carries out the changes of a commit. */
-    fun apply(changes: List<Change>) {
-        for (change in changes) {
-            when (change) {
-                is Change.Put -> cells[change.key] = change
-                // A cell's parts are kept together here, so each part's deletion is the cell's.
-                is Change.Delete -> cells.remove(
-                    if (change.key.startsWith(Journal.JOB_PREFIX)) change.key.substringBeforeLast('/') else change.key,
-                )
-            }
-        }
-    }
-
-    /** As a new leader reads them, at [revision]. */
-    fun entries(revision: Long): List<StateWire.Entry> = cells.values.flatMap { put ->
-        StoredCodec.encode(put.value, put.parts).mapIndexed { part, value ->
-            StateWire.Entry(put.key + if (put.value is Stored.OfJob) "/$part" else "", value, revision)
-        }
-    }
-}
+import cleathitch.scheduler.log.Commit
+import cleathitch.scheduler.log.RecoveredState
+import cleathitch.scheduler.log.StoredValue
+import cleathitch.scheduler.model.Term
+import cleathitch.storage.LogCodec
 
 /** A state service in simulated time: the leader's key under its lease, the head, and what is stored. */
-class StateServiceModel<N : Any>(private val ttlMs: Long, private val nowMs: () -> Long) {
-    private val cells = StoredCells()
+class SimulatedKeyValueStore<N : Any>(private val ttlMs: Long, private val nowMs: () -> Long) {
+    private val cells = StoredEntries()
     private var revision = 0L
     private var leaderTerm: Long? = null
     private var leaseEndMs = 0L
@@ -93,9 +68,9 @@
             cells.apply(commit.changes)
             headRevision = revision
         }
-        return headRevision.takeIf { cells.head == Stored.Head(commit.seq, Term(term)) }
+        return headRevision.takeIf { cells.head == StoredValue.Head(commit.seq, Term(term)) }
     }
 
     /** Through the real codec, as a new leader would read it. */
-    fun snapshot(): Snapshot = StoredCodec.snapshot(cells.entries(headRevision))
+    fun snapshot(): RecoveredState = LogCodec.snapshot(cells.entries(headRevision))
 }
--- a/src/test/kotlin/cleathitch/workers/ReportQueueTest.kt
+++ b/src/test/kotlin/cleathitch/workers/HeartbeatQueueTest.kt
@@ -1,41 +1,41 @@
 package cleathitch.workers
 
-import cleathitch.core.AttemptId
-import cleathitch.core.ForwardedReport
-import cleathitch.core.JobId
-import cleathitch.core.MachineId
-import cleathitch.core.OrderVersion
-import cleathitch.core.Report
-import cleathitch.core.ReportDecision
-import cleathitch.core.ReportedTask
-import cleathitch.core.TaskId
-import cleathitch.core.TaskState
 import cleathitch.peers.OutgoingBatch
 import cleathitch.peers.PeerClient
 import cleathitch.peers.PeerCodec
 import cleathitch.peers.PeerRequest
+import cleathitch.scheduler.api.ForwardedHeartbeat
+import cleathitch.scheduler.api.HeartbeatDecision
+import cleathitch.scheduler.model.AttemptId
+import cleathitch.scheduler.model.FencingToken
+import cleathitch.scheduler.model.Heartbeat
+import cleathitch.scheduler.model.JobId
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.model.TaskId
+import cleathitch.scheduler.model.TaskState
+import cleathitch.scheduler.model.TaskStatus
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
 /** What a follower tells workers, and when: nothing but what the present leader has just decided. */
-class ReportQueueTest {
-    private val queue = ReportQueue(answerWithinMs = 3000)
-    private val answer = ReportDecision.Answer(OrderVersion.first(9).next(), emptyList())
+class HeartbeatQueueTest {
+    private val queue = HeartbeatQueue(answerWithinMs = 3000)
+    private val answer = HeartbeatDecision.Answer(FencingToken.first(9).next(), emptyList())
     private val outcomes = ArrayList<ForwardOutcome>()
 
-    private fun report(machine: Int = 1, seq: Long = 1, session: Long = 1, tasks: Int = 1) = Report(
-        MachineId("vm-%06d".format(machine)), "10.1.0.7:9000", "m4", "zone-a", false, session, seq, OrderVersion.first(9), null,
-        List(tasks) { ReportedTask(AttemptId(TaskId(JobId("j-000412"), it), 1), TaskState.RUNNING) },
+    private fun report(machine: Int = 1, seq: Long = 1, session: Long = 1, tasks: Int = 1) = Heartbeat(
+        MachineId("vm-%06d".format(machine)), "10.1.0.7:9000", "m4", "zone-a", false, session, seq, FencingToken.first(9), null,
+        List(tasks) { TaskStatus(AttemptId(TaskId(JobId("j-000412"), it), 1), TaskState.RUNNING) },
     )
 
-    private fun add(report: Report, atMs: Long = 0) = queue.add(report, atMs) { outcomes += it }
+    private fun add(report: Heartbeat, atMs: Long = 0) = queue.add(report, atMs) { outcomes += it }
     private fun batch(atMs: Long = 0, term: Long = 9) = queue.nextBatch(term, atMs)
 
-    private fun message(batch: ReportQueue.Batch) = PeerRequest.Batch.of("n1", OutgoingBatch(batch, emptyList(), emptyList()))
+    private fun message(batch: HeartbeatQueue.Batch) = PeerRequest.FollowerBatch.of("n1", OutgoingBatch(batch, emptyList(), emptyList()))
 
     /** The leader of term 9 has acknowledged this report. */
-    private fun acknowledged(report: Report) {
+    private fun acknowledged(report: Heartbeat) {
         add(report)
         queue.decided(batch(), listOf(answer), currentTerm = 9, nowMs = 0)
         outcomes.clear()
@@ -52,7 +52,7 @@
     fun `a report that repeats an acknowledged one goes as a heartbeat`() {
         acknowledged(report(seq = 1))
         add(report(seq = 2))
-        val heartbeat = batch().reports.single() as ForwardedReport.Heartbeat
+        val heartbeat = batch().reports.single() as ForwardedHeartbeat.Unchanged
         assertEquals(2, heartbeat.seq)
         assertEquals(1, heartbeat.baseSeq)
     }
@@ -61,23 +61,23 @@
     fun `other tasks, another session and another leader need the whole report`() {
         acknowledged(report(seq = 1))
         add(report(seq = 2, tasks = 2))
-        assertTrue(batch().reports.single() is ForwardedReport.Whole)
+        assertTrue(batch().reports.single() is ForwardedHeartbeat.Full)
         add(report(seq = 1, session = 2))
-        assertTrue(batch().reports.single() is ForwardedReport.Whole)
+        assertTrue(batch().reports.single() is ForwardedHeartbeat.Full)
         add(report(seq = 2))
-        assertTrue(batch(term = 10).reports.single() is ForwardedReport.Whole)
+        assertTrue(batch(term = 10).reports.single() is ForwardedHeartbeat.Full)
     }
 
     @Test
     fun `what was refused or not decided is no base`() {
         add(report(seq = 1))
-        queue.decided(batch(), listOf(ReportDecision.Refuse), currentTerm = 9, nowMs = 0)
+        queue.decided(batch(), listOf(HeartbeatDecision.Refuse), currentTerm = 9, nowMs = 0)
         add(report(seq = 2))
         val undecided = batch()
-        assertTrue(undecided.reports.single() is ForwardedReport.Whole)
+        assertTrue(undecided.reports.single() is ForwardedHeartbeat.Full)
         queue.unanswered(undecided)
         add(report(seq = 3))
-        assertTrue(batch().reports.single() is ForwardedReport.Whole)
+        assertTrue(batch().reports.single() is ForwardedHeartbeat.Full)
         assertEquals(List(2) { ForwardOutcome.Unanswered }, outcomes)
     }
 
@@ -85,9 +85,9 @@
     fun `a report goes again, whole, when the leader lacks its base`() {
         acknowledged(report(seq = 1))
         add(report(seq = 2))
-        queue.decided(batch(), listOf(ReportDecision.SendWhole), currentTerm = 9, nowMs = 0)
+        queue.decided(batch(), listOf(HeartbeatDecision.RequestFull), currentTerm = 9, nowMs = 0)
         val again = batch()
-        assertEquals(ForwardedReport.Whole(report(seq = 2)), again.reports.single())
+        assertEquals(ForwardedHeartbeat.Full(report(seq = 2)), again.reports.single())
         queue.decided(again, listOf(answer), currentTerm = 9, nowMs = 0)
         assertEquals(1, outcomes.size)
     }
@@ -122,7 +122,7 @@
         add(report(seq = 1))
         add(report(seq = 2))
         assertEquals(listOf<ForwardOutcome>(ForwardOutcome.Unanswered), outcomes)
-        assertEquals(ForwardedReport.Whole(report(seq = 2)), batch().reports.single())
+        assertEquals(ForwardedHeartbeat.Full(report(seq = 2)), batch().reports.single())
         assertTrue(queue.nextBatch(9, 0).isEmpty)
     }
 
@@ -158,8 +158,8 @@
         queue.add(report(machine = 1, seq = 2), 0) { perMachine[1] = it }
         queue.add(report(machine = 2, seq = 1), 0) { perMachine[2] = it }
         val batch = batch()
-        val received = PeerCodec.decodeRequest(PeerCodec.encode(message(batch))) as PeerRequest.Batch
-        val decisions = received.toReports().map { if (it.machine == report(machine = 1).machine) ReportDecision.Refuse else answer }
+        val received = PeerCodec.decodeRequest(PeerCodec.encode(message(batch))) as PeerRequest.FollowerBatch
+        val decisions = received.toReports().map { if (it.machine == report(machine = 1).machine) HeartbeatDecision.Refuse else answer }
         queue.decided(batch, decisions, currentTerm = 9, nowMs = 0)
         assertEquals(ForwardOutcome.Unanswered, perMachine[1])
         assertTrue(perMachine[2] is ForwardOutcome.Answered)
--- a/src/test/kotlin/cleathitch/workers/WorkerDistributionTest.kt
+++ b/src/test/kotlin/cleathitch/workers/WorkerDistributionTest.kt
@@ -1,6 +1,6 @@
 package cleathitch.workers
 
-import cleathitch.core.MachineId
+import cleathitch.scheduler.model.MachineId
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNotEquals
 import org.junit.jupiter.api.Assertions.assertNull
