--- a/src/main/kotlin/cleathitch/cli/Application.kt
+++ b/src/main/kotlin/cleathitch/cli/Application.kt
@@ -47,33 +47,33 @@
         val reportMs = (deployment.reportS * 1000).toLong()
         // Workers report and users poll well within that.
         val idleS = ceil(deployment.reportS * IDLE_REPORTS).toInt()
-        val tuning = SchedulerTimings.of(deployment, operator.trimS)
+        val timings = SchedulerTimings.of(deployment, operator.trimS)
         val direct = maxOf(1, settings.maxSockets / DIRECT_PART)
-        val workTimes = ProcessingTimes(meters)
+        val processingTimes = ProcessingTimes(meters)
         val services = LeaderDependencies(
             deployment,
-            tuning,
-            WorkerClient(vertx, timeoutMs = reportMs, probeMs = tuning.probeGapMs, atOnce = direct, meters),
+            timings,
+            WorkerClient(vertx, timeoutMs = reportMs, probeMs = timings.probeGapMs, atOnce = direct, meters),
             CloudClient(
                 vertx,
                 settings.cloud,
                 CallPacer(deployment.cloudRps * (operator.cloudShare ?: CLOUD_SHARE), clocks::steadyMs),
                 timeoutMs = reportMs * 2,
-                workTimes,
+                processingTimes,
                 meters,
             ),
             clocks,
             meters,
-            workTimes,
+            processingTimes,
             // Each waiting request holds a connection, here or at a follower.
-            mostRequests = settings.maxSockets,
+            maxRequests = settings.maxSockets,
         )
-        val stateMs = tuning.leaderLeaseMs / 3
+        val stateMs = timings.leaderLeaseMs / 3
         val leadership = LeaderElection(
             KeyValueStoreClient(leaseLoop, settings.state, stateMs, name = "lease", meters),
             settings.member,
             UUID.randomUUID().toString(),
-            tuning.leaderLeaseMs,
+            timings.leaderLeaseMs,
             Controller.LEADER_KEY,
             clocks::steadyMs,
         )
@@ -85,7 +85,7 @@
         val internalRoom = ConnectionLimit(peerSockets + OTHER_SOCKETS)
         val room = ConnectionLimit(maxOf(settings.maxSockets / 2, settings.maxSockets - ours - internalRoom.most))
         scope.launch {
-            HttpEndpoint(vertx, scope, PeerClient.MOST_BODY, idleS, internalRoom) { method, path, body ->
+            HttpEndpoint(vertx, scope, PeerClient.MAX_BODY, idleS, internalRoom) { method, path, body ->
                 internal(node, method, path, body)
             }.listen(settings.internalAddr)
             node.start()
--- a/src/main/kotlin/cleathitch/cloud/CloudClient.kt
+++ b/src/main/kotlin/cleathitch/cloud/CloudClient.kt
@@ -25,7 +25,7 @@
     private val address: Address,
     private val budget: CallPacer,
     private val timeoutMs: Long,
-    private val workTimes: ProcessingTimes,
+    private val processingTimes: ProcessingTimes,
     meters: MeterRegistry = SimpleMeterRegistry(),
 ) {
     private val client = PooledHttpClient(vertx, "cloud", connections = 4, meters = meters)
@@ -39,7 +39,7 @@
         while (true) {
             val since = if (after == null) "" else "&since=$after"
             val answer = call(HttpMethod.GET, "/hosts?most=$PAGE$since", null).answerWith(200)
-            val page = read(answer) { workTimes.measure(ProcessingStage.MACHINE_LIST) { CloudProtocol.page(it.body) } } ?: return null
+            val page = read(answer) { processingTimes.measure(ProcessingStage.MACHINE_LIST) { CloudProtocol.page(it.body) } } ?: return null
             all += page.machines
             after = page.machines.lastOrNull()?.machine?.text
             if (!page.more || after == null) return all
--- a/src/main/kotlin/cleathitch/config/Settings.kt
+++ b/src/main/kotlin/cleathitch/config/Settings.kt
@@ -23,7 +23,7 @@
         },
     )
 
-data class Peer(val member: String, val addr: Address)
+data class Peer(val member: String, val address: Address)
 
 /** What the platform hands to a node. Fields that aren't known are ignored. */
 data class Settings(
--- a/src/main/kotlin/cleathitch/controller/Controller.kt
+++ b/src/main/kotlin/cleathitch/controller/Controller.kt
@@ -63,11 +63,11 @@
 ) : ElectionListener {
     private val clocks = services.clocks
     private val reportMs = (settings.deployment.reportS * 1000).toLong()
-    private val leaseMs = services.tuning.leaderLeaseMs
+    private val leaseMs = services.timings.leaderLeaseMs
 
     /** When each peer last answered us as leader. */
     private val peerHeardMs = HashMap<String, Long>()
-    private val peerAddresses = settings.peers.associate { it.member to it.addr }
+    private val peerAddresses = settings.peers.associate { it.member to it.address }
 
     private var leading: LeaderTerm? = null
     private var leadingJob: Job? = null
@@ -76,7 +76,7 @@
     private var leaderHeardMs: Long? = null
     private val leaderFound = CompletableDeferred<Unit>()
     private var types: List<MachineType> = emptyList()
-    private val imagesTold = HashMap<MachineId, ImageCache>()
+    private val imageCacheHints = HashMap<MachineId, ImageCache>()
 
     /** The follower through which each machine last reported to us as leader. */
     private val reportsTo = HashMap<MachineId, String>()
@@ -84,7 +84,7 @@
     private val elections = services.meters.counter("leader.elections")
     private val replays = services.meters.counter("leader.replays")
     private val batches = LeaderBatcher(
-        intervalMs = services.tuning.forwardMs,
+        intervalMs = services.timings.forwardMs,
         unreachableMs = leaseMs,
         nowMs = clocks::steadyMs,
         leader = ::otherLeader,
@@ -97,7 +97,7 @@
         scope.launch { learnTypes() }
         scope.launch { tellPeers() }
         scope.launch { batches.run() }
-        if (log.isInfoEnabled) scope.launch { logWorkTimes() }
+        if (log.isInfoEnabled) scope.launch { logProcessingTimes() }
         leaseScope.launch { leadership.run(this@Controller) }
         // Until there is someone to send them to, users and workers only keep us from finding that out.
         withTimeoutOrNull(leaseMs * FIRST_LEASES) { leaderFound.await() }
@@ -110,11 +110,11 @@
         }
     }
 
-    private suspend fun logWorkTimes() {
+    private suspend fun logProcessingTimes() {
         while (true) {
             delay(reportMs * WORK_LOG_REPORTS)
             val role = if (leading != null) "leader" else "follower"
-            log.info("work as {} in {} ms: {}", role, reportMs * WORK_LOG_REPORTS, services.workTimes.summary())
+            log.info("work as {} in {} ms: {}", role, reportMs * WORK_LOG_REPORTS, services.processingTimes.summary())
         }
     }
 
@@ -133,12 +133,12 @@
         val term = lease.term
         log.info("term {}: elected", term.revision)
         elections.increment()
-        val store = LogStorage(state, PREFIX, LEADER_KEY, term, services.workTimes)
+        val store = LogStorage(state, PREFIX, LEADER_KEY, term, services.processingTimes)
         val mine =
-            LeaderTerm(lease, services, store, types, HashMap(imagesTold), {
+            LeaderTerm(lease, services, store, types, HashMap(imageCacheHints), {
                 WorkerCommandDelivery(Routes(term), openMs = reportMs, clocks::steadyMs, it)
-            }, ::tellImages) {
-                depose(term, it.reason, it.handOver)
+            }, ::shareImageCacheHints) {
+                depose(term, it.reason, it.transferLeadership)
             }
         leading = mine
         leader = settings.member
@@ -168,7 +168,7 @@
         return peerHeardMs.filterValues { now - it < leaseMs }.keys.toList()
     }
 
-    private fun depose(term: Term, reason: String, handOver: Boolean = false) {
+    private fun depose(term: Term, reason: String, transferLeadership: Boolean = false) {
         val mine = leading ?: return
         if (mine.term != term) return
         log.info(
@@ -182,7 +182,7 @@
         if (leader == settings.member) leader = null
         leadingJob?.cancel()
         mine.end()
-        mine.lease.resign(reason, handOver)
+        mine.lease.resign(reason, transferLeadership)
     }
 
     private fun follow(member: String?, term: Long) {
@@ -210,7 +210,7 @@
                 for (peer in settings.peers.filter { needsWord(it.member) }) {
                     scope.launch {
                         val word = PeerRequest.AnnounceLeader(settings.member, settings.member, mine.term.revision)
-                        val reply = peers.ask(peer.addr, word, leaseMs / 3).reply ?: return@launch
+                        val reply = peers.ask(peer.address, word, leaseMs / 3).reply ?: return@launch
                         peerHeardMs[peer.member] = clocks.steadyMs()
                         if (reply.term > mine.term.revision) depose(mine.term, "${peer.member} knows term ${reply.term}")
                     }
@@ -221,11 +221,11 @@
     }
 
     /** Part by part, so that other work gets its turn between them. */
-    private fun tellImages(images: Map<MachineId, ImageCache>) {
+    private fun shareImageCacheHints(images: Map<MachineId, ImageCache>) {
         scope.launch {
             for (part in PeerRequest.ImageCacheHints.of(images)) {
-                val encoded = services.workTimes.measure(ProcessingStage.IMAGE_HINTS_ENCODING) { PeerCodec.encode(part) }
-                settings.peers.map { peer -> launch { peers.ask(peer.addr, encoded, reportMs / 3) } }.joinAll()
+                val encoded = services.processingTimes.measure(ProcessingStage.IMAGE_HINTS_ENCODING) { PeerCodec.encode(part) }
+                settings.peers.map { peer -> launch { peers.ask(peer.address, encoded, reportMs / 3) } }.joinAll()
             }
         }
     }
@@ -259,7 +259,7 @@
         leading?.let { mine ->
             if (!mine.ready) return now - mine.sinceMs < leaseMs
             val peersHeard = peerHeardMs.values.count { now - it < leaseMs }
-            return now < mine.lease.heldUntilMs + leaseMs || peersHeard * 2 >= settings.peers.size
+            return now < mine.lease.validUntilMs + leaseMs || peersHeard * 2 >= settings.peers.size
         }
         val silentMs = now - (leaderHeardMs ?: return false)
         // A dead leader's key goes with its lease. While it stands, the leader lives: it is slow, or we are cut off from it.
@@ -315,14 +315,14 @@
         if (leading?.ready == false || leading == null && leader == null) return HttpReply(503)
         if (leading == null && batches.leaderUnreachable) return HttpReply(421, WorkerProtocol.elsewhere(leader))
         val report = try {
-            services.workTimes.measure(ProcessingStage.HEARTBEAT_DECODING) { WorkerProtocol.report(body) }
+            services.processingTimes.measure(ProcessingStage.HEARTBEAT_DECODING) { WorkerProtocol.report(body) }
         } catch (e: MalformedMessageException) {
             log.error("a garbled report: {}", e.message)
             return HttpReply(400, UserProtocol.error(e.message.orEmpty()))
         }
         leading?.let { return reportToUs(it, report) }
         return when (val outcome = batches.decide(report)) {
-            is ForwardOutcome.Answered -> HttpReply(200, WorkerProtocol.answer(outcome.version, outcome.orders))
+            is ForwardOutcome.Answered -> HttpReply(200, WorkerProtocol.answer(outcome.token, outcome.commands))
             ForwardOutcome.Unanswered -> HttpReply(503)
         }
     }
@@ -333,7 +333,7 @@
         }
         val answer = mine.report(report)
         return when {
-            answer != null -> HttpReply(200, WorkerProtocol.answer(answer.version, answer.orders))
+            answer != null -> HttpReply(200, WorkerProtocol.answer(answer.token, answer.commands))
             leading === mine -> HttpReply(503)
             else -> HttpReply(421, WorkerProtocol.elsewhere(leader.takeIf { it != settings.member }))
         }
@@ -345,7 +345,7 @@
 
     private suspend fun sendBatch(to: KnownLeader, batch: OutgoingBatch, timeoutMs: Long): BatchResult {
         val address = peerAddresses[to.member] ?: return BatchResult.NotLeading
-        val encoded = services.workTimes.measure(ProcessingStage.BATCH_ENCODING) {
+        val encoded = services.processingTimes.measure(ProcessingStage.BATCH_ENCODING) {
             PeerCodec.encode(PeerRequest.FollowerBatch.of(settings.member, batch))
         }
         return when (val result = peers.ask(address, encoded, timeoutMs)) {
@@ -371,8 +371,8 @@
             ?: return PeerReply(503, leader = leader, term = leaderTerm)
         peerHeardMs[request.from] = clocks.steadyMs()
         mine.directResults(request.directResults)
-        val reports = services.workTimes.measure(ProcessingStage.BATCH_DECODING) { request.toReports() }
-        if (reportsTo.size > MOST_MACHINES_KNOWN) reportsTo.clear()
+        val reports = services.processingTimes.measure(ProcessingStage.BATCH_DECODING) { request.toReports() }
+        if (reportsTo.size > MAX_MACHINES_KNOWN) reportsTo.clear()
         reports.forEach { reportsTo[it.machine] = request.from }
         val answer = mine.followerBatch(reports, request.polls)
         return PeerReply(
@@ -403,8 +403,8 @@
             PeerReply(200, leader = leader, term = leaderTerm)
         }
         is PeerRequest.ImageCacheHints -> {
-            if (imagesTold.size > MOST_IMAGES_TOLD) imagesTold.clear()
-            imagesTold += request.held()
+            if (imageCacheHints.size > MAX_IMAGES_TOLD) imageCacheHints.clear()
+            imageCacheHints += request.held()
             PeerReply(200, leader = leader, term = leaderTerm)
         }
         is PeerRequest.ForwardUserRequest -> user(request.method, request.path, request.body, forwarded = true)
@@ -434,7 +434,7 @@
         private const val WORK_LOG_REPORTS = 5
 
         /** Machines come and go; what was told of the present ones comes again soon. */
-        private const val MOST_IMAGES_TOLD = 10_000
-        private const val MOST_MACHINES_KNOWN = 10_000
+        private const val MAX_IMAGES_TOLD = 10_000
+        private const val MAX_MACHINES_KNOWN = 10_000
     }
 }
--- a/src/main/kotlin/cleathitch/election/LeaderElection.kt
+++ b/src/main/kotlin/cleathitch/election/LeaderElection.kt
@@ -110,7 +110,7 @@
     private suspend fun givenUp(lease: LeaderLease, hold: Long, listener: ElectionListener): Boolean {
         val resignation = lease.resignation
         if (resignation != null) {
-            if (resignation.handOver) holdBackUntilMs = steadyMs() + ttlMs * HAND_OVER_LEASES
+            if (resignation.transferLeadership) holdBackUntilMs = steadyMs() + ttlMs * TRANSFER_LEASES
             listener.deposed(lease, resignation.reason)
             state.release(hold)
             return true
@@ -126,12 +126,12 @@
     private suspend fun renewed(lease: LeaderLease, hold: Long, listener: ElectionListener): Boolean {
         val sentMs = steadyMs()
         when (val renewal = state.extend(hold)) {
-            LeaseRenewal.Held -> lease.heldUntilMs = heldUntil(sentMs)
+            LeaseRenewal.Held -> lease.validUntilMs = heldUntil(sentMs)
             LeaseRenewal.Gone -> {
                 listener.deposed(lease, "the lease ran out")
                 return false
             }
-            is LeaseRenewal.Unknown -> if (steadyMs() > lease.heldUntilMs) {
+            is LeaseRenewal.Unknown -> if (steadyMs() > lease.validUntilMs) {
                 log.info("term {}: the lease may have run out: {}", lease.term.revision, renewal.failure)
             }
         }
@@ -158,7 +158,7 @@
         const val PAUSES_PER_LEASE = 8
 
         /** An election takes far less; if nobody else has won it by then, we may lead again. */
-        const val HAND_OVER_LEASES = 4
+        const val TRANSFER_LEASES = 4
 
         /** A leader whose own loop stands still for as long gives up, though its lease could be kept. */
         const val STUCK_LEASES = 4
--- a/src/main/kotlin/cleathitch/election/LeaderLease.kt
+++ b/src/main/kotlin/cleathitch/election/LeaderLease.kt
@@ -5,10 +5,10 @@
 /**
  * One term's lease, as both loops see it: kept on a loop of its own, used and given up where the work is done.
  */
-class LeaderLease(val term: Term, heldUntilMs: Long, workedMs: Long) {
+class LeaderLease(val term: Term, validUntilMs: Long, workedMs: Long) {
     /** Until then it is surely held. */
     @Volatile
-    var heldUntilMs = heldUntilMs
+    var validUntilMs = validUntilMs
         internal set
 
     /** When the leader's own loop last showed that it gets on. */
@@ -20,14 +20,14 @@
     internal var resignation: Resignation? = null
         private set
 
-    internal class Resignation(val reason: String, val handOver: Boolean)
+    internal class Resignation(val reason: String, val transferLeadership: Boolean)
 
     fun worked(nowMs: Long) {
         workedMs = nowMs
     }
 
-    /** Gives the leadership up, for instance because a newer leader was seen; a [handOver] lets others go first. */
-    fun resign(reason: String, handOver: Boolean) {
-        resignation = Resignation(reason, handOver)
+    /** Gives the leadership up, for instance because a newer leader was seen; a [transferLeadership] lets others go first. */
+    fun resign(reason: String, transferLeadership: Boolean) {
+        resignation = Resignation(reason, transferLeadership)
     }
 }
--- a/src/main/kotlin/cleathitch/leader/Clocks.kt
+++ b/src/main/kotlin/cleathitch/leader/Clocks.kt
@@ -6,5 +6,5 @@
 /** The clocks of this node. */
 class Clocks {
     fun steadyMs() = TimeUnit.NANOSECONDS.toMillis(System.nanoTime())
-    fun moment() = ClockReading(steadyMs(), System.currentTimeMillis())
+    fun clockReading() = ClockReading(steadyMs(), System.currentTimeMillis())
 }
--- a/src/main/kotlin/cleathitch/leader/InputQueue.kt
+++ b/src/main/kotlin/cleathitch/leader/InputQueue.kt
@@ -6,13 +6,13 @@
 /**
  * The commands that wait for the engine, handed out in bounded batches, the urgent ones first.
  *
- * Requests beyond [mostRequests] are refused, so a flood costs memory and time within limits. Each batch takes
+ * Requests beyond [maxRequests] are refused, so a flood costs memory and time within limits. Each batch takes
  * everything that is known of lease and commits and a bounded part of every other kind, so no kind waits for the end of
  * another. Requests about the same job and reports of the same machine stay in their order.
  */
-class InputQueue(private val mostRequests: Int) {
+class InputQueue(private val maxRequests: Int) {
     /** The kinds of commands in the order in which a batch holds them. */
-    private enum class Urgency(val mostPerBatch: Int, val isRequest: Boolean) {
+    private enum class Urgency(val maxPerBatch: Int, val isRequest: Boolean) {
         /** What was asked of others and is answered by now: lease, commits, machine types. */
         OUTCOME(Int.MAX_VALUE, isRequest = false),
         HEARTBEAT_OR_CANCELLATION(256, isRequest = true),
@@ -36,7 +36,7 @@
     fun offer(command: Input): Boolean {
         val urgency = urgencyOf(command)
         if (urgency.isRequest) {
-            if (requests >= mostRequests) return false
+            if (requests >= maxRequests) return false
             requests++
         }
         if (command is Input.Submit) waitingSubmissions.merge(command.spec.id, 1, Int::plus)
@@ -48,16 +48,16 @@
     fun nextBatch(isAwaited: (Input) -> Boolean): List<Input> {
         val batch = ArrayList<Input>()
         for ((urgency, commands) in waiting) {
-            repeat(minOf(urgency.mostPerBatch, commands.size)) {
+            repeat(minOf(urgency.maxPerBatch, commands.size)) {
                 val command = commands.removeFirst()
-                noteTaken(command, urgency)
+                recordRemoval(command, urgency)
                 if (isAwaited(command)) batch += command
             }
         }
         return batch
     }
 
-    private fun noteTaken(command: Input, urgency: Urgency) {
+    private fun recordRemoval(command: Input, urgency: Urgency) {
         if (urgency.isRequest) requests--
         if (command is Input.Submit) {
             waitingSubmissions.computeIfPresent(command.spec.id) { _, count -> (count - 1).takeIf { it > 0 } }
--- a/src/main/kotlin/cleathitch/leader/LeaderDependencies.kt
+++ b/src/main/kotlin/cleathitch/leader/LeaderDependencies.kt
@@ -10,13 +10,13 @@
 /** What a term as leader works with. */
 class LeaderDependencies(
     val deployment: Deployment,
-    val tuning: SchedulerTimings,
+    val timings: SchedulerTimings,
     val workers: WorkerClient,
     val cloud: CloudClient,
     val clocks: Clocks,
     val meters: MeterRegistry,
-    val workTimes: ProcessingTimes,
+    val processingTimes: ProcessingTimes,
 
     /** So many requests may wait for the engine; the rest is refused at once. */
-    val mostRequests: Int,
+    val maxRequests: Int,
 )
--- a/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
+++ b/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
@@ -38,12 +38,12 @@
     private val services: LeaderDependencies,
     private val store: LogStorage,
     private val knownTypes: List<MachineType>,
-    private val imagesTold: Map<MachineId, ImageCache>,
+    private val imageCacheHints: Map<MachineId, ImageCache>,
     newDelivery: ((Input) -> Unit) -> WorkerCommandDelivery,
-    private val tellImages: (Map<MachineId, ImageCache>) -> Unit,
+    private val shareImageCacheHints: (Map<MachineId, ImageCache>) -> Unit,
     private val stepDown: (Effect.StepDown) -> Unit,
 ) {
-    private val queue = InputQueue(services.mostRequests)
+    private val queue = InputQueue(services.maxRequests)
     private val wakeUp = Channel<Unit>(Channel.CONFLATED)
     private val delivery = newDelivery(::post)
     private class Asked<T>(val sinceMs: Long) {
@@ -113,7 +113,7 @@
     }
 
     /** At the pace of the last batch; the honest answer to when there will be room again. */
-    private fun secondsToServeQueue(): Int = (queue.requests * lastBatchMsPerCommand / 1000).toInt().coerceIn(1, MOST_RETRY_AFTER_S)
+    private fun secondsToServeQueue(): Int = (queue.requests * lastBatchMsPerCommand / 1000).toInt().coerceIn(1, MAX_RETRY_AFTER_S)
 
     private fun <T> endOld(open: LinkedHashMap<RequestId, Asked<T>>) {
         val oldestMs = services.clocks.steadyMs() - ANSWER_MS
@@ -142,28 +142,28 @@
     suspend fun run(replayed: () -> Unit) = coroutineScope {
         val begun = services.clocks.steadyMs()
         val snapshot = store.load()
-        val engine = Scheduler(
+        val scheduler = Scheduler(
             services.deployment,
-            services.tuning,
+            services.timings,
             term,
             snapshot,
-            services.clocks.moment(),
+            services.clocks.clockReading(),
             LogCodec,
-            noteLevel = when {
+            logLevel = when {
                 log.isDebugEnabled -> LogLevel.DEBUG
                 log.isInfoEnabled -> LogLevel.INFO
                 else -> LogLevel.ERROR
             },
         )
         if (knownTypes.isNotEmpty()) post(Input.MachineTypesListed(knownTypes))
-        post(Input.ImageCacheHintsReceived(imagesTold))
+        post(Input.ImageCacheHintsReceived(imageCacheHints))
         ready = true
         replayed()
         log.info(
             "term {}: leading after {} ms of replay; {} jobs open, {} records",
             term.revision,
             services.clocks.steadyMs() - begun,
-            engine.openJobs,
+            scheduler.openJobs,
             snapshot.records.size,
         )
         launch { tick() }
@@ -174,10 +174,10 @@
             wakeUp.receive()
             while (!queue.isEmpty) {
                 lease.worked(services.clocks.steadyMs())
-                post(Input.LeaseRenewed(lease.heldUntilMs))
+                post(Input.LeaseRenewed(lease.validUntilMs))
                 val batch = queue.nextBatch(::isAwaited)
                 batchSizes.record(batch.size.toDouble())
-                val effects = handle(engine, batch)
+                val effects = handle(scheduler, batch)
                 effects.forEach { perform(it) }
                 delivery.deliver(this, effects.filterIsInstance<Effect.ToWorker>())
                 // Between two batches of a flood everything else on this loop gets its turn.
@@ -186,9 +186,11 @@
         }
     }
 
-    private fun handle(engine: Scheduler, batch: List<Input>): List<Effect> {
+    private fun handle(scheduler: Scheduler, batch: List<Input>): List<Effect> {
         val startNs = System.nanoTime()
-        val effects = services.workTimes.measure(ProcessingStage.SCHEDULER) { engine.handle(batch, services.clocks.moment()) }
+        val effects = services.processingTimes.measure(ProcessingStage.SCHEDULER) {
+            scheduler.handle(batch, services.clocks.clockReading())
+        }
         lastBatchMsPerCommand = (System.nanoTime() - startNs) / 1e6 / batch.size
         return effects
     }
@@ -197,7 +199,7 @@
         when (effect) {
             // Decided before a standstill of this process, it must not leave after it: others may lead by now.
             is Effect.Answer -> users[effect.request]?.answer?.complete(
-                if (services.clocks.steadyMs() < lease.heldUntilMs) effect.reply else UserReply.Unavailable("no lease"),
+                if (services.clocks.steadyMs() < lease.validUntilMs) effect.reply else UserReply.Unavailable("no lease"),
             )
             is Effect.AnswerHeartbeat -> reports[effect.request]?.answer?.complete(effect)
             is Effect.RefuseHeartbeat -> reports[effect.request]?.answer?.complete(null)
@@ -217,7 +219,7 @@
             is Effect.TerminateMachines -> launch {
                 if (services.cloud.giveBack(effect.machines)) post(Input.MachinesTerminated(effect.machines))
             }
-            is Effect.ShareImageCacheHints -> tellImages(effect.images)
+            is Effect.ShareImageCacheHints -> shareImageCacheHints(effect.images)
             is Effect.StepDown -> stepDown(effect)
             is Effect.Log -> when (effect.level) {
                 LogLevel.ERROR -> log.error("term {}: {}", term.revision, effect.text)
@@ -228,7 +230,7 @@
     }
 
     /** As for single answers to users: nothing leaves after a standstill that outlasted the lease. */
-    private fun checked(answer: Effect.AnswerFollower): Effect.AnswerFollower = if (services.clocks.steadyMs() < lease.heldUntilMs) {
+    private fun checked(answer: Effect.AnswerFollower): Effect.AnswerFollower = if (services.clocks.steadyMs() < lease.validUntilMs) {
         answer
     } else {
         answer.copy(statuses = answer.statuses.map { UserReply.Unavailable("no lease") })
@@ -236,7 +238,7 @@
 
     private suspend fun tick() {
         while (true) {
-            delay(services.tuning.roundMs)
+            delay(services.timings.roundMs)
             endOld(users)
             endOld(reports)
             endOld(batches)
@@ -263,7 +265,7 @@
         val log = LoggerFactory.getLogger("cleathitch.leader")
 
         /** What the page allows a Retry-After to ask for. */
-        const val MOST_RETRY_AFTER_S = 30
+        const val MAX_RETRY_AFTER_S = 30
 
         /** Longer than the engine takes to give up on a request by itself; only a stopped engine meets it. */
         const val ANSWER_MS = 3000L
--- a/src/main/kotlin/cleathitch/metrics/ProcessingTimes.kt
+++ b/src/main/kotlin/cleathitch/metrics/ProcessingTimes.kt
@@ -1,6 +1,5 @@
 package cleathitch.metrics
 
-import cleathitch.scheduler.api.note
 import io.micrometer.core.instrument.MeterRegistry
 import io.micrometer.core.instrument.Timer
 import java.util.concurrent.TimeUnit
--- a/src/main/kotlin/cleathitch/peers/FullHeartbeatMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/FullHeartbeatMessage.kt
@@ -17,27 +17,30 @@
     val type: String,
     val zone: String,
     val spot: Boolean,
-    val session: Long,
-    val seq: Long,
-    val version: Long,
-    val noticeS: Double?,
+    val incarnation: Long,
+    val sequenceNumber: Long,
+    val token: Long,
+    val preemptionNoticeS: Double?,
     val tasks: List<TaskStatusMessage>,
 ) {
-    fun toReport() = Heartbeat(
-        machine, address, type, zone, spot, session, seq, FencingToken(version), noticeS, tasks.map { it.toTask() },
+    fun toHeartbeat() = Heartbeat(
+        machine, address, type, zone, spot, incarnation, sequenceNumber, FencingToken(token), preemptionNoticeS,
+        tasks.map {
+            it.toTaskStatus()
+        },
     )
 
     companion object {
         fun of(report: Heartbeat) = FullHeartbeatMessage(
             report.machine,
-            report.addr,
+            report.address,
             report.type,
             report.zone,
             report.spot,
-            report.session,
-            report.seq,
-            report.version.packed,
-            report.noticeS,
+            report.incarnation,
+            report.sequenceNumber,
+            report.token.packed,
+            report.preemptionNoticeS,
             report.tasks.map(TaskStatusMessage::of),
         )
     }
--- a/src/main/kotlin/cleathitch/peers/HeartbeatDecisionMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/HeartbeatDecisionMessage.kt
@@ -11,7 +11,7 @@
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 @CborArray
-data class HeartbeatDecisionMessage(val kind: Kind, val version: Long, val orders: List<WorkerCommandMessage>) {
+data class HeartbeatDecisionMessage(val kind: Kind, val token: Long, val commands: List<WorkerCommandMessage>) {
     @Serializable
     enum class Kind {
         @SerialName("a")
@@ -25,7 +25,7 @@
     }
 
     fun toDecision(): HeartbeatDecision = when (kind) {
-        Kind.ANSWER -> HeartbeatDecision.Answer(FencingToken(version), orders.map { it.toOrder() })
+        Kind.ANSWER -> HeartbeatDecision.Answer(FencingToken(token), commands.map { it.toWorkerCommand() })
         Kind.REFUSE -> HeartbeatDecision.Refuse
         Kind.REQUEST_FULL -> HeartbeatDecision.RequestFull
     }
@@ -36,7 +36,7 @@
 
         fun of(decision: HeartbeatDecision): HeartbeatDecisionMessage = when (decision) {
             is HeartbeatDecision.Answer ->
-                HeartbeatDecisionMessage(Kind.ANSWER, decision.version.packed, decision.orders.map(WorkerCommandMessage::of))
+                HeartbeatDecisionMessage(Kind.ANSWER, decision.token.packed, decision.commands.map(WorkerCommandMessage::of))
             HeartbeatDecision.Refuse -> refuse
             HeartbeatDecision.RequestFull -> sendWhole
         }
--- a/src/main/kotlin/cleathitch/peers/LeaderBatcher.kt
+++ b/src/main/kotlin/cleathitch/peers/LeaderBatcher.kt
@@ -53,7 +53,7 @@
     /** Tells the leader what came of a command that this node delivered for it. */
     fun tell(result: DeliveryResult) {
         directResults.addLast(result)
-        if (directResults.size > MOST_RESULTS) directResults.removeFirst()
+        if (directResults.size > MAX_RESULTS) directResults.removeFirst()
         wakeUp.trySend(Unit)
     }
 
@@ -70,7 +70,7 @@
 
     private suspend fun sendNext() {
         val known = leader() ?: return refuseAll()
-        val batch = OutgoingBatch(reports.nextBatch(known.term, nowMs()), polls.take(MOST_POLLS), takeResults(known.term))
+        val batch = OutgoingBatch(reports.nextBatch(known.term, nowMs()), polls.take(MAX_POLLS), takeResults(known.term))
         if (batch.reports.isEmpty && batch.polls.isEmpty() && batch.directResults.isEmpty()) return
         val timeoutMs = reports.timeLeftMs(batch.reports, nowMs())
         val result = sendSafely(known, batch, timeoutMs)
@@ -100,7 +100,7 @@
 
     /** Results of commands of earlier terms mean nothing to the present leader. */
     private fun takeResults(term: Long): List<DeliveryResult> {
-        val taken = List(minOf(directResults.size, MOST_RESULTS_PER_BATCH)) { directResults.removeFirst() }
+        val taken = List(minOf(directResults.size, MAX_RESULTS_PER_BATCH)) { directResults.removeFirst() }
         return taken.filter { it.term == term }
     }
 
@@ -120,8 +120,8 @@
         const val POLL_WITHIN_MS = 1800L
 
         /** A batch's other limits are those of its reports; polls and results are small. */
-        const val MOST_POLLS = 400
-        const val MOST_RESULTS_PER_BATCH = 40
-        const val MOST_RESULTS = 2000
+        const val MAX_POLLS = 400
+        const val MAX_RESULTS_PER_BATCH = 40
+        const val MAX_RESULTS = 2000
     }
 }
--- a/src/main/kotlin/cleathitch/peers/PeerClient.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerClient.kt
@@ -39,7 +39,7 @@
         const val PATH = "/peer"
 
         /** A batch is cut to fit by far: each of its parts is bounded, or holds one message of at most a body's size. */
-        const val MOST_BODY = 4 * MessageCodec.MAX_BODY
+        const val MAX_BODY = 4 * MessageCodec.MAX_BODY
 
         /** To each peer: one request in flight on each, and an answer takes a few milliseconds. */
         const val CONNECTIONS = 16
--- a/src/main/kotlin/cleathitch/peers/PeerRequest.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerRequest.kt
@@ -30,12 +30,12 @@
     data class ImageCacheHints(val images: List<String>, val sizesGb: List<Double>, val machines: List<Holder>) : PeerRequest {
         @Serializable
         @CborArray
-        data class Holder(val machine: MachineId, val session: Long, val images: List<Int>)
+        data class Holder(val machine: MachineId, val incarnation: Long, val images: List<Int>)
 
         fun held(): Map<MachineId, ImageCache> = machines.associate { holder ->
             holder.machine to
                 ImageCache(
-                    holder.session,
+                    holder.incarnation,
                     holder.images.filter { it in images.indices && it in sizesGb.indices }.associate {
                         images[it] to
                             sizesGb[it]
@@ -51,7 +51,7 @@
                 val sizes = LinkedHashMap<String, Double>()
                 held.values.forEach { sizes.putAll(it.sizesGb) }
                 val places = sizes.keys.withIndex().associate { (place, image) -> image to place }
-                val holders = held.map { (id, it) -> Holder(id, it.session, it.sizesGb.keys.map(places::getValue)) }
+                val holders = held.map { (id, it) -> Holder(id, it.incarnation, it.sizesGb.keys.map(places::getValue)) }
                 return holders.chunked(MACHINES_EACH) { ImageCacheHints(sizes.keys.toList(), sizes.values.toList(), it) }
             }
         }
@@ -69,7 +69,7 @@
         val directResults: List<DeliveryResultMessage>,
     ) : PeerRequest {
         fun toReports(): List<ForwardedHeartbeat> =
-            whole.map { ForwardedHeartbeat.Full(it.toReport()) } + heartbeats.map { it.toHeartbeat() }
+            whole.map { ForwardedHeartbeat.Full(it.toHeartbeat()) } + heartbeats.map { it.toHeartbeat() }
 
         companion object {
             /** The batch's reports hold the whole ones first, and so do the leader's decisions. */
--- a/src/main/kotlin/cleathitch/peers/TaskStatusMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/TaskStatusMessage.kt
@@ -22,7 +22,7 @@
     val exitReason: ExitReason?,
     val saved: Boolean,
 ) {
-    fun toTask() = TaskStatus(AttemptId(TaskId(job, index), attempt), state, exitReason, saved)
+    fun toTaskStatus() = TaskStatus(AttemptId(TaskId(job, index), attempt), state, exitReason, saved)
 
     companion object {
         fun of(task: TaskStatus) = TaskStatusMessage(
@@ -30,7 +30,7 @@
             task.attempt.task.index,
             task.attempt.number,
             task.state,
-            task.why,
+            task.exitReason,
             task.saved,
         )
     }
--- a/src/main/kotlin/cleathitch/peers/UnchangedHeartbeatMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/UnchangedHeartbeatMessage.kt
@@ -13,22 +13,23 @@
 @CborArray
 data class UnchangedHeartbeatMessage(
     val machine: MachineId,
-    val session: Long,
-    val seq: Long,
-    val version: Long,
-    val noticeS: Double?,
-    val baseSeq: Long,
+    val incarnation: Long,
+    val sequenceNumber: Long,
+    val token: Long,
+    val preemptionNoticeS: Double?,
+    val baseSequenceNumber: Long,
 ) {
-    fun toHeartbeat() = ForwardedHeartbeat.Unchanged(machine, session, seq, FencingToken(version), noticeS, baseSeq)
+    fun toHeartbeat() =
+        ForwardedHeartbeat.Unchanged(machine, incarnation, sequenceNumber, FencingToken(token), preemptionNoticeS, baseSequenceNumber)
 
     companion object {
         fun of(heartbeat: ForwardedHeartbeat.Unchanged) = UnchangedHeartbeatMessage(
             heartbeat.machine,
-            heartbeat.session,
-            heartbeat.seq,
-            heartbeat.version.packed,
-            heartbeat.noticeS,
-            heartbeat.baseSeq,
+            heartbeat.incarnation,
+            heartbeat.sequenceNumber,
+            heartbeat.token.packed,
+            heartbeat.preemptionNoticeS,
+            heartbeat.baseSequenceNumber,
         )
     }
 }
--- a/src/main/kotlin/cleathitch/peers/WorkerCommandDelivery.kt
+++ b/src/main/kotlin/cleathitch/peers/WorkerCommandDelivery.kt
@@ -34,7 +34,7 @@
             if (carrier == null) {
                 share.forEach { sendDirectly(scope, it) }
             } else {
-                share.chunked(MOST_PER_REQUEST).forEach { part -> scope.launch { sendThrough(scope, carrier, part) } }
+                share.chunked(MAX_PER_REQUEST).forEach { part -> scope.launch { sendThrough(scope, carrier, part) } }
             }
         }
     }
@@ -44,7 +44,7 @@
         forgetOld()
         for (result in results) {
             val command = open.remove(result.id) ?: continue
-            if (command.machine == result.report.machine) post(Input.ProbeAnswered(result.report.toReport()))
+            if (command.machine == result.report.machine) post(Input.ProbeAnswered(result.report.toHeartbeat()))
         }
     }
 
@@ -80,6 +80,6 @@
     }
 
     private companion object {
-        const val MOST_PER_REQUEST = 50
+        const val MAX_PER_REQUEST = 50
     }
 }
--- a/src/main/kotlin/cleathitch/peers/WorkerCommandMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/WorkerCommandMessage.kt
@@ -26,7 +26,7 @@
         FORGET,
     }
 
-    fun toOrder(): WorkerCommand {
+    fun toWorkerCommand(): WorkerCommand {
         val id = AttemptId(TaskId(job, index), attempt)
         return when (kind) {
             Kind.START -> WorkerCommand.Start(id)
--- a/src/main/kotlin/cleathitch/protocol/WorkerProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/WorkerProtocol.kt
@@ -19,14 +19,14 @@
         val map = MessageCodec.decodeMap(body)
         return Heartbeat(
             machine = MachineId(map.text("burro")),
-            addr = map.text("addr"),
+            address = map.text("addr"),
             type = map.text("hornada"),
             zone = map.text("comarca"),
             spot = map.bool("prestados"),
-            session = map.whole("jornada"),
-            seq = map.whole("folio"),
-            version = FencingToken(map.whole("vara")),
-            noticeS = map.optionalAmount("avisoS"),
+            incarnation = map.whole("jornada"),
+            sequenceNumber = map.whole("folio"),
+            token = FencingToken(map.whole("vara")),
+            preemptionNoticeS = map.optionalAmount("avisoS"),
             tasks = map.list("tareas").map(::task),
         )
     }
@@ -43,12 +43,12 @@
         return TaskStatus(
             AttemptId(taskId(node.text("tarea")), node.whole("intento")),
             state,
-            if (state == TaskState.EXITED) why(node.optionalText("motivo")) else null,
+            if (state == TaskState.EXITED) exitReason(node.optionalText("motivo")) else null,
             node.field("kept")?.booleanValue() ?: false,
         )
     }
 
-    private fun why(name: String?) = when (name) {
+    private fun exitReason(name: String?) = when (name) {
         "done" -> ExitReason.DONE
         "halted" -> ExitReason.STOPPED
         "error" -> ExitReason.ERROR
@@ -65,10 +65,10 @@
         return TaskId(JobId(text.substring(0, maxOf(slash, 0))), index ?: throw MalformedMessageException("tarea $text isn't a task"))
     }
 
-    fun answer(version: FencingToken, orders: List<WorkerCommand>): ByteArray = MessageCodec.encode(commands(version, orders))
+    fun answer(token: FencingToken, commands: List<WorkerCommand>): ByteArray = MessageCodec.encode(commands(token, commands))
 
-    fun direct(version: FencingToken, session: Long, orders: List<WorkerCommand>): ByteArray =
-        MessageCodec.encode(commands(version, orders).put("jornada", session))
+    fun direct(token: FencingToken, incarnation: Long, commands: List<WorkerCommand>): ByteArray =
+        MessageCodec.encode(commands(token, commands).put("jornada", incarnation))
 
     fun elsewhere(leader: String?): ByteArray = MessageCodec.encode(
         MessageCodec.newMap().also {
@@ -80,10 +80,10 @@
         },
     )
 
-    private fun commands(version: FencingToken, orders: List<WorkerCommand>): ObjectNode {
-        val map = MessageCodec.newMap().put("vara", version.packed)
+    private fun commands(token: FencingToken, commands: List<WorkerCommand>): ObjectNode {
+        val map = MessageCodec.newMap().put("vara", token.packed)
         val list = map.putArray("ordenes")
-        for (order in orders) {
+        for (order in commands) {
             val node = list.addObject()
             when (order) {
                 is WorkerCommand.Start -> node.put("orden", "run")
--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -8,7 +8,7 @@
 import cleathitch.scheduler.api.SchedulerContext
 import cleathitch.scheduler.api.SchedulerTimings
 import cleathitch.scheduler.api.UserReply
-import cleathitch.scheduler.api.note
+import cleathitch.scheduler.api.logEvent
 import cleathitch.scheduler.capacity.CloudRequests
 import cleathitch.scheduler.capacity.DemandForecast
 import cleathitch.scheduler.capacity.UnplacedTasks
@@ -63,62 +63,62 @@
  */
 class Scheduler(
     private val deployment: Deployment,
-    private val tuning: SchedulerTimings,
+    private val timings: SchedulerTimings,
     private val term: Term,
     snapshot: RecoveredState,
     start: ClockReading,
     sizes: DecisionLog.Sizes,
     /** Notes below this level aren't written at all: a text for each task's each step is work, too. */
-    private val noteLevel: LogLevel = LogLevel.DEBUG,
+    private val logLevel: LogLevel = LogLevel.DEBUG,
 ) {
-    private val ledger = JobTable()
-    private val fleet = Inventory(deployment, ledger)
-    private val quota = Quota(deployment.teams, ledger)
-    private val journal = DecisionLog(deployment, sizes)
-    private val placement = Placement(fleet, ledger)
+    private val jobTable = JobTable()
+    private val fleet = Inventory(deployment, jobTable)
+    private val quota = Quota(deployment.teams, jobTable)
+    private val decisionLog = DecisionLog(deployment, sizes)
+    private val placement = Placement(fleet, jobTable)
 
     /** For each class, within how many seconds its jobs should be finished, the first aim first. */
-    private val aims = deployment.objectives.filterIsInstance<Objective.Finished>().sortedBy { it.withinS }
-        .groupBy({ it.className }, { it.withinS })
+    private val completionObjectives = deployment.objectives.filterIsInstance<Objective.Finished>().sortedBy { it.deadlineS }
+        .groupBy({ it.className }, { it.deadlineS })
     private val effects = ArrayList<Effect>()
     private val context = object : SchedulerContext {
         override val now get() = this@Scheduler.now
         override val listeningSinceMs get() = this@Scheduler.listeningSinceMs
         override fun leaseHeld() = this@Scheduler.leaseHeld()
-        override fun stalled() = writeSinceMs?.let { now.steadyMs - it > tuning.stallMs } == true
+        override fun stalled() = writeSinceMs?.let { now.steadyMs - it > timings.stallMs } == true
         override fun append(event: Event) = this@Scheduler.append(event)
         override fun stopAfter(seq: LogIndex, attempts: Collection<Attempt>) {
-            toStop.getOrPut(seq) { ArrayList() } += attempts
+            stopsAwaitingCommit.getOrPut(seq) { ArrayList() } += attempts
         }
         override fun emit(effect: Effect) {
             effects += effect
         }
-        override fun notes(level: LogLevel) = level <= noteLevel
+        override fun isLogged(level: LogLevel) = level <= logLevel
     }
-    private val jobRequests = JobRequests(context, ledger, journal, fleet, quota, deployment.teams, tuning.intakeMs)
-    private val orders = WorkerReconciler(ledger, journal)
-    private val cloudOrders = CloudRequests(
+    private val jobRequests = JobRequests(context, jobTable, decisionLog, fleet, quota, deployment.teams, timings.intakeMs)
+    private val commands = WorkerReconciler(jobTable, decisionLog)
+    private val cloudRequests = CloudRequests(
         context,
         deployment,
-        tuning,
+        timings,
         fleet,
-        journal,
+        decisionLog,
         term,
         isGone = { it in gone },
         adopt = { id, offer -> adopt(id, offer, now.steadyMs) },
     )
-    private val health = FailureDetector(context, fleet, ledger, tuning, start.steadyMs, cloudOrders::retire)
+    private val failureDetector = FailureDetector(context, fleet, jobTable, timings, start.steadyMs, cloudRequests::retire)
 
     /** Machines to which new orders go as soon as a record is committed. */
-    private val toPush = HashMap<LogIndex, MutableSet<MachineId>>()
+    private val pushesAwaitingCommit = HashMap<LogIndex, MutableSet<MachineId>>()
 
     /**
      * Cancelled attempts whose stops go out once the record is committed, and the machines to which they then go, a
      * few at a time. Left to each machine's next report, a task that was just fetching its image began after its
      * user had been told; and where an outage follows at once, only leases would end what runs.
      */
-    private val toStop = TreeMap<LogIndex, MutableList<Attempt>>()
-    private val stopsDue = LinkedHashSet<MachineId>()
+    private val stopsAwaitingCommit = TreeMap<LogIndex, MutableList<Attempt>>()
+    private val pendingStops = LinkedHashSet<MachineId>()
     private val gone = LinkedHashSet<MachineId>()
 
     private var now = start
@@ -132,9 +132,9 @@
 
     /** Nobody led before: there is nothing of which machines would have to tell first. */
     private val first = snapshot.head == LogIndex.NONE
-    private var heldUntilMs = start.steadyMs
-    private val firstVersion = FencingToken.first(term.revision)
-    private var version = firstVersion
+    private var validUntilMs = start.steadyMs
+    private val firstToken = FencingToken.first(term.revision)
+    private var token = firstToken
     private var writeSinceMs: Long? = null
     private var lastWriteMs = 0L
     private val budget = WriteBudget(deployment.stateWriteRps * WRITE_SHARE, start.steadyMs)
@@ -147,25 +147,25 @@
     private var lastFleetMs = 0L
     private var lastTrimMs = start.steadyMs
 
-    private val directReachability = DirectReachability(tuning.probeMs)
+    private val directReachability = DirectReachability(timings.probeMs)
     private var fleetListed = false
 
     /** Without it a new leader places blindly, and machines fetch again what their neighbours hold. */
-    private var imagesTold: Map<MachineId, ImageCache> = emptyMap()
+    private var imageCacheHints: Map<MachineId, ImageCache> = emptyMap()
     private var lastToldMs = start.steadyMs
     private var demands: List<Inventory.Demand> = emptyList()
-    private var stepped = false
+    private var hasSteppedDown = false
 
     /** Until then a machine that this leader never answered may go on under an older leader's lease. */
     private val inheritedLeaseEndMs =
-        start.steadyMs + tuning.graceMs + (deployment.leaseS * 1000).toLong() + tuning.leaseMarginMs
+        start.steadyMs + timings.graceMs + (deployment.leaseS * 1000).toLong() + timings.leaseMarginMs
 
     init {
-        snapshot.finals.forEach { ledger.restore(it.second) }
+        snapshot.finals.forEach { jobTable.restore(it.second) }
         val folded = HashMap<String, LogIndex>()
         snapshot.jobs.forEach { (cell, parts) ->
-            ledger.restore(cell)
-            ledger.job(cell.spec.id)?.partsWritten = parts
+            jobTable.restore(cell)
+            jobTable.job(cell.spec.id)?.partsWritten = parts
             folded[DecisionLog.JOB_PREFIX + cell.spec.id.text] = LogIndex(cell.upTo)
         }
         snapshot.fleet?.let {
@@ -175,35 +175,35 @@
         for ((seq, record) in snapshot.records) {
             for (event in record.events) replay(event, seq, folded)
         }
-        journal.restore(snapshot.head, snapshot.records, snapshot.finals, folded)
-        ledger.jobs.forEach { job ->
+        decisionLog.restore(snapshot.head, snapshot.records, snapshot.finals, folded)
+        jobTable.jobs.forEach { job ->
             // An older leader's orders may still be on their way, under versions below this term's first.
-            job.live.values.forEach { it.inherited = version }
+            job.live.values.forEach { it.inheritedToken = token }
             job.live.values.forEach { if (job.done[it.id.task.index]) it.stop = StopCause.STRAY }
             job.stopIfOver()
         }
     }
 
-    val openJobs get() = ledger.jobs.size
+    val openJobs get() = jobTable.jobs.size
     val machineCount get() = fleet.machines.size
 
     /** How often rounds weighed a task against a machine: what a round's time grows with. */
-    var looks = 0L
+    var candidatesEvaluated = 0L
         private set
 
     fun handle(batch: List<Input>, now: ClockReading): List<Effect> {
         this.now = now
         effects.clear()
         if (!mayAnswerMachines()) listeningSinceMs = now.steadyMs
-        for (command in batch) if (!stepped) take(command)
-        if (!stepped) {
+        for (command in batch) if (!hasSteppedDown) take(command)
+        if (!hasSteppedDown) {
             // What looks at every machine is done now and then; a batch costs what its commands change.
-            if (now.steadyMs - lastWatchMs >= tuning.watchMs) {
+            if (now.steadyMs - lastWatchMs >= timings.watchMs) {
                 lastWatchMs = now.steadyMs
                 watchMachines()
                 if (leaseHeld()) sendStops()
-                cloudOrders.send()
-                tellImages()
+                cloudRequests.send()
+                shareImageCacheHints()
             }
             if (mayPlace()) round()
             resizeFleet()
@@ -216,8 +216,8 @@
     private fun replay(event: Event, seq: LogIndex, folded: Map<String, LogIndex>) {
         when (event) {
             is Event.JobEvent -> {
-                if (ledger.finalState(event.job) != null) return
-                if ((folded[DecisionLog.JOB_PREFIX + event.job.text] ?: LogIndex.NONE) < seq) ledger.apply(event, seq)
+                if (jobTable.finalState(event.job) != null) return
+                if ((folded[DecisionLog.JOB_PREFIX + event.job.text] ?: LogIndex.NONE) < seq) jobTable.apply(event, seq)
             }
             is Event.InventoryEvent -> if ((folded[DecisionLog.FLEET] ?: LogIndex.NONE) < seq) fleet.apply(event)
         }
@@ -232,16 +232,16 @@
             is Input.FollowerBatchReceived -> followerBatch(command)
             is Input.ProbeAnswered -> inspected(command.report)
             is Input.DirectCallUnanswered -> fleet.machines[command.machine]?.let { directReachability.unanswered(it, now.steadyMs) }
-            is Input.LeaseRenewed -> heldUntilMs = maxOf(heldUntilMs, command.untilMs)
+            is Input.LeaseRenewed -> validUntilMs = maxOf(validUntilMs, command.untilMs)
             is Input.CommitSucceeded -> committed(command)
             is Input.MachineTypesListed -> typesListed(command.types)
             is Input.MachinesListed -> {
                 command.machines.forEach(::listed)
                 fleetListed = true
             }
-            is Input.RentalCompleted -> cloudOrders.rentalAnswered(command)
+            is Input.RentalCompleted -> cloudRequests.rentalAnswered(command)
             is Input.MachinesTerminated -> command.machines.forEach { confirmGone(it) }
-            is Input.ImageCacheHintsReceived -> imagesTold = command.images
+            is Input.ImageCacheHintsReceived -> imageCacheHints = command.images
             Input.Tick -> Unit
         }
     }
@@ -249,10 +249,10 @@
     // ---- the journal
 
     private fun append(event: Event): LogIndex {
-        val seq = journal.append(event)
+        val seq = decisionLog.append(event)
         if (event !is Event.TaskCompleted && event !is Event.AttemptTerminated) urgent = true
         when (event) {
-            is Event.JobEvent -> ledger.apply(event, seq)
+            is Event.JobEvent -> jobTable.apply(event, seq)
             is Event.InventoryEvent -> fleet.apply(event)
         }
         return seq
@@ -263,58 +263,58 @@
      * budget of changes goes; half of a second's worth of it is never spent on trimming.
      */
     private fun write() {
-        if (!journal.idle) return
-        if (now.steadyMs - lastTrimMs >= tuning.trimMs) {
+        if (!decisionLog.idle) return
+        if (now.steadyMs - lastTrimMs >= timings.trimMs) {
             lastTrimMs = now.steadyMs
             trimming = true
         }
         val allowed = budget.left(now.steadyMs)
         val trimChanges = if (trimming) minOf(deployment.stateTxnOps / 2, allowed - budget.burst / 2) else 0
         val mayTrim = trimChanges >= LEAST_TRIM
-        val due = journal.pending && (urgent || now.steadyMs - lastWriteMs >= tuning.roundMs) && allowed >= 2
+        val due = decisionLog.pending && (urgent || now.steadyMs - lastWriteMs >= timings.roundMs) && allowed >= 2
         if (!due && !mayTrim) return
-        val commit = journal.next(term, ledger, fleet::cell, if (mayTrim) trimChanges else 0) ?: return
-        if (mayTrim) trimming = journal.trimCutShort
+        val commit = decisionLog.next(term, jobTable, fleet::cell, if (mayTrim) trimChanges else 0) ?: return
+        if (mayTrim) trimming = decisionLog.trimCutShort
         budget.take(commit.changes.sumOf { if (it is Mutation.Put) it.parts else 1 })
         lastWriteMs = now.steadyMs
-        urgent = journal.pending
+        urgent = decisionLog.pending
         writeSinceMs = now.steadyMs
         effects += Effect.Write(commit)
     }
 
     private fun committed(command: Input.CommitSucceeded) {
-        journal.committed(command.seq, ledger)
+        decisionLog.committed(command.seq, jobTable)
         writeSinceMs = null
-        version = maxOf(version, FencingToken.first(command.revision))
-        while (toStop.isNotEmpty() && toStop.firstKey() <= journal.committed) {
+        token = maxOf(token, FencingToken.first(command.revision))
+        while (stopsAwaitingCommit.isNotEmpty() && stopsAwaitingCommit.firstKey() <= decisionLog.committed) {
             // What doesn't run yet goes first: its stop can still forestall the start.
-            toStop.pollFirstEntry().value.sortedBy { it.seen == TaskState.RUNNING }.mapTo(stopsDue) { it.machine }
+            stopsAwaitingCommit.pollFirstEntry().value.sortedBy { it.seen == TaskState.RUNNING }.mapTo(pendingStops) { it.machine }
         }
         sendStops()
         jobRequests.committed()
-        val machines = toPush.filterKeys { it <= journal.committed }
-        machines.keys.forEach(toPush::remove)
+        val machines = pushesAwaitingCommit.filterKeys { it <= decisionLog.committed }
+        machines.keys.forEach(pushesAwaitingCommit::remove)
         machines.values.flatMapTo(LinkedHashSet()) { it }.forEach { id -> fleet.machines[id]?.let(::push) }
-        cloudOrders.send()
+        cloudRequests.send()
     }
 
     /** What is left over goes with the next round or the machine's next report, whichever is first. */
     private fun sendStops() {
-        val due = stopsDue.take(FailureDetector.MOST_QUESTIONS)
-        stopsDue.removeAll(due.toSet())
-        due.forEach { id -> fleet.machines[id]?.let { if (it.lastHeardMs == null) health.probe(it) else push(it) } }
+        val due = pendingStops.take(FailureDetector.MAX_QUESTIONS)
+        pendingStops.removeAll(due.toSet())
+        due.forEach { id -> fleet.machines[id]?.let { if (it.lastHeardMs == null) failureDetector.probe(it) else push(it) } }
     }
 
     // ---- what the term allows
 
-    private fun mayAnswerMachines() = now.steadyMs < heldUntilMs + tuning.graceMs
-    private fun leaseHeld() = now.steadyMs < heldUntilMs
+    private fun mayAnswerMachines() = now.steadyMs < validUntilMs + timings.graceMs
+    private fun leaseHeld() = now.steadyMs < validUntilMs
 
     // ---- machines
 
     private fun reported(command: Input.HeartbeatReceived) {
         when (val decision = decide(command.report)) {
-            is HeartbeatDecision.Answer -> effects += Effect.AnswerHeartbeat(command.request, decision.version, decision.orders)
+            is HeartbeatDecision.Answer -> effects += Effect.AnswerHeartbeat(command.request, decision.token, decision.commands)
             HeartbeatDecision.Refuse, HeartbeatDecision.RequestFull -> effects += Effect.RefuseHeartbeat(command.request)
         }
         // What comes from a machine to this node itself shows that the path between them is whole.
@@ -323,12 +323,14 @@
 
     private fun followerBatch(command: Input.FollowerBatchReceived) {
         val decisions = command.reports.map(::decideForwarded)
-        val statuses = command.polls.map { if (stepped) UserReply.Unavailable("not the leader any more") else jobRequests.statusNow(it) }
+        val statuses = command.polls.map {
+            if (hasSteppedDown) UserReply.Unavailable("not the leader any more") else jobRequests.currentStatus(it)
+        }
         effects += Effect.AnswerFollower(command.request, decisions, statuses)
     }
 
     private fun decideForwarded(forwarded: ForwardedHeartbeat): HeartbeatDecision {
-        if (stepped || !mayAnswerMachines()) return HeartbeatDecision.Refuse
+        if (hasSteppedDown || !mayAnswerMachines()) return HeartbeatDecision.Refuse
         val decision = when (forwarded) {
             is ForwardedHeartbeat.Full -> decide(forwarded.report)
             is ForwardedHeartbeat.Unchanged -> decideHeartbeat(forwarded)
@@ -351,13 +353,13 @@
         val machine = fleet.machines.getValue(report.machine)
         machine.lastReportMs = now.steadyMs
         // Its next report shows the version of our last answer, unless that didn't reach it.
-        machine.answersLost = if (report.version < machine.answered) machine.answersLost + 1 else 0
-        val orders = ordersFor(machine)
-        if (orders.isNotEmpty()) version = version.next()
-        noteSent(machine, orders)
-        stopsDue -= machine.id
-        machine.answered = version
-        return HeartbeatDecision.Answer(version, orders)
+        machine.missedReplies = if (report.token < machine.answered) machine.missedReplies + 1 else 0
+        val commands = commandsFor(machine)
+        if (commands.isNotEmpty()) token = token.next()
+        recordSent(machine, commands)
+        pendingStops -= machine.id
+        machine.answered = token
+        return HeartbeatDecision.Answer(token, commands)
     }
 
     /**
@@ -369,36 +371,36 @@
      * and its tasks were started elsewhere.)
      */
     private fun observe(report: Heartbeat): Boolean {
-        if (report.version > version) {
-            stepDown("machine ${report.machine} has seen version ${report.version}, ours is $version")
+        if (report.token > token) {
+            stepDown("machine ${report.machine} has seen version ${report.token}, ours is $token")
             return false
         }
         if (report.machine in gone) return false
         val machine = fleet.machines[report.machine]
             ?: adopt(report.machine, Offer(report.type, report.zone, report.spot), now.steadyMs)
         if (machine.newerThan(report)) return false
-        if (report.session > machine.session) machine.forgetImages()
+        if (report.incarnation > machine.incarnation) machine.forgetImages()
         if (machine.lastHeardMs == null) {
-            imagesTold[machine.id]?.takeIf { it.session == report.session }?.sizesGb?.forEach(machine::sawImage)
+            imageCacheHints[machine.id]?.takeIf { it.incarnation == report.incarnation }?.sizesGb?.forEach(machine::recordImage)
         }
-        machine.addr = report.addr
-        machine.session = report.session
-        machine.seq = report.seq
-        machine.version = maxOf(machine.version, report.version)
-        if (report.version >= firstVersion) machine.confirmed = true
+        machine.address = report.address
+        machine.incarnation = report.incarnation
+        machine.sequenceNumber = report.sequenceNumber
+        machine.token = maxOf(machine.token, report.token)
+        if (report.token >= firstToken) machine.confirmed = true
         machine.lastHeardMs = now.steadyMs
         machine.probes = 0
         machine.leaseEndMs = maxOf(machine.leaseEndMs, leaseEndFromNow())
-        machine.noticeAtMs = report.noticeS?.let { now.steadyMs + (it * 1000).toLong() }
+        machine.preemptionAtMs = report.preemptionNoticeS?.let { now.steadyMs + (it * 1000).toLong() }
         machine.reported = report.tasks
         if (machine.state == MachineState.STARTING) {
             machine.state = MachineState.UP
             machine.missedSinceMs = now.steadyMs
             machine.idleSinceMs = now.steadyMs
-            note(LogLevel.INFO) { "machine ${machine.id} ${machine.offer} is up" }
+            logEvent(LogLevel.INFO) { "machine ${machine.id} ${machine.offer} is up" }
         }
         reconcile(machine, report)
-        if (machine.noticeAtMs != null && machine.state == MachineState.UP) drain(machine)
+        if (machine.preemptionAtMs != null && machine.state == MachineState.UP) drain(machine)
         return true
     }
 
@@ -412,7 +414,7 @@
         if (first) push(machine)
     }
 
-    private fun leaseEndFromNow() = now.steadyMs + (deployment.leaseS * 1000).toLong() + tuning.leaseMarginMs
+    private fun leaseEndFromNow() = now.steadyMs + (deployment.leaseS * 1000).toLong() + timings.leaseMarginMs
 
     private fun adopt(id: MachineId, offer: Offer, rentedAtMs: Long): Machine = fleet.adopt(id, offer, rentedAtMs).also {
         it.leaseEndMs = maxOf(it.leaseEndMs, inheritedLeaseEndMs, leaseEndFromNow())
@@ -422,22 +424,26 @@
         val shown = HashSet<AttemptId>()
         for (task in report.tasks) {
             shown += task.attempt
-            val attempt = ledger.attempt(task.attempt)?.takeIf { it.machine == machine.id }
+            val attempt = jobTable.attempt(task.attempt)?.takeIf { it.machine == machine.id }
             if (attempt != null) {
                 seen(machine, attempt, task)
-            } else if (task.state == TaskState.EXITED && task.why == ExitReason.DONE) {
+            } else if (task.state == TaskState.EXITED && task.exitReason == ExitReason.DONE) {
                 // A result is kept outside the machine, whichever attempt brought it about.
-                ledger.job(task.attempt.task.job)?.let { finish(machine, it, task.attempt) }
+                jobTable.job(task.attempt.task.job)?.let { finish(machine, it, task.attempt) }
             }
         }
-        for (attempt in ledger.attemptsOn(machine.id).toList()) {
+        for (attempt in jobTable.attemptsOn(machine.id).toList()) {
             if (attempt.id in shown) continue
             attempt.seen = null
             // Left to a machine that our answers don't reach, a task would wait there for as long as the way is cut.
-            if ((attempt.stop != null || !health.attended(machine)) && orders.surelyGone(attempt, machine)) over(attempt)
+            if ((attempt.stop != null || !failureDetector.isReachable(machine)) &&
+                commands.isTerminationConfirmed(attempt, machine)
+            ) {
+                over(attempt)
+            }
         }
-        orders.shown(machine.id, shown)
-        if (ledger.attemptsOn(machine.id).isNotEmpty()) machine.idleSinceMs = now.steadyMs
+        commands.shown(machine.id, shown)
+        if (jobTable.attemptsOn(machine.id).isNotEmpty()) machine.idleSinceMs = now.steadyMs
     }
 
     private fun seen(machine: Machine, attempt: Attempt, task: TaskStatus) {
@@ -446,26 +452,26 @@
         when (task.state) {
             TaskState.FETCHING -> Unit
             TaskState.WAITING, TaskState.RUNNING, TaskState.SAVING -> {
-                machine.sawImage(job.spec.image, job.spec.imageGb)
+                machine.recordImage(job.spec.image, job.spec.imageGb)
                 if (attempt.runningSinceMs == null) {
                     attempt.runningSinceMs = now.steadyMs
-                    note(LogLevel.DEBUG) { "task ${attempt.id} runs on machine ${machine.id}" }
+                    logEvent(LogLevel.DEBUG) { "task ${attempt.id} runs on machine ${machine.id}" }
                 }
             }
             TaskState.EXITED -> {
-                when (task.why) {
+                when (task.exitReason) {
                     ExitReason.DONE -> if (!job.done[attempt.id.task.index]) return finish(machine, job, attempt.id)
                     ExitReason.ERROR -> {
                         machine.faults++
                         delay(job)
-                        note(LogLevel.INFO) { "task ${attempt.id} failed on machine ${machine.id} (failure ${machine.faults} there)" }
+                        logEvent(LogLevel.INFO) { "task ${attempt.id} failed on machine ${machine.id} (failure ${machine.faults} there)" }
                     }
                     ExitReason.UNKNOWN -> delay(job)
                     ExitReason.NO_ROOM -> machine.fullUntilMs = now.steadyMs + (deployment.reportS * 1000).toLong()
                     ExitReason.BUSY, ExitReason.STOPPED, ExitReason.PEERS_MISSING, null -> Unit
                 }
-                if (task.why != ExitReason.DONE) {
-                    note(LogLevel.DEBUG) { "task ${attempt.id} ended on machine ${machine.id}: ${task.why}" }
+                if (task.exitReason != ExitReason.DONE) {
+                    logEvent(LogLevel.DEBUG) { "task ${attempt.id} ended on machine ${machine.id}: ${task.exitReason}" }
                 }
                 over(attempt)
             }
@@ -476,65 +482,65 @@
     private fun delay(job: Job) {
         job.failures++
         val most = (deployment.leaseS * 1000).toLong()
-        job.notBeforeMs = now.steadyMs + minOf(most, tuning.roundMs shl minOf(job.failures - 1, 20))
+        job.notBeforeMs = now.steadyMs + minOf(most, timings.roundMs shl minOf(job.failures - 1, 20))
     }
 
     /** A task's result is there; if the job's live attempt of it brought it about, that is over, too. */
     private fun finish(machine: Machine, job: Job, attempt: AttemptId) {
         if (job.done[attempt.task.index]) return
-        note(LogLevel.DEBUG) { "task $attempt is done" }
-        orders.outcome(machine.id, attempt, append(Event.TaskCompleted(job.id, attempt.task.index, attempt.number)))
+        logEvent(LogLevel.DEBUG) { "task $attempt is done" }
+        commands.outcome(machine.id, attempt, append(Event.TaskCompleted(job.id, attempt.task.index, attempt.number)))
         job.failures = 0
         job.live[attempt.task.index]?.stop = StopCause.STRAY
-        if (ledger.attemptsOn(machine.id).isEmpty()) machine.idleSinceMs = now.steadyMs
+        if (jobTable.attemptsOn(machine.id).isEmpty()) machine.idleSinceMs = now.steadyMs
         job.stopIfOver()
-        if (job.finishedSeq != null) note(LogLevel.DEBUG) { "job ${job.id} is done" }
+        if (job.finishedSeq != null) logEvent(LogLevel.DEBUG) { "job ${job.id} is done" }
     }
 
     /** The attempt is surely gone; its task may start again. */
     private fun over(attempt: Attempt) {
-        orders.outcome(
+        commands.outcome(
             attempt.machine,
             attempt.id,
             append(Event.AttemptTerminated(attempt.id.task.job, attempt.id.task.index, attempt.id.number)),
         )
         val machine = fleet.machines[attempt.machine] ?: return
-        if (ledger.attemptsOn(machine.id).isEmpty()) machine.idleSinceMs = now.steadyMs
+        if (jobTable.attemptsOn(machine.id).isEmpty()) machine.idleSinceMs = now.steadyMs
     }
 
-    private fun ordersFor(machine: Machine) = if (version.countLeft == 0L) emptyList() else orders.of(machine)
+    private fun commandsFor(machine: Machine) = if (token.countLeft == 0L) emptyList() else commands.of(machine)
 
-    private fun noteSent(machine: Machine, orders: List<WorkerCommand>) {
-        for (order in orders) {
-            note(LogLevel.DEBUG) {
-                "$order to machine ${machine.id} session ${machine.session} under version $version; records up to ${journal.committed} are committed"
+    private fun recordSent(machine: Machine, commands: List<WorkerCommand>) {
+        for (order in commands) {
+            logEvent(LogLevel.DEBUG) {
+                "$order to machine ${machine.id} session ${machine.incarnation} under version $token; records up to ${decisionLog.committed} are committed"
             }
             if (order is WorkerCommand.Start) {
-                ledger.attempt(order.attempt)?.let {
-                    it.sent = version
-                    it.sentSession = machine.session
+                jobTable.attempt(order.attempt)?.let {
+                    it.sent = token
+                    it.sentIncarnation = machine.incarnation
                 }
             }
         }
     }
 
     private fun push(machine: Machine) {
-        val addr = machine.addr ?: return
+        val address = machine.address ?: return
         if (machine.state == MachineState.STARTING) return
-        val orders = ordersFor(machine)
-        if (orders.isEmpty()) return
-        version = version.next()
-        noteSent(machine, orders)
-        effects += Effect.SendCommands(machine.id, addr, machine.session, version, orders)
+        val commands = commandsFor(machine)
+        if (commands.isEmpty()) return
+        token = token.next()
+        recordSent(machine, commands)
+        effects += Effect.SendCommands(machine.id, address, machine.incarnation, token, commands)
     }
 
     private fun pushAfter(seq: LogIndex, machine: MachineId) {
-        toPush.getOrPut(seq) { LinkedHashSet() } += machine
+        pushesAwaitingCommit.getOrPut(seq) { LinkedHashSet() } += machine
     }
 
     /** A machine about to be taken gets nothing new, and what can be saved is saved in time. */
     private fun drain(machine: Machine) {
-        for (attempt in ledger.attemptsOn(machine.id)) {
+        for (attempt in jobTable.attemptsOn(machine.id)) {
             if (attempt.stop == null && attempt.job.spec.checkpointS > 0) attempt.stop = StopCause.DRAIN
         }
     }
@@ -542,35 +548,40 @@
     private fun watchMachines() {
         for (machine in fleet.machines.values.toList()) {
             if (now.steadyMs >= machine.leaseEndMs) {
-                ledger.attemptsOn(machine.id).toList().forEach(::over)
+                jobTable.attemptsOn(machine.id).toList().forEach(::over)
             }
         }
-        for (id in ledger.machinesInUse.toList()) {
-            if (id !in fleet.machines && now.steadyMs >= inheritedLeaseEndMs) ledger.attemptsOn(id).toList().forEach(::over)
+        for (id in jobTable.machinesInUse.toList()) {
+            if (id !in fleet.machines && now.steadyMs >= inheritedLeaseEndMs) jobTable.attemptsOn(id).toList().forEach(::over)
         }
-        if (leaseHeld() && now.steadyMs - startedMs < tuning.takeOverMs) health.askUnheard()
-        if (!settled()) return
-        fleet.machines.values.forEach(health::missIfRunning)
-        handOverIfCutOff()
-        if (stepped) return
-        health.findSilent()
-        health.findDeaf()
-        fleet.neverUp(now.steadyMs, listeningSinceMs).forEach { cloudOrders.retire(it.id, "it never came up") }
+        if (leaseHeld() && now.steadyMs - startedMs < timings.failoverMs) failureDetector.probeUnheard()
+        if (!isSettled()) return
+        fleet.machines.values.forEach(failureDetector::suspectIfRunning)
+        transferLeadershipIfUnreachable()
+        if (hasSteppedDown) return
+        failureDetector.findSilent()
+        failureDetector.findMachinesMissingReplies()
+        fleet.overdueBoots(now.steadyMs, listeningSinceMs).forEach { cloudRequests.retire(it.id, "it never came up") }
     }
 
     /**
      * Machines that report through followers don't get direct commands: a node with a whole path to them serves better.
      * A leader that kept the state service and lost only its machines once took all of them for silent, and returned them.
      */
-    private fun handOverIfCutOff() {
-        if (directReachability.isCut(now.steadyMs)) stepDown("direct commands don't reach machines that report to others", handOver = true)
+    private fun transferLeadershipIfUnreachable() {
+        if (directReachability.isCut(
+                now.steadyMs,
+            )
+        ) {
+            stepDown("direct commands don't reach machines that report to others", transferLeadership = true)
+        }
     }
 
     private fun confirmGone(id: MachineId) {
         if (id !in fleet.retired) return
-        ledger.attemptsOn(id).toList().forEach(::over)
+        jobTable.attemptsOn(id).toList().forEach(::over)
         append(Event.MachineTerminated(id))
-        cloudOrders.returned(id)
+        cloudRequests.returned(id)
         gone += id
         if (gone.size > GONE_KEPT) gone.remove(gone.first())
     }
@@ -589,10 +600,10 @@
             now.steadyMs - (listed.ageS * 1000).toLong(),
         )
         machine.listedRunning = listed.state == ListedState.RUNNING
-        if (machine.addr == null) machine.addr = listed.addr
-        health.missIfRunning(machine)
-        if (listed.state == ListedState.FAILED && machine.state != MachineState.RETIRED && settled()) {
-            cloudOrders.retire(machine.id, "it has failed")
+        if (machine.address == null) machine.address = listed.address
+        failureDetector.suspectIfRunning(machine)
+        if (listed.state == ListedState.FAILED && machine.state != MachineState.RETIRED && isSettled()) {
+            cloudRequests.retire(machine.id, "it has failed")
         }
     }
 
@@ -604,56 +615,57 @@
      * reported yet, as renting and returning, waits for a report period.
      */
     private fun mayPlace() = leaseHeld() && fleet.types.isNotEmpty()
-    private fun settled() = mayPlace() && (first && listeningSinceMs == startedMs || now.steadyMs - listeningSinceMs >= tuning.takeOverMs)
+    private fun isSettled() =
+        mayPlace() && (first && listeningSinceMs == startedMs || now.steadyMs - listeningSinceMs >= timings.failoverMs)
 
     private fun round() {
-        if (now.steadyMs - lastRoundMs < tuning.roundMs || !journal.idle || journal.backlog > MOST_BACKLOG) return
+        if (now.steadyMs - lastRoundMs < timings.roundMs || !decisionLog.idle || decisionLog.backlog > MAX_BACKLOG) return
         lastRoundMs = now.steadyMs
-        val waiting = ledger.jobs.filter { it.waiting > 0 && it.notBeforeMs <= now.steadyMs }
+        val waiting = jobTable.jobs.filter { it.waiting > 0 && it.notBeforeMs <= now.steadyMs }
         if (waiting.isEmpty()) {
             demands = emptyList()
             return
         }
         val usable = fleet.machines.values.filter(::usable)
         val look = placement.Look(usable, now.steadyMs)
-        val stuck = HashSet<PlacementClass>()
-        val lacking = ArrayList<UnplacedTasks>()
-        val jobs = SchedulingOrder(aims, quota, now.wallMs).order(waiting)
+        val unplaceableClasses = HashSet<PlacementClass>()
+        val unplaced = ArrayList<UnplacedTasks>()
+        val jobs = SchedulingOrder(completionObjectives, quota, now.wallMs).order(waiting)
         // However long the queue, each job begins in time: overdue ones get their first task before the rest.
-        for (job in jobs) if (SchedulingOrder.overdue(job, now.wallMs)) place(job, look, stuck, lacking, most = 1)
-        lacking.clear()
-        for (job in jobs) place(job, look, stuck, lacking)
-        demands = DemandForecast(fleet, ledger, aims).demands(lacking)
-        looks += look.looks
+        for (job in jobs) if (SchedulingOrder.overdue(job, now.wallMs)) place(job, look, unplaceableClasses, unplaced, most = 1)
+        unplaced.clear()
+        for (job in jobs) place(job, look, unplaceableClasses, unplaced)
+        demands = DemandForecast(fleet, jobTable, completionObjectives).demands(unplaced)
+        candidatesEvaluated += look.candidatesEvaluated
     }
 
     private fun usable(machine: Machine) = machine.state == MachineState.UP &&
-        machine.noticeAtMs == null &&
+        machine.preemptionAtMs == null &&
         machine.fullUntilMs <= now.steadyMs &&
         machine.confirmed &&
-        health.attended(machine) &&
-        health.quietMs(machine) < tuning.probeMs
+        failureDetector.isReachable(machine) &&
+        failureDetector.silentForMs(machine) < timings.probeMs
 
     private fun place(
         job: Job,
         look: Placement.Look,
-        stuck: MutableSet<PlacementClass>,
-        lacking: MutableList<UnplacedTasks>,
+        unplaceableClasses: MutableSet<PlacementClass>,
+        unplaced: MutableList<UnplacedTasks>,
         most: Int = Int.MAX_VALUE,
     ) {
         val shape = job.spec.placementClass
-        if (job.spec.kind == JobKind.GANG) return placeGang(job, look, lacking)
+        if (job.spec.kind == JobKind.GANG) return placeGang(job, look, unplaced)
         var placed = 0
         while (placed < most) {
             val index = job.nextWaiting() ?: return
             if (!quota.allows(job.spec)) return
-            val machine = if (shape in stuck) null else look.choose(job)
+            val machine = if (shape in unplaceableClasses) null else look.choose(job)
             if (machine == null) {
                 // What fits nowhere for one job fits nowhere for its like, unless other tasks of the job decide.
-                if (!job.spec.oneZone && !job.spec.spread) stuck += shape
+                if (!job.spec.oneZone && !job.spec.spread) unplaceableClasses += shape
                 val count = minOf(job.waiting, quota.roomFor(job.spec))
                 val left = count - preempt(job, look, count)
-                if (left > 0) lacking += UnplacedTasks(job.spec, left)
+                if (left > 0) unplaced += UnplacedTasks(job.spec, left)
                 return
             }
             start(job, index, machine)
@@ -663,12 +675,12 @@
 
     /** Makes room for a job's next tasks by stopping work of lower priority, as the page allows; tells for how many. */
     private fun preempt(job: Job, look: Placement.Look, count: Int): Int {
-        if (job.spec.priority != Priority.PRODUCTION || !settled()) return 0
+        if (job.spec.priority != Priority.PRODUCTION || !isSettled()) return 0
         val machines = LinkedHashSet<Machine>()
         val made = look.makeRoom(job, count)
         for (victim in made.victims) {
             victim.stop = StopCause.PREEMPTED
-            note(LogLevel.DEBUG) { "task ${victim.id} on machine ${victim.machine} makes room for job ${job.id}" }
+            logEvent(LogLevel.DEBUG) { "task ${victim.id} on machine ${victim.machine} makes room for job ${job.id}" }
             fleet.machines[victim.machine]?.let { machines += it }
         }
         machines.forEach(::push)
@@ -676,16 +688,16 @@
     }
 
     /** A gang is started whole, and again only when nothing of an earlier start is left. */
-    private fun placeGang(job: Job, look: Placement.Look, lacking: MutableList<UnplacedTasks>) {
+    private fun placeGang(job: Job, look: Placement.Look, unplaced: MutableList<UnplacedTasks>) {
         if (job.live.isNotEmpty() || quota.roomFor(job.spec) < job.waiting) return
         val machines = look.chooseAll(job)
         if (machines == null) {
-            lacking += UnplacedTasks(job.spec, job.waiting)
+            unplaced += UnplacedTasks(job.spec, job.waiting)
             return
         }
         // The tasks of a gang find each other by their attempt, so one number serves them all.
         val number = job.lastNumber + 1
-        journal.keepTogether(machines.mapIndexed { index, machine -> Event.AttemptStarted(job.id, index, number, machine.id) })
+        decisionLog.keepTogether(machines.mapIndexed { index, machine -> Event.AttemptStarted(job.id, index, number, machine.id) })
         for (machine in machines) start(job, job.nextWaiting() ?: return, machine, number)
     }
 
@@ -693,37 +705,37 @@
         val seq = append(Event.AttemptStarted(job.id, index, number, machine.id))
         machine.idleSinceMs = now.steadyMs
         pushAfter(seq, machine.id)
-        note(LogLevel.DEBUG) { "task ${job.id}/$index#${job.lastNumber} goes to machine ${machine.id} with record $seq" }
+        logEvent(LogLevel.DEBUG) { "task ${job.id}/$index#${job.lastNumber} goes to machine ${machine.id} with record $seq" }
     }
 
     private fun resizeFleet() {
         // The cloud's list tells as well as reports what there is: what hasn't reported counts as on its way.
-        if (!settled() && !(mayPlace() && fleetListed) || now.steadyMs - lastFleetMs < FLEET_ROUND_MS) return
+        if (!isSettled() && !(mayPlace() && fleetListed) || now.steadyMs - lastFleetMs < FLEET_ROUND_MS) return
         lastFleetMs = now.steadyMs
         val room = (deployment.cloudRps / 2).toInt().coerceAtLeast(1) - fleet.rentals.size
         if (room > 0) {
             for ((offer, count) in fleet.wanted(demands, now.steadyMs, room)) {
-                cloudOrders.rent(offer, count)
+                cloudRequests.rent(offer, count)
             }
         }
-        if (!settled()) return
-        fleet.idle(now.steadyMs, listeningSinceMs).forEach { cloudOrders.retire(it.id, "it is idle") }
+        if (!isSettled()) return
+        fleet.idle(now.steadyMs, listeningSinceMs).forEach { cloudRequests.retire(it.id, "it is idle") }
     }
 
-    private fun tellImages() {
-        if (now.steadyMs - lastToldMs < tuning.tellImagesMs) return
+    private fun shareImageCacheHints() {
+        if (now.steadyMs - lastToldMs < timings.imageHintPeriodMs) return
         lastToldMs = now.steadyMs
         val up = fleet.machines.values.filter { it.state == MachineState.UP && it.lastHeardMs != null }
-        effects += Effect.ShareImageCacheHints(up.associate { it.id to it.heldImages() })
+        effects += Effect.ShareImageCacheHints(up.associate { it.id to it.imageCache() })
     }
 
-    private fun stepDown(reason: String, handOver: Boolean = false) {
-        stepped = true
-        effects += Effect.StepDown(reason, handOver)
+    private fun stepDown(reason: String, transferLeadership: Boolean = false) {
+        hasSteppedDown = true
+        effects += Effect.StepDown(reason, transferLeadership)
     }
 
-    private inline fun note(level: LogLevel, text: () -> String) {
-        if (level <= noteLevel) effects += Effect.Log(level, text())
+    private inline fun logEvent(level: LogLevel, text: () -> String) {
+        if (level <= logLevel) effects += Effect.Log(level, text())
     }
 
     private companion object {
@@ -737,7 +749,7 @@
         const val LEAST_TRIM = 4
 
         /** Rounds wait while more records than these wait to be written. */
-        const val MOST_BACKLOG = 2
+        const val MAX_BACKLOG = 2
 
         /** The fleet is looked at about as often as machines' lists can show anything new. */
         const val FLEET_ROUND_MS = 1000L
--- a/src/main/kotlin/cleathitch/scheduler/api/Effect.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/Effect.kt
@@ -11,7 +11,7 @@
 /** What the engine wants done, in this order. */
 sealed interface Effect {
     data class Answer(val request: RequestId, val reply: UserReply) : Effect
-    data class AnswerHeartbeat(val request: RequestId, val version: FencingToken, val orders: List<WorkerCommand>) : Effect
+    data class AnswerHeartbeat(val request: RequestId, val token: FencingToken, val commands: List<WorkerCommand>) : Effect
     data class RefuseHeartbeat(val request: RequestId) : Effect
 
     /** The decisions about a follower's reports and the answers to its polls, each in the order of the batch. */
@@ -26,21 +26,21 @@
 
     data class SendCommands(
         override val machine: MachineId,
-        val addr: String,
-        val session: Long,
-        val version: FencingToken,
-        val orders: List<WorkerCommand>,
+        val address: String,
+        val incarnation: Long,
+        val token: FencingToken,
+        val commands: List<WorkerCommand>,
     ) : ToWorker
 
     /** Asks a machine for its report. */
-    data class Probe(override val machine: MachineId, val addr: String) : ToWorker
+    data class Probe(override val machine: MachineId, val address: String) : ToWorker
     data class Rent(val asked: Event.RentalRequested) : Effect
     data class TerminateMachines(val machines: List<MachineId>) : Effect
 
     /** For the followers, of which one may lead next. */
     data class ShareImageCacheHints(val images: Map<MachineId, ImageCache>) : Effect
 
-    /** Gives the term up; [handOver] leaves the next one to others, who are better placed. */
-    data class StepDown(val reason: String, val handOver: Boolean = false) : Effect
+    /** Gives the term up; [transferLeadership] leaves the next one to others, who are better placed. */
+    data class StepDown(val reason: String, val transferLeadership: Boolean = false) : Effect
     data class Log(val level: LogLevel, val text: String) : Effect
 }
--- a/src/main/kotlin/cleathitch/scheduler/api/ForwardedHeartbeat.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/ForwardedHeartbeat.kt
@@ -15,14 +15,14 @@
 
     /**
      * A report that equals an earlier one of the same session in everything but its sequence number, version and
-     * spot notice. [baseSeq] is the sequence number of that earlier report, which this leader acknowledged.
+     * spot notice. [baseSequenceNumber] is the sequence number of that earlier report, which this leader acknowledged.
      */
     data class Unchanged(
         override val machine: MachineId,
-        val session: Long,
-        val seq: Long,
-        val version: FencingToken,
-        val noticeS: Double?,
-        val baseSeq: Long,
+        val incarnation: Long,
+        val sequenceNumber: Long,
+        val token: FencingToken,
+        val preemptionNoticeS: Double?,
+        val baseSequenceNumber: Long,
     ) : ForwardedHeartbeat
 }
--- a/src/main/kotlin/cleathitch/scheduler/api/HeartbeatDecision.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/HeartbeatDecision.kt
@@ -5,7 +5,7 @@
 
 /** What the leader decided about one report. Only an [Answer] may renew a worker's lease. */
 sealed interface HeartbeatDecision {
-    data class Answer(val version: FencingToken, val orders: List<WorkerCommand>) : HeartbeatDecision
+    data class Answer(val token: FencingToken, val commands: List<WorkerCommand>) : HeartbeatDecision
 
     /** The worker must not get an answer that renews its lease. */
     data object Refuse : HeartbeatDecision
--- a/src/main/kotlin/cleathitch/scheduler/api/SchedulerContext.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerContext.kt
@@ -24,9 +24,9 @@
     fun emit(effect: Effect)
 
     /** Whether notes of this level are written at all. */
-    fun notes(level: LogLevel): Boolean
+    fun isLogged(level: LogLevel): Boolean
 }
 
-internal inline fun SchedulerContext.note(level: LogLevel, text: () -> String) {
-    if (notes(level)) emit(Effect.Log(level, text()))
+internal inline fun SchedulerContext.logEvent(level: LogLevel, text: () -> String) {
+    if (isLogged(level)) emit(Effect.Log(level, text()))
 }
--- a/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
@@ -27,8 +27,8 @@
     val returnGapMs: Long,
 
     /** How often the followers hear which machine holds which images. */
-    val tellImagesMs: Long,
-    val takeOverMs: Long,
+    val imageHintPeriodMs: Long,
+    val failoverMs: Long,
 
     /** For how long a follower gathers reports before it hands them to the leader. */
     val forwardMs: Long,
@@ -46,8 +46,8 @@
         fun of(deployment: Deployment, trimS: Double? = null): SchedulerTimings {
             val wait = deployment.objectives.mapNotNull {
                 when (it) {
-                    is Objective.Wait -> it.withinS
-                    is Objective.Guarantee -> it.withinS
+                    is Objective.Wait -> it.deadlineS
+                    is Objective.Guarantee -> it.deadlineS
                     is Objective.Finished -> null
                 }
             }.minOrNull()
@@ -71,8 +71,8 @@
                 silentMs = (reportMs * 2).toLong(),
                 lostMs = (deployment.leaseS * 1000 + reportMs).toLong(),
                 returnGapMs = (2000 / deployment.cloudRps).toLong(),
-                tellImagesMs = (reportMs * 1.5).toLong(),
-                takeOverMs = (reportMs * 1.25).toLong(),
+                imageHintPeriodMs = (reportMs * 1.5).toLong(),
+                failoverMs = (reportMs * 1.25).toLong(),
                 forwardMs = (reportMs / 80).toLong(),
                 stallMs = (reportMs / 4).toLong(),
                 intakeMs = (reportMs / 2).toLong(),
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
@@ -6,7 +6,7 @@
 import cleathitch.scheduler.api.RentalAnswer
 import cleathitch.scheduler.api.SchedulerContext
 import cleathitch.scheduler.api.SchedulerTimings
-import cleathitch.scheduler.api.note
+import cleathitch.scheduler.api.logEvent
 import cleathitch.scheduler.log.DecisionLog
 import cleathitch.scheduler.log.Event
 import cleathitch.scheduler.log.LogIndex
@@ -24,9 +24,9 @@
 internal class CloudRequests(
     private val context: SchedulerContext,
     private val deployment: Deployment,
-    private val tuning: SchedulerTimings,
+    private val timings: SchedulerTimings,
     private val fleet: Inventory,
-    private val journal: DecisionLog,
+    private val decisionLog: DecisionLog,
     term: Term,
     private val isGone: (MachineId) -> Boolean,
     private val adopt: (MachineId, Offer) -> Machine,
@@ -44,7 +44,7 @@
     fun rent(offer: Offer, count: Int) {
         val asked = Event.RentalRequested("$requestPrefix${rentals++}", offer, count)
         recordOf[asked.request] = context.append(asked)
-        context.note(LogLevel.INFO) { "rental ${asked.request}: asking for $count $offer" }
+        context.logEvent(LogLevel.INFO) { "rental ${asked.request}: asking for $count $offer" }
     }
 
     /** The cloud has confirmed that the machine is gone. */
@@ -56,7 +56,7 @@
         // What isn't settled yet has to fit into one value.
         if (fleet.retired.size >= deployment.stateValueBytes / RETIRED_BYTES) return
         recordOf[id.text] = context.append(Event.MachineTerminationRequested(id))
-        context.note(LogLevel.INFO) { "machine $id is returned: $reason" }
+        context.logEvent(LogLevel.INFO) { "machine $id is returned: $reason" }
     }
 
     fun rentalAnswered(command: Input.RentalCompleted) {
@@ -68,12 +68,12 @@
                 answer.machines.filter { !isGone(it) }.forEach { adopt(it, asked.offer).confirmed = true }
                 if (answer.machines.size < asked.count) fleet.refused(asked.offer, context.now.steadyMs)
                 context.append(Event.RentalResolved(command.request))
-                context.note(LogLevel.INFO) { "rental ${command.request}: ${answer.machines.size} of ${asked.count} ${asked.offer}" }
+                context.logEvent(LogLevel.INFO) { "rental ${command.request}: ${answer.machines.size} of ${asked.count} ${asked.offer}" }
             }
             RentalAnswer.NoCapacity, RentalAnswer.Rejected -> {
                 fleet.refused(asked.offer, context.now.steadyMs)
                 context.append(Event.RentalResolved(command.request))
-                context.note(LogLevel.INFO) { "rental ${command.request}: refused ${asked.offer}" }
+                context.logEvent(LogLevel.INFO) { "rental ${command.request}: refused ${asked.offer}" }
             }
             RentalAnswer.Unknown -> rentalSentMs[command.request] = context.now.steadyMs
         }
@@ -90,7 +90,7 @@
             }
         }
         // Returns go many to a call; the gap gathers them.
-        if (fleet.retired.isNotEmpty() && context.now.steadyMs - lastReturnMs >= tuning.returnGapMs) {
+        if (fleet.retired.isNotEmpty() && context.now.steadyMs - lastReturnMs >= timings.returnGapMs) {
             val due = fleet.retired.filter { id ->
                 val sent = returnSentMs[id]
                 recorded(id.text) && (sent == null || context.now.steadyMs - sent >= againMs)
@@ -104,7 +104,7 @@
         if (returnSentMs.size > fleet.retired.size) returnSentMs.keys.retainAll(fleet.retired)
     }
 
-    private fun recorded(name: String) = (recordOf[name] ?: LogIndex.NONE) <= journal.committed
+    private fun recorded(name: String) = (recordOf[name] ?: LogIndex.NONE) <= decisionLog.committed
 
     private companion object {
         /** The page's limit for one call. */
--- a/src/main/kotlin/cleathitch/scheduler/capacity/DemandForecast.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/DemandForecast.kt
@@ -11,7 +11,11 @@
  * How many of the tasks without room need new machines. Running tasks end and make room, often sooner
  * than a machine boots; as long as a class can wait for that and still meet its aim, nothing is rented.
  */
-class DemandForecast(private val fleet: Inventory, private val ledger: JobTable, private val aims: Map<String, List<Double>>) {
+class DemandForecast(
+    private val fleet: Inventory,
+    private val jobTable: JobTable,
+    private val completionObjectives: Map<String, List<Double>>,
+) {
     /** What a class lacks, after what running tasks leave within half of their slack, and within all of it. */
     private class Want {
         var tasks = 0
@@ -28,15 +32,15 @@
         }
     }
 
-    fun demands(lacking: List<UnplacedTasks>): List<Inventory.Demand> {
-        if (lacking.isEmpty()) return emptyList()
-        val freed = ledger.jobs.filter { it.spec.kind == JobKind.ARRAY && it.spec.estimateS > 0 }
+    fun demands(unplaced: List<UnplacedTasks>): List<Inventory.Demand> {
+        if (unplaced.isEmpty()) return emptyList()
+        val freed = jobTable.jobs.filter { it.spec.kind == JobKind.ARRAY && it.spec.estimateS > 0 }
             .sumOf { it.live.size * it.spec.cpus / it.spec.estimateS }
         val wants = LinkedHashMap<PlacementClass, Want>()
         // Processors that are freed, but by then taken by classes before: within half of the slack, and within all.
         var usedSoon = 0.0
         var usedLate = 0.0
-        for (lack in lacking) {
+        for (lack in unplaced) {
             val cpus = lack.spec.cpus
             val slackS = slackS(lack.spec)
             val soon = minOf(lack.count * cpus, (freed * slackS / 2 - usedSoon).coerceAtLeast(0.0))
@@ -61,8 +65,9 @@
     private fun slackS(spec: JobSpec): Double {
         if (spec.kind != JobKind.ARRAY) return 0.0
         val fetchS = spec.imageGb / (fleet.types.values.maxOfOrNull { it.fetchGbPerS } ?: return 0.0)
-        val aims = aims[spec.className] ?: listOf(spec.deadlineS ?: return 0.0)
-        return aims.firstOrNull { it > spec.estimateS + fetchS }?.let { it - spec.estimateS - fetchS } ?: aims.last()
+        val completionObjectives = completionObjectives[spec.className] ?: listOf(spec.deadlineS ?: return 0.0)
+        return completionObjectives.firstOrNull { it > spec.estimateS + fetchS }?.let { it - spec.estimateS - fetchS }
+            ?: completionObjectives.last()
     }
 
     private companion object {
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Attempt.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Attempt.kt
@@ -19,14 +19,14 @@
     var sent: FencingToken? = null
 
     /** The machine's session for which this leader last sent the start. */
-    var sentSession = 0L
+    var sentIncarnation = 0L
 
     /** The version up to which an order of an earlier term may still be on its way. */
-    var inherited: FencingToken? = null
+    var inheritedToken: FencingToken? = null
     var stop: StopCause? = null
     var stopSentAtMs: Long? = null
     var runningSinceMs: Long? = null
 
     /** Any start on its way bears this version at most; null: surely none was ever sent. */
-    val newestStart: FencingToken? get() = sent ?: inherited
+    val newestStartToken: FencingToken? get() = sent ?: inheritedToken
 }
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Quota.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Quota.kt
@@ -5,10 +5,10 @@
 import cleathitch.scheduler.model.Team
 
 /** A team's limit, counted over everything that may still be running. */
-class Quota(private val teams: Map<String, Team>, private val ledger: JobTable) {
+class Quota(private val teams: Map<String, Team>, private val jobTable: JobTable) {
     fun allows(spec: JobSpec): Boolean {
         val team = teams[spec.team] ?: return false
-        val load = ledger.loadOfTeam(spec.team)
+        val load = jobTable.loadOfTeam(spec.team)
         return within((load?.cpus ?: 0.0) + spec.cpus, team.maxCpus) &&
             within((load?.gpus ?: 0.0) + spec.gpus, team.maxGpus)
     }
@@ -23,7 +23,7 @@
     /** Whether one more task stays inside what the team is guaranteed. */
     fun insideGuarantee(spec: JobSpec): Boolean {
         val team = teams[spec.team] ?: return false
-        val load = ledger.loadOfTeam(spec.team)
+        val load = jobTable.loadOfTeam(spec.team)
         return (load?.cpus ?: 0.0) + spec.cpus <= team.cpus + ROUNDING &&
             (load?.gpus ?: 0.0) + spec.gpus <= team.gpus + ROUNDING
     }
@@ -31,7 +31,7 @@
     /** How many more tasks like this the team's limit allows now. */
     fun roomFor(spec: JobSpec): Int {
         val team = teams[spec.team] ?: return 0
-        val load = ledger.loadOfTeam(spec.team)
+        val load = jobTable.loadOfTeam(spec.team)
         fun room(use: Double, each: Double, limit: Double?) =
             if (limit == null || each <= 0) Int.MAX_VALUE else ((limit - use + ROUNDING) / each).toInt().coerceAtLeast(0)
         return minOf(room(load?.cpus ?: 0.0, spec.cpus, team.maxCpus), room(load?.gpus ?: 0.0, spec.gpus, team.maxGpus))
--- a/src/main/kotlin/cleathitch/scheduler/log/CompactionPlan.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/CompactionPlan.kt
@@ -14,7 +14,7 @@
 internal class CompactionPlan(
     private val seq: LogIndex,
     private val limits: Limits,
-    private val ledger: JobTable,
+    private val jobTable: JobTable,
     private val sizes: DecisionLog.Sizes,
     private val fleetCell: (LogIndex) -> InventorySnapshot,
     private val foldedBefore: Map<String, LogIndex>,
@@ -46,7 +46,7 @@
 
     /** Folds the cells of a record and deletes it, as far as there is room. */
     fun take(record: LogIndex, content: RetainedRecord) {
-        if (content.hasUnseenStarts(ledger)) return
+        if (content.hasUnseenStarts(jobTable)) return
         for (cell in content.cells) {
             if (foldedUpTo(cell) >= record) continue
             if (!hasRoom() || !fold(cell)) {
@@ -74,14 +74,14 @@
             return true
         }
         // A job that isn't known any more was archived by an earlier trim.
-        val job = ledger.job(JobId(cell.removePrefix(DecisionLog.JOB_PREFIX))) ?: return true
+        val job = jobTable.job(JobId(cell.removePrefix(DecisionLog.JOB_PREFIX))) ?: return true
         if (!job.over || job.live.isNotEmpty()) return foldOpen(job)
         archive(job)
         return true
     }
 
     private fun foldOpen(job: Job): Boolean {
-        val stored = ledger.cellOf(job, seq)
+        val stored = jobTable.cellOf(job, seq)
         val size = sizes.of(stored)
         if (bytes > 0 && bytes + size > limits.bytes) return false
         bytes += size
--- a/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
@@ -86,7 +86,7 @@
     }
 
     /** The next transaction, if none is under way and there is something to write; trims with up to [trimChanges]. */
-    fun next(term: Term, ledger: JobTable, fleetCell: (LogIndex) -> InventorySnapshot, trimChanges: Int): Commit? {
+    fun next(term: Term, jobTable: JobTable, fleetCell: (LogIndex) -> InventorySnapshot, trimChanges: Int): Commit? {
         if (inFlight != null) return null
         if (queue.isEmpty() && (trimChanges == 0 || kept.isEmpty())) {
             trimCutShort = false
@@ -105,7 +105,7 @@
         records.mapTo(changes) { Mutation.Put(recordKey(it.seq), StoredValue.OfRecord(LogRecord(it.events.toList()))) }
         // The state in memory is the state after this record only if no later one is waiting.
         val mayTrim = trimChanges > 0 && queue.isEmpty()
-        val trim = if (mayTrim) planTrim(seq, ledger, fleetCell, changes.size, trimChanges) else null
+        val trim = if (mayTrim) planTrim(seq, jobTable, fleetCell, changes.size, trimChanges) else null
         trimCutShort = trim?.cutShort ?: (trimChanges > 0)
         trim?.let { changes += it.changes() }
         inFlight = InFlight(seq, records.associate { it.seq to RetainedRecord(it.events) }, trim)
@@ -114,7 +114,7 @@
 
     private fun planTrim(
         seq: LogIndex,
-        ledger: JobTable,
+        jobTable: JobTable,
         fleetCell: (LogIndex) -> InventorySnapshot,
         changes: Int,
         trimChanges: Int,
@@ -125,29 +125,29 @@
             valueBytes = deployment.stateValueBytes * RECORD_FILL,
             finalsBytes = deployment.stateValueBytes * FINALS_FILL,
         )
-        return CompactionPlan(seq, limits, ledger, sizes, fleetCell, foldedUpTo, finals).also { plan ->
+        return CompactionPlan(seq, limits, jobTable, sizes, fleetCell, foldedUpTo, finals).also { plan ->
             // A record of this very transaction stays.
             kept.headMap(seq).forEach { (record, content) -> if (!plan.cutShort) plan.take(record, content) }
         }
     }
 
     /** The transaction under way was carried out: what it folds, archives and deletes takes effect now. */
-    fun committed(seq: LogIndex, ledger: JobTable) {
+    fun committed(seq: LogIndex, jobTable: JobTable) {
         val done = inFlight
         check(done?.seq == seq) { "commit ${done?.seq} was under way, not $seq" }
         inFlight = null
         committed = seq
         kept += done.written
-        done.trim?.let { applyTrim(it, ledger) }
+        done.trim?.let { applyTrim(it, jobTable) }
     }
 
-    private fun applyTrim(trim: CompactionPlan, ledger: JobTable) {
+    private fun applyTrim(trim: CompactionPlan, jobTable: JobTable) {
         trim.deletedRecords.forEach(kept::remove)
         foldedUpTo += trim.folded
         trim.partsWritten.forEach { (job, parts) -> job.partsWritten = parts }
         finals = trim.finals
         for (job in trim.archived) {
-            ledger.archive(job)
+            jobTable.archive(job)
             foldedUpTo.remove(JOB_PREFIX + job.id.text)
         }
     }
--- a/src/main/kotlin/cleathitch/scheduler/log/RetainedRecord.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/RetainedRecord.kt
@@ -13,8 +13,8 @@
         .mapTo(ArrayList()) { AttemptId(TaskId(it.job, it.index), it.number) }
 
     /** As the design asks: a start stays on record until a report has shown it. */
-    fun hasUnseenStarts(ledger: JobTable): Boolean {
-        starts.removeIf { id -> ledger.attempt(id)?.let { it.seen != null } ?: true }
+    fun hasUnseenStarts(jobTable: JobTable): Boolean {
+        starts.removeIf { id -> jobTable.attempt(id)?.let { it.seen != null } ?: true }
         return starts.isNotEmpty()
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/DirectReachability.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/DirectReachability.kt
@@ -30,7 +30,7 @@
     /** A new report of [machine] arrived through a follower. */
     fun reported(machine: Machine) {
         val open = unanswered[machine.id] ?: return
-        if (machine.version > open.answered) witnesses[machine.id] = open.sinceMs
+        if (machine.token > open.answered) witnesses[machine.id] = open.sinceMs
     }
 
     /** Whether the leader's own path to the workers seems to be cut. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
@@ -16,7 +16,7 @@
 import kotlin.math.min
 
 /** Which machines there are, and which to rent and return. */
-class Inventory(private val deployment: Deployment, private val ledger: JobTable) {
+class Inventory(private val deployment: Deployment, private val jobTable: JobTable) {
     val machines = LinkedHashMap<MachineId, Machine>()
 
     /** Prices move, and machines that reported before the first answer wait for their type. */
@@ -32,7 +32,7 @@
         private set
 
     /** Zones that seem cut off: nothing is rented there. */
-    var cutZones: Set<String> = emptySet()
+    var partitionedZones: Set<String> = emptySet()
 
     /** Asked for and recorded, and not answered yet. */
     val rentals = LinkedHashMap<String, Event.RentalRequested>()
@@ -80,7 +80,7 @@
     /** How many tasks of [shape] fit into what is free of [machine]. */
     fun roomFor(shape: PlacementClass, machine: Machine, without: List<Attempt> = emptyList()): Int {
         val type = machine.type ?: return 0
-        val load = ledger.loadOf(machine.id)
+        val load = jobTable.loadOf(machine.id)
         return slots(
             shape,
             type.cpus - (load?.cpus ?: 0.0) + without.sumOf { it.job.spec.cpus },
@@ -147,7 +147,7 @@
 
         fun room(offer: Offer): Int {
             val others = counts.entries.sumOf { (other, count) -> if (other == offer) 0 else callsFor(count) }
-            return (maxCalls - others) * MOST_PER_CALL - (counts[offer] ?: 0)
+            return (maxCalls - others) * MAX_PER_CALL - (counts[offer] ?: 0)
         }
 
         fun add(offer: Offer, count: Int) {
@@ -155,10 +155,10 @@
         }
 
         fun calls(): List<Pair<Offer, Int>> = counts.flatMap { (offer, count) ->
-            List(callsFor(count)) { call -> offer to min(MOST_PER_CALL, count - call * MOST_PER_CALL) }
+            List(callsFor(count)) { call -> offer to min(MAX_PER_CALL, count - call * MAX_PER_CALL) }
         }
 
-        private fun callsFor(count: Int) = (count + MOST_PER_CALL - 1) / MOST_PER_CALL
+        private fun callsFor(count: Int) = (count + MAX_PER_CALL - 1) / MAX_PER_CALL
     }
 
     /**
@@ -169,13 +169,13 @@
         val type = machine.type
         type != null &&
             machine.state == MachineState.UP &&
-            ledger.attemptsOn(machine.id).isEmpty() &&
+            jobTable.attemptsOn(machine.id).isEmpty() &&
             nowMs - machine.rentedAtMs >= MIN_CHARGE_MS &&
             nowMs - max(machine.idleSinceMs, listeningSinceMs) >= type.bootS * 1000 * IDLE_BOOTS
     }
 
     /** Machines that should have come up long ago; one that runs and that a new leader hasn't heard yet is none of them. */
-    fun neverUp(nowMs: Long, listeningSinceMs: Long): List<Machine> = machines.values.filter { machine ->
+    fun overdueBoots(nowMs: Long, listeningSinceMs: Long): List<Machine> = machines.values.filter { machine ->
         machine.state == MachineState.STARTING &&
             !machine.listedRunning &&
             nowMs - max(machine.rentedAtMs, listeningSinceMs) >= (machine.type?.bootS ?: deployment.leaseS) * 1000 * LATE_BOOTS
@@ -195,7 +195,7 @@
             .flatMap { type ->
                 type.zones.asSequence().flatMap { zone -> sequenceOf(Offer(type.name, zone, true), Offer(type.name, zone, false)) }
             }
-            .filter { allows(shape, it) && (it.spot || !spotOnly) && it.zone !in cutZones }
+            .filter { allows(shape, it) && (it.spot || !spotOnly) && it.zone !in partitionedZones }
             .filter { nowMs >= (refusedUntilMs[it] ?: 0) && plan.room(it) > 0 }
             .minByOrNull { offer ->
                 val type = types.getValue(offer.type)
@@ -223,7 +223,7 @@
 
     companion object {
         /** The page's limit for one rental. */
-        private const val MOST_PER_CALL = 50
+        private const val MAX_PER_CALL = 50
 
         /** A machine that is deleted costs a minute at least. */
         private const val MIN_CHARGE_MS = 60_000L
--- a/src/main/kotlin/cleathitch/scheduler/machines/Machine.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Machine.kt
@@ -15,11 +15,11 @@
     var type: MachineType? = type
         internal set
 
-    var addr: String? = null
+    var address: String? = null
     var state = MachineState.STARTING
-    var session = 0L
-    var seq = 0L
-    var version = FencingToken.NONE
+    var incarnation = 0L
+    var sequenceNumber = 0L
+    var token = FencingToken.NONE
 
     /** When it was last heard of in any way, and when its last report that we could answer came. */
     var lastHeardMs: Long? = null
@@ -27,8 +27,8 @@
 
     /** The version of our last answer to it, and how many answers in a row its reports show it didn't get. */
     var answered = FencingToken.NONE
-    var answersLost = 0
-    val deaf get() = answersLost >= DEAF_ANSWERS
+    var missedReplies = 0
+    val missesReplies get() = missedReplies >= DEAF_ANSWERS
 
     /**
      * It surely lives: rented in this term, or it has shown a version of this term. The first that a new
@@ -42,7 +42,7 @@
 
     /** Until then its tasks may run even if it is never heard of again. */
     var leaseEndMs = 0L
-    var noticeAtMs: Long? = null
+    var preemptionAtMs: Long? = null
     var reported: List<TaskStatus> = emptyList()
     var idleSinceMs: Long = rentedAtMs
     var faults = 0
@@ -59,7 +59,7 @@
 
     fun hasImage(image: String) = image in images
 
-    fun sawImage(image: String, sizeGb: Double) {
+    fun recordImage(image: String, sizeGb: Double) {
         images.remove(image)
         images[image] = sizeGb
         val cache = type?.cacheGb ?: return
@@ -67,19 +67,20 @@
     }
 
     fun forgetImages() = images.clear()
-    fun heldImages() = ImageCache(session, LinkedHashMap(images))
+    fun imageCache() = ImageCache(incarnation, LinkedHashMap(images))
 
     /** The report that a [heartbeat] stands for, or null if the last report heard from the machine isn't its base. */
     fun repeatedBy(heartbeat: ForwardedHeartbeat.Unchanged): Heartbeat? {
-        val address = addr ?: return null
-        if (lastHeardMs == null || session != heartbeat.session || seq != heartbeat.baseSeq) return null
+        val address = address ?: return null
+        if (lastHeardMs == null || incarnation != heartbeat.incarnation || sequenceNumber != heartbeat.baseSequenceNumber) return null
         return Heartbeat(
             id, address, offer.type, offer.zone, offer.spot,
-            heartbeat.session, heartbeat.seq, heartbeat.version, heartbeat.noticeS, reported,
+            heartbeat.incarnation, heartbeat.sequenceNumber, heartbeat.token, heartbeat.preemptionNoticeS, reported,
         )
     }
 
-    fun newerThan(report: Heartbeat) = report.session < session || (report.session == session && report.seq <= seq)
+    fun newerThan(report: Heartbeat) =
+        report.incarnation < incarnation || (report.incarnation == incarnation && report.sequenceNumber <= sequenceNumber)
 
     private companion object {
         /** One answer is lost now and then, and a report may cross an answer; three in a row are no accident. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/PartitionDetector.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/PartitionDetector.kt
@@ -14,15 +14,15 @@
     /** Mostly nothing is quiet, and then there is nothing to count. */
     private val inZone = if (quiet.isEmpty()) emptyMap() else up.groupingBy { it.offer.zone }.eachCount()
     private val quietInZone = quiet.groupingBy { it.offer.zone }.eachCount()
-    private val excused = quietInZone.keys.filterTo(HashSet()) { mostOf(quietInZone.getValue(it), inZone.getValue(it)) }
-    private val all = mostOf(quiet.size, up.size)
+    private val excused = quietInZone.keys.filterTo(HashSet()) { isMajority(quietInZone.getValue(it), inZone.getValue(it)) }
+    private val all = isMajority(quiet.size, up.size)
 
     /** Zones of which nothing at all is heard: what is rented there wouldn't be heard of either. */
-    val cutZones: Set<String> = excused.filterTo(HashSet()) { quietInZone[it] == inZone[it] }
+    val partitionedZones: Set<String> = excused.filterTo(HashSet()) { quietInZone[it] == inZone[it] }
 
     fun excuses(machine: Machine) = all || machine.offer.zone in excused
 
-    private fun mostOf(part: Int, whole: Int) = part > maxOf(FEW, whole / 2)
+    private fun isMajority(part: Int, whole: Int) = part > maxOf(FEW, whole / 2)
 
     private companion object {
         /** Of a handful of machines two may well fail at the same time. */
--- a/src/main/kotlin/cleathitch/scheduler/model/Heartbeat.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/Heartbeat.kt
@@ -1,15 +1,15 @@
 package cleathitch.scheduler.model
 
-/** A machine's report. The larger ([session], [seq]) is the newer. */
+/** A machine's report. The larger ([incarnation], [sequenceNumber]) is the newer. */
 data class Heartbeat(
     val machine: MachineId,
-    val addr: String,
+    val address: String,
     val type: String,
     val zone: String,
     val spot: Boolean,
-    val session: Long,
-    val seq: Long,
-    val version: FencingToken,
-    val noticeS: Double?,
+    val incarnation: Long,
+    val sequenceNumber: Long,
+    val token: FencingToken,
+    val preemptionNoticeS: Double?,
     val tasks: List<TaskStatus>,
 )
--- a/src/main/kotlin/cleathitch/scheduler/model/TaskStatus.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/TaskStatus.kt
@@ -1,4 +1,4 @@
 package cleathitch.scheduler.model
 
 /** A task as a machine's report shows it. */
-data class TaskStatus(val attempt: AttemptId, val state: TaskState, val why: ExitReason? = null, val saved: Boolean = false)
+data class TaskStatus(val attempt: AttemptId, val state: TaskState, val exitReason: ExitReason? = null, val saved: Boolean = false)
--- a/src/main/kotlin/cleathitch/scheduler/placement/Placement.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/Placement.kt
@@ -13,7 +13,7 @@
 import java.util.PriorityQueue
 
 /** Where tasks go and whose tasks make room for them. What it sees is fixed at the start of a round. */
-class Placement(private val fleet: Inventory, private val ledger: JobTable) {
+class Placement(private val fleet: Inventory, private val jobTable: JobTable) {
     /** The tasks to stop, and for how many others that and what is being stopped already makes room. */
     class RoomMade(val victims: List<Attempt>, val tasks: Int)
 
@@ -59,13 +59,13 @@
      */
     inner class Look(private val usable: List<Machine>, private val nowMs: Long) {
         private val rooms = usable.mapNotNull { machine ->
-            machine.type?.let { Room(machine, it, ledger.loadOf(machine.id), ledger.attemptsOn(machine.id)) }
+            machine.type?.let { Room(machine, it, jobTable.loadOf(machine.id), jobTable.attemptsOn(machine.id)) }
         }.filter { it.cpus > ROUNDING }
         private val ranked = HashMap<PlacementClass, Map<String, Ranked>>()
         private val sacrifices = HashMap<PlacementClass, Sacrifices>()
 
         /** How many tasks were weighed against machines; the growth of a round's cost is tested by it. */
-        var looks = 0L
+        var candidatesEvaluated = 0L
             private set
 
         fun choose(job: Job): Machine? {
@@ -84,7 +84,7 @@
         }
 
         private fun rank(shape: PlacementClass): Map<String, Ranked> {
-            looks += rooms.size
+            candidatesEvaluated += rooms.size
             val fitting = rooms.filter { fleet.allows(shape, it.machine.offer) && it.fits(shape) }
             return fitting.groupBy { it.machine.offer.zone }.mapValues { (_, list) ->
                 val costs = list.map { it to cost(shape, it) }.sortedBy { it.second }
@@ -144,17 +144,17 @@
             private val choices = PriorityQueue<Choice>(compareBy { it.loss })
 
             init {
-                looks += usable.size
+                candidatesEvaluated += usable.size
                 for (machine in usable) {
                     if (!fleet.allows(shape, machine.offer)) continue
-                    next(machine, ledger.attemptsOn(machine.id).filter { it.stop != null })
+                    next(machine, jobTable.attemptsOn(machine.id).filter { it.stop != null })
                 }
             }
 
             /** Adds what the machine could give next, after what is [gone] from it already. */
             private fun next(machine: Machine, gone: List<Attempt>) {
                 val before = fleet.roomFor(shape, machine, gone)
-                val left = ledger.attemptsOn(machine.id).filter { it.stop == null && it !in gone && it.job.spec.priority > spec.priority }
+                val left = jobTable.attemptsOn(machine.id).filter { it.stop == null && it !in gone && it.job.spec.priority > spec.priority }
                 if (before > 0) {
                     choices += Choice(machine, gone, emptyList(), before, 0.0)
                     return
--- a/src/main/kotlin/cleathitch/scheduler/placement/SchedulingOrder.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/SchedulingOrder.kt
@@ -11,22 +11,22 @@
  * What puts a job off is bounded, so no stream of others keeps it from its turn: shortest-first
  * once left the largest arrays waiting for as long as smaller ones came.
  */
-class SchedulingOrder(private val aims: Map<String, List<Double>>, private val quota: Quota, private val nowWallMs: Long) {
-    private class Place(val job: Job, val priority: Priority, val borrowing: Boolean, val turnMs: Long)
+class SchedulingOrder(private val completionObjectives: Map<String, List<Double>>, private val quota: Quota, private val nowWallMs: Long) {
+    private class Place(val job: Job, val priority: Priority, val borrowing: Boolean, val virtualStartMs: Long)
 
     fun order(waiting: List<Job>): List<Job> {
         val largest = HashMap<String, Int>()
         waiting.forEach { largest.merge(it.spec.className, it.waiting, ::maxOf) }
         return waiting.map { job ->
-            Place(job, job.spec.priority, !quota.insideGuarantee(job.spec), turnMs(job, largest.getValue(job.spec.className)))
-        }.sortedWith(compareBy<Place>({ it.priority }, { it.borrowing }, { it.turnMs })).map { it.job }
+            Place(job, job.spec.priority, !quota.insideGuarantee(job.spec), virtualStartMs(job, largest.getValue(job.spec.className)))
+        }.sortedWith(compareBy<Place>({ it.priority }, { it.borrowing }, { it.virtualStartMs })).map { it.job }
     }
 
-    private fun turnMs(job: Job, largest: Int): Long {
-        val aims = aims[job.spec.className].orEmpty()
-        val first = aims.minOrNull() ?: return job.wallMs
+    private fun virtualStartMs(job: Job, largest: Int): Long {
+        val completionObjectives = completionObjectives[job.spec.className].orEmpty()
+        val first = completionObjectives.minOrNull() ?: return job.wallMs
         val ageS = (nowWallMs - job.wallMs) / 1000.0
-        val lost = aims.count { ageS + job.spec.estimateS > it }
+        val lost = completionObjectives.count { ageS + job.spec.estimateS > it }
         return job.wallMs + (first * 1000 * (lost + SIZE_WEIGHT * job.waiting / largest)).toLong()
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
@@ -6,7 +6,7 @@
 import cleathitch.scheduler.api.LogLevel
 import cleathitch.scheduler.api.SchedulerContext
 import cleathitch.scheduler.api.UserReply
-import cleathitch.scheduler.api.note
+import cleathitch.scheduler.api.logEvent
 import cleathitch.scheduler.jobs.Job
 import cleathitch.scheduler.jobs.JobTable
 import cleathitch.scheduler.jobs.Quota
@@ -25,8 +25,8 @@
 /** Handles what users ask: submissions, polls and cancellations. Nothing is told before the record behind it is committed. */
 internal class JobRequests(
     private val context: SchedulerContext,
-    private val ledger: JobTable,
-    private val journal: DecisionLog,
+    private val jobTable: JobTable,
+    private val decisionLog: DecisionLog,
     private val fleet: Inventory,
     private val quota: Quota,
     private val teams: Map<String, Team>,
@@ -38,14 +38,14 @@
 
     /** Gives the answers whose records are committed by now. */
     fun committed() {
-        val (open, rest) = gates.partition { it.seq <= journal.committed }
+        val (open, rest) = gates.partition { it.seq <= decisionLog.committed }
         gates.clear()
         gates += rest
         open.forEach { context.emit(it.answer) }
     }
 
     private fun gate(seq: LogIndex, answer: Effect.Answer) {
-        if (seq <= journal.committed) context.emit(answer) else gates += Gate(seq, answer, context.now.steadyMs + intakeMs)
+        if (seq <= decisionLog.committed) context.emit(answer) else gates += Gate(seq, answer, context.now.steadyMs + intakeMs)
     }
 
     fun expire() {
@@ -60,23 +60,23 @@
     }
 
     /** An end that was told can't be taken back, so the log keeps why it could be told. */
-    private fun noteEnd(id: JobId, state: JobState, source: String) {
+    private fun logFinalState(id: JobId, state: JobState, source: String) {
         if (state != JobState.DONE && state != JobState.CANCELLED) return
-        context.note(LogLevel.DEBUG) { "job $id may be called $state: $source; records up to ${journal.committed} are committed" }
+        context.logEvent(LogLevel.DEBUG) { "job $id may be called $state: $source; records up to ${decisionLog.committed} are committed" }
     }
 
     fun submit(command: Input.Submit) {
         val (request, spec) = command
         if (!context.leaseHeld()) return answer(request, UserReply.Unavailable("no lease"))
-        ledger.finalState(spec.id)?.let { return answer(request, UserReply.Accepted(spec.id, shown(it), known = true)) }
-        ledger.job(spec.id)?.let { job ->
+        jobTable.finalState(spec.id)?.let { return answer(request, UserReply.Accepted(spec.id, shown(it), known = true)) }
+        jobTable.job(spec.id)?.let { job ->
             return gate(job.acceptedSeq, Effect.Answer(request, UserReply.Accepted(job.id, shownState(job), known = true)))
         }
         if (fleet.types.isEmpty()) return answer(request, UserReply.Unavailable("machine types aren't known yet"))
         neverRuns(spec)?.let { return answer(request, UserReply.Unsatisfiable(it)) }
         if (context.stalled()) return answer(request, UserReply.Unavailable("the state service doesn't answer"))
         val seq = context.append(Event.JobAccepted(spec, context.now.wallMs))
-        context.note(LogLevel.DEBUG) { "job ${spec.id} class ${spec.className} team ${spec.team}: ${spec.tasks} tasks taken in" }
+        context.logEvent(LogLevel.DEBUG) { "job ${spec.id} class ${spec.className} team ${spec.team}: ${spec.tasks} tasks taken in" }
         gate(seq, Effect.Answer(request, UserReply.Accepted(spec.id, JobState.QUEUED, known = false)))
     }
 
@@ -94,44 +94,44 @@
     fun poll(command: Input.Poll) {
         val (request, id) = command
         if (!context.leaseHeld()) return answer(request, UserReply.Unavailable("no lease"))
-        val acceptedSeq = ledger.job(id)?.acceptedSeq ?: LogIndex.NONE
+        val acceptedSeq = jobTable.job(id)?.acceptedSeq ?: LogIndex.NONE
         gate(acceptedSeq, Effect.Answer(request, status(id)))
     }
 
     /** The job's status if it can be told at once; a poll of many that share an answer must not wait for a commit. */
-    fun statusNow(id: JobId): UserReply {
+    fun currentStatus(id: JobId): UserReply {
         if (!context.leaseHeld()) return UserReply.Unavailable("no lease")
-        val acceptedSeq = ledger.job(id)?.acceptedSeq ?: LogIndex.NONE
-        return if (acceptedSeq <= journal.committed) status(id) else UserReply.Unavailable("the job isn't recorded yet")
+        val acceptedSeq = jobTable.job(id)?.acceptedSeq ?: LogIndex.NONE
+        return if (acceptedSeq <= decisionLog.committed) status(id) else UserReply.Unavailable("the job isn't recorded yet")
     }
 
     private fun status(id: JobId): UserReply {
-        ledger.finalState(id)?.let {
-            noteEnd(id, shown(it), "archived")
+        jobTable.finalState(id)?.let {
+            logFinalState(id, shown(it), "archived")
             return UserReply.Status(id, shown(it), 0, 0)
         }
-        val job = ledger.job(id) ?: return UserReply.NotFound
+        val job = jobTable.job(id) ?: return UserReply.NotFound
         val running = job.live.values.count { it.seen == TaskState.RUNNING }
         val state = shownState(job)
-        noteEnd(id, state, "record ${job.cancelledSeq ?: job.finishedSeq}")
+        logFinalState(id, state, "record ${job.cancelledSeq ?: job.finishedSeq}")
         return UserReply.Status(id, state, job.doneCount, running)
     }
 
     fun abort(command: Input.Cancel) {
         val (request, id) = command
         if (!context.leaseHeld()) return answer(request, UserReply.Unavailable("no lease"))
-        ledger.finalState(id)?.let { return answer(request, UserReply.Cancelled(id, shown(it))) }
-        val job = ledger.job(id) ?: return answer(request, UserReply.NotFound)
+        jobTable.finalState(id)?.let { return answer(request, UserReply.Cancelled(id, shown(it))) }
+        val job = jobTable.job(id) ?: return answer(request, UserReply.NotFound)
         if (!job.over) {
             if (context.stalled()) return answer(request, UserReply.Unavailable("the state service doesn't answer"))
             val seq = context.append(Event.JobCancelled(id))
             job.stopIfOver()
             context.stopAfter(seq, job.live.values)
-            context.note(LogLevel.DEBUG) { "job $id cancelled" }
+            context.logEvent(LogLevel.DEBUG) { "job $id cancelled" }
         }
         val state = if (job.cancelled) JobState.CANCELLED else JobState.DONE
         val record = job.cancelledSeq ?: job.finishedSeq!!
-        noteEnd(id, state, "once record $record is committed")
+        logFinalState(id, state, "once record $record is committed")
         gate(record, Effect.Answer(request, UserReply.Cancelled(id, state)))
     }
 
@@ -142,8 +142,8 @@
 
     /** What may be told: an end that isn't committed yet isn't told. */
     private fun shownState(job: Job): JobState {
-        job.cancelledSeq?.let { if (it <= journal.committed) return JobState.CANCELLED }
-        job.finishedSeq?.let { if (it <= journal.committed) return JobState.DONE }
+        job.cancelledSeq?.let { if (it <= decisionLog.committed) return JobState.CANCELLED }
+        job.finishedSeq?.let { if (it <= decisionLog.committed) return JobState.DONE }
         return if (job.live.values.any { it.seen == TaskState.RUNNING }) JobState.RUNNING else JobState.QUEUED
     }
 }
--- a/src/main/kotlin/cleathitch/storage/LogStorage.kt
+++ b/src/main/kotlin/cleathitch/storage/LogStorage.kt
@@ -25,7 +25,7 @@
     private val prefix: String,
     private val leaderKey: String,
     private val term: Term,
-    private val workTimes: ProcessingTimes,
+    private val processingTimes: ProcessingTimes,
 ) {
     private class Contents(val entries: List<KeyValueStoreProtocol.Entry>, val pages: Int)
 
@@ -82,13 +82,13 @@
     private fun decode(entries: List<KeyValueStoreProtocol.Entry>): RecoveredState {
         headRevision = entries.firstOrNull { it.key == prefix + DecisionLog.HEAD }?.revision ?: 0
         val named = entries.map { KeyValueStoreProtocol.Entry(it.key.removePrefix(prefix), it.value, it.revision) }
-        return workTimes.measure(ProcessingStage.REPLAY) { LogCodec.snapshot(named) }
+        return processingTimes.measure(ProcessingStage.REPLAY) { LogCodec.snapshot(named) }
     }
 
     /** Sends the same content until its fate is known. */
     suspend fun commit(commit: Commit): CommitResult {
         val guards = mapOf(leaderKey to term.revision, prefix + DecisionLog.HEAD to headRevision)
-        val writes = workTimes.measure(ProcessingStage.COMMIT_ENCODING) { commit.changes.flatMap(::writesOf) }
+        val writes = processingTimes.measure(ProcessingStage.COMMIT_ENCODING) { commit.changes.flatMap(::writesOf) }
         val begunMs = steadyMs()
         var tries = 0
         while (true) {
--- a/src/main/kotlin/cleathitch/workers/HeartbeatQueue.kt
+++ b/src/main/kotlin/cleathitch/workers/HeartbeatQueue.kt
@@ -10,7 +10,7 @@
 /** What a follower may tell a worker whose report it took in. */
 sealed interface ForwardOutcome {
     /** The leader's own answer, the only one that renews the worker's lease. */
-    data class Answered(val version: FencingToken, val orders: List<WorkerCommand>) : ForwardOutcome
+    data class Answered(val token: FencingToken, val commands: List<WorkerCommand>) : ForwardOutcome
 
     /** The leader refused the report, or gave no answer in time. */
     data object Unanswered : ForwardOutcome
@@ -39,7 +39,7 @@
     private val acknowledged = HashMap<MachineId, Heartbeat>()
 
     val isEmpty get() = waiting.isEmpty()
-    val isFull get() = waiting.size >= MOST_REPORTS
+    val isFull get() = waiting.size >= MAX_REPORTS
 
     /** Takes a report in; [reply] is called once, with the outcome. */
     fun add(report: Heartbeat, nowMs: Long, reply: (ForwardOutcome) -> Unit) {
@@ -54,13 +54,13 @@
             acknowledged.clear()
             term = leaderTerm
         }
-        if (acknowledged.size > MOST_ACKNOWLEDGED) acknowledged.clear()
+        if (acknowledged.size > MAX_ACKNOWLEDGED) acknowledged.clear()
         val chosen = ArrayList<Pair<ForwardedHeartbeat, Waiting>>()
         var bytes = 0
         for (entry in waiting.values) {
             val forwarded = forwarded(entry.report)
             bytes += estimatedBytes(forwarded)
-            val full = chosen.size == MOST_REPORTS || bytes > MOST_BYTES
+            val full = chosen.size == MAX_REPORTS || bytes > MAX_BYTES
             if (full && chosen.isNotEmpty()) break
             chosen += forwarded to entry
         }
@@ -87,7 +87,7 @@
     private fun answered(entry: Waiting, answer: HeartbeatDecision.Answer, nowMs: Long) {
         acknowledged[entry.report.machine] = entry.report
         val inTime = nowMs - entry.arrivedMs < answerWithinMs
-        entry.reply(if (inTime) ForwardOutcome.Answered(answer.version, answer.orders) else ForwardOutcome.Unanswered)
+        entry.reply(if (inTime) ForwardOutcome.Answered(answer.token, answer.commands) else ForwardOutcome.Unanswered)
     }
 
     private fun sendAgain(entry: Waiting) {
@@ -120,21 +120,21 @@
         if (base == null || !repeats(report, base)) return ForwardedHeartbeat.Full(report)
         return ForwardedHeartbeat.Unchanged(
             report.machine,
-            report.session,
-            report.seq,
-            report.version,
-            report.noticeS,
-            baseSeq = base.seq,
+            report.incarnation,
+            report.sequenceNumber,
+            report.token,
+            report.preemptionNoticeS,
+            baseSequenceNumber = base.sequenceNumber,
         )
     }
 
     private fun repeats(report: Heartbeat, base: Heartbeat) =
-        report.copy(seq = base.seq, version = base.version, noticeS = base.noticeS) == base
+        report.copy(sequenceNumber = base.sequenceNumber, token = base.token, preemptionNoticeS = base.preemptionNoticeS) == base
 
     private fun estimatedBytes(forwarded: ForwardedHeartbeat): Int = when (forwarded) {
         is ForwardedHeartbeat.Unchanged -> HEARTBEAT_BYTES + forwarded.machine.text.length
         is ForwardedHeartbeat.Full -> forwarded.report.run {
-            val texts = machine.text.length + addr.length + type.length + zone.length
+            val texts = machine.text.length + address.length + type.length + zone.length
             val tasksBytes = tasks.sumOf { TASK_BYTES + it.attempt.task.job.text.length }
             REPORT_BYTES + BYTES_PER_CHAR * texts + tasksBytes
         }
@@ -142,13 +142,13 @@
 
     companion object {
         /** So many reports are handed on at once; the estimated bytes bound batches of large reports. */
-        const val MOST_REPORTS = 400
+        const val MAX_REPORTS = 400
 
         /** Half of what a body may hold, since sizes are estimates. A single report always fits by far. */
-        private const val MOST_BYTES = 32 * 1024
+        private const val MAX_BYTES = 32 * 1024
 
         /** Machines come and go; forgetting the gone ones all at once costs the present ones one whole report each. */
-        private const val MOST_ACKNOWLEDGED = 10_000
+        private const val MAX_ACKNOWLEDGED = 10_000
 
         private const val HEARTBEAT_BYTES = 48
         private const val REPORT_BYTES = 64
--- a/src/main/kotlin/cleathitch/workers/WorkerClient.kt
+++ b/src/main/kotlin/cleathitch/workers/WorkerClient.kt
@@ -41,15 +41,15 @@
 
     /** The machine's report after the orders, whether it carried them out or not; null if none came. */
     private suspend fun push(push: Effect.SendCommands): Heartbeat? {
-        val address = Address.parse(push.addr) ?: return null
-        val body = WorkerProtocol.direct(push.version, push.session, push.orders)
+        val address = Address.parse(push.address) ?: return null
+        val body = WorkerProtocol.direct(push.token, push.incarnation, push.commands)
         val result = turns.withPermit { client.call(address, HttpMethod.POST, "/do", body, timeoutMs) }
         val answer = result.answerWith(200) ?: result.answerWith(409)
         return answer?.let { report(push.machine, it) }
     }
 
     private suspend fun inspect(inspect: Effect.Probe): Heartbeat? {
-        val address = Address.parse(inspect.addr) ?: return null
+        val address = Address.parse(inspect.address) ?: return null
         val result = turns.withPermit { client.call(address, HttpMethod.GET, "/inspect", null, probeMs) }
         return result.answerWith(200)?.let { report(inspect.machine, it) }
     }
--- a/src/main/kotlin/cleathitch/workers/WorkerDistribution.kt
+++ b/src/main/kotlin/cleathitch/workers/WorkerDistribution.kt
@@ -23,7 +23,7 @@
         val others = followers.filter { it != last?.follower }.ifEmpty { followers }
         val follower = others.minByOrNull { lastSentMs[it] ?: Long.MIN_VALUE } ?: return null
         if (nowMs - (lastSentMs[follower] ?: Long.MIN_VALUE / 2) < reportMs / WORKERS_PER_REPORT) return null
-        if (sent.size > MOST_SENT) sent.clear()
+        if (sent.size > MAX_SENT) sent.clear()
         sent[machine] = Sent(follower, nowMs)
         lastSentMs[follower] = nowMs
         return follower
@@ -43,6 +43,6 @@
         const val KEPT_PART = 3
 
         /** Machines come and go; forgetting the gone ones all at once costs the present ones one redirect. */
-        const val MOST_SENT = 100_000
+        const val MAX_SENT = 100_000
     }
 }
--- a/src/test/kotlin/cleathitch/election/LeaderElectionTest.kt
+++ b/src/test/kotlin/cleathitch/election/LeaderElectionTest.kt
@@ -57,7 +57,7 @@
         compete()
         val first = next()
         platform.losesReleases = true
-        first.resign("for the test", handOver = false)
+        first.resign("for the test", transferLeadership = false)
         val second = next()
         assertTrue(second.term.revision > first.term.revision) { "${second.term} after ${first.term}" }
     }
@@ -70,6 +70,6 @@
         // Nobody tells it that the work gets on.
         val second = next()
         assertTrue(second.term.revision > first.term.revision)
-        assertTrue(first.heldUntilMs <= TimeUnit.NANOSECONDS.toMillis(System.nanoTime()))
+        assertTrue(first.validUntilMs <= TimeUnit.NANOSECONDS.toMillis(System.nanoTime()))
     }
 }
--- a/src/test/kotlin/cleathitch/formats/PeerFormatTest.kt
+++ b/src/test/kotlin/cleathitch/formats/PeerFormatTest.kt
@@ -29,10 +29,10 @@
     private val tasks = TaskState.entries.mapIndexed { index, state -> TaskStatusMessage(job, index, 40L + index, state, null, false) } +
         ExitReason.entries.mapIndexed { index, reason -> TaskStatusMessage(job, index, 60L + index, TaskState.EXITED, reason, true) }
     private val report = FullHeartbeatMessage(machine, "10.1.0.7:9000", "m4", "a", true, 2, 40, 9_437_185, 4.5, tasks)
-    private val quietReport = report.copy(spot = false, noticeS = null, tasks = emptyList())
+    private val quietReport = report.copy(spot = false, preemptionNoticeS = null, tasks = emptyList())
     private val heartbeats =
         listOf(UnchangedHeartbeatMessage(machine, 2, 41, 9_437_185, 4.5, 40), UnchangedHeartbeatMessage(machine, 2, 42, 9, null, 40))
-    private val orders = WorkerCommandMessage.Kind.entries.map { WorkerCommandMessage(it, job, 3, 7, 2.5) }
+    private val commands = WorkerCommandMessage.Kind.entries.map { WorkerCommandMessage(it, job, 3, 7, 2.5) }
 
     private val requests = mapOf(
         "request-leads" to PeerRequest.AnnounceLeader("n1", "n2", 812),
@@ -54,7 +54,7 @@
             "n1",
             812,
             listOf(
-                DeliveryMessage(1, machine, "10.1.0.7:9000", 2, 9_437_185, orders),
+                DeliveryMessage(1, machine, "10.1.0.7:9000", 2, 9_437_185, commands),
                 DeliveryMessage(2, machine, "10.1.0.7:9000", 0, 0, emptyList()),
             ),
         ),
@@ -66,7 +66,7 @@
         3,
         "n2",
         812,
-        HeartbeatDecisionMessage.Kind.entries.map { HeartbeatDecisionMessage(it, 9_437_185, orders) },
+        HeartbeatDecisionMessage.Kind.entries.map { HeartbeatDecisionMessage(it, 9_437_185, commands) },
         JobStatusMessage.Kind.entries.map { JobStatusMessage(it, 3, 1) },
     )
     private val emptyReply = PeerReply(503)
--- a/src/test/kotlin/cleathitch/leader/InputQueueTest.kt
+++ b/src/test/kotlin/cleathitch/leader/InputQueueTest.kt
@@ -11,7 +11,7 @@
 
 /** A flood of requests, and what must not wait behind it. */
 class InputQueueTest {
-    private val queue = InputQueue(mostRequests = 1000)
+    private val queue = InputQueue(maxRequests = 1000)
     private var requests = 0L
 
     private fun request() = RequestId(++requests)
--- a/src/test/kotlin/cleathitch/loopback/FaultyProxy.kt
+++ b/src/test/kotlin/cleathitch/loopback/FaultyProxy.kt
@@ -77,7 +77,7 @@
                 from.getOutputStream().write(REFUSAL)
                 return drainAndClose(from.getInputStream())
             }
-            NetworkFault.SLOW -> Thread.sleep(synchronized(random) { random.nextLong(MOST_DELAY_MS) })
+            NetworkFault.SLOW -> Thread.sleep(synchronized(random) { random.nextLong(MAX_DELAY_MS) })
             NetworkFault.NONE, NetworkFault.HOLD, NetworkFault.HOLD_DATA -> Unit
         }
         to.write(buffer, 0, count)
@@ -109,7 +109,7 @@
     private companion object {
         const val BUFFER_BYTES = 65_536
         const val STEP_MS = 5L
-        const val MOST_DELAY_MS = 1000L
+        const val MAX_DELAY_MS = 1000L
         const val REFUSAL_MS = 20L
         val REFUSAL = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n".toByteArray()
     }
--- a/src/test/kotlin/cleathitch/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/cleathitch/loopback/LoopbackCluster.kt
@@ -45,7 +45,7 @@
 }
 
 /** One machine's worker, whose tasks take [taskMs] each. */
-class StandInWorker(private val nodes: List<Pair<String, Int>>, private val addr: String, private val taskMs: Long = 300) {
+class StandInWorker(private val nodes: List<Pair<String, Int>>, private val address: String, private val taskMs: Long = 300) {
     private val tasks = LinkedHashMap<Pair<String, Long>, Long>()
     private var version = 0L
     private var seq = 0L
@@ -75,7 +75,7 @@
         val map = MessageCodec.newMap().put(
             "burro",
             "vm-000001",
-        ).put("addr", addr).put("hornada", "m").put("comarca", "z").put("prestados", false)
+        ).put("addr", address).put("hornada", "m").put("comarca", "z").put("prestados", false)
             .put("jornada", 1).put("folio", ++seq).put("vara", version)
         val list = map.putArray("tareas")
         for ((id, endMs) in tasks) {
--- a/src/test/kotlin/cleathitch/loopback/SoakTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/SoakTest.kt
@@ -93,7 +93,7 @@
     private fun user(random: Random) = thread(isDaemon = true) {
         var number = 0
         while (userOn) {
-            val id = "j-%06d".format(number % MOST_JOBS)
+            val id = "j-%06d".format(number % MAX_JOBS)
             if (request(random.nextInt(NODES), "POST", "/submissions", id, cluster.job(id, tasks = 1)) != null) number++
             accepted.randomOrNull(random)?.let { poll(random.nextInt(NODES), it) }
             Thread.sleep(USER_MS)
@@ -138,7 +138,7 @@
     private companion object {
         const val NODES = LoopbackCluster.NODES
         const val ANSWER_WITHIN_MS = 75_000L
-        const val MOST_JOBS = 400
+        const val MAX_JOBS = 400
         const val LEAST_JOBS = 20
         const val USER_MS = 100L
 
--- a/src/test/kotlin/cleathitch/peers/PeerMessagesTest.kt
+++ b/src/test/kotlin/cleathitch/peers/PeerMessagesTest.kt
@@ -24,19 +24,19 @@
 /** What nodes say to each other arrives as it was sent, and what is garbled is told as such. */
 class PeerMessagesTest {
     private val attempt = AttemptId(TaskId(JobId("j-000412"), 3), 7)
-    private val version = FencingToken.first(9).next()
+    private val token = FencingToken.first(9).next()
     private val tasks = listOf(
         TaskStatus(attempt, TaskState.RUNNING),
         TaskStatus(attempt.copy(number = 6), TaskState.EXITED, ExitReason.STOPPED, saved = true),
     )
-    private val report = Heartbeat(MachineId("vm-1"), "10.1.0.7:9000", "m4", "a", true, 2, 40, version, 4.5, tasks)
-    private val orders = listOf(WorkerCommand.Start(attempt), WorkerCommand.Stop(attempt, 2.5), WorkerCommand.Forget(attempt))
+    private val report = Heartbeat(MachineId("vm-1"), "10.1.0.7:9000", "m4", "a", true, 2, 40, token, 4.5, tasks)
+    private val commands = listOf(WorkerCommand.Start(attempt), WorkerCommand.Stop(attempt, 2.5), WorkerCommand.Forget(attempt))
 
     private fun batch(): PeerRequest.FollowerBatch {
         val queue = HeartbeatQueue(answerWithinMs = 3000)
         queue.add(report, nowMs = 0) {}
-        queue.decided(queue.nextBatch(9, 0), listOf(HeartbeatDecision.Answer(version, orders)), currentTerm = 9, nowMs = 0)
-        queue.add(report.copy(seq = 41, noticeS = null), nowMs = 0) {}
+        queue.decided(queue.nextBatch(9, 0), listOf(HeartbeatDecision.Answer(token, commands)), currentTerm = 9, nowMs = 0)
+        queue.add(report.copy(sequenceNumber = 41, preemptionNoticeS = null), nowMs = 0) {}
         queue.add(report.copy(machine = MachineId("vm-2")), nowMs = 0) {}
         val outgoing = OutgoingBatch(queue.nextBatch(9, 0), listOf(JobId("j-1"), JobId("j-2")), listOf(DeliveryResult(9, 5, report)))
         return PeerRequest.FollowerBatch.of("n1", outgoing)
@@ -46,7 +46,7 @@
         200,
         term = 9,
         decisions = listOf(
-            HeartbeatDecision.Answer(version, orders),
+            HeartbeatDecision.Answer(token, commands),
             HeartbeatDecision.Refuse,
             HeartbeatDecision.RequestFull,
         ).map(HeartbeatDecisionMessage::of),
@@ -57,16 +57,16 @@
     fun `a batch arrives as it was sent`() {
         val received = PeerCodec.decodeRequest(PeerCodec.encode(batch())) as PeerRequest.FollowerBatch
         assertEquals(batch(), received)
-        val heartbeat = ForwardedHeartbeat.Unchanged(report.machine, 2, 41, version, noticeS = null, baseSeq = 40)
+        val heartbeat = ForwardedHeartbeat.Unchanged(report.machine, 2, 41, token, preemptionNoticeS = null, baseSequenceNumber = 40)
         assertEquals(listOf(ForwardedHeartbeat.Full(report.copy(machine = MachineId("vm-2"))), heartbeat), received.toReports())
-        assertEquals(report, received.directResults.single().report.toReport())
+        assertEquals(report, received.directResults.single().report.toHeartbeat())
     }
 
     @Test
     fun `decisions and statuses arrive as they were sent`() {
         val received = PeerCodec.decodeReply(PeerCodec.encode(reply))
         assertEquals(
-            listOf(HeartbeatDecision.Answer(version, orders), HeartbeatDecision.Refuse, HeartbeatDecision.RequestFull),
+            listOf(HeartbeatDecision.Answer(token, commands), HeartbeatDecision.Refuse, HeartbeatDecision.RequestFull),
             received.decisions!!.map { it.toDecision() },
         )
         val states = JobState.entries.map { UserReply.Status(JobId("j-1"), it, 2, 1) }
@@ -76,8 +76,8 @@
 
     @Test
     fun `commands arrive as they were sent`() {
-        val push = Effect.SendCommands(report.machine, report.addr, 2, version, orders)
-        val inspect = Effect.Probe(report.machine, report.addr)
+        val push = Effect.SendCommands(report.machine, report.address, 2, token, commands)
+        val inspect = Effect.Probe(report.machine, report.address)
         val sent = PeerRequest.DeliverCommands("n1", 9, listOf(DeliveryMessage.of(1, push), DeliveryMessage.of(2, inspect)))
         val received = PeerCodec.decodeRequest(PeerCodec.encode(sent)) as PeerRequest.DeliverCommands
         assertEquals(listOf(push, inspect), received.commands.map { it.toCommand() })
--- a/src/test/kotlin/cleathitch/scheduler/CancellationFaultsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/CancellationFaultsTest.kt
@@ -23,8 +23,8 @@
     fun `grace, lease and margins end before cancelled tasks must be gone, whatever the report period`() {
         for (reportS in listOf(1.0, 3.0, 6.0, 10.0)) {
             for (cancelS in listOf(deployment.leaseS + 12, 64.0, 120.0)) {
-                val tuning = SchedulerTimings.of(deployment.copy(reportS = reportS, cancelS = cancelS))
-                val surelyGoneMs = tuning.graceMs + deployment.leaseS * 1000 + tuning.leaseMarginMs
+                val timings = SchedulerTimings.of(deployment.copy(reportS = reportS, cancelS = cancelS))
+                val surelyGoneMs = timings.graceMs + deployment.leaseS * 1000 + timings.leaseMarginMs
                 assertTrue(surelyGoneMs < cancelS * 1000) { "$surelyGoneMs ms of $cancelS s with reports every $reportS s" }
             }
         }
@@ -48,7 +48,7 @@
     fun `a new leader carries a cancellation to a machine that hasn't reported to it`() {
         lead()
         val (attempt) = runs(1)
-        takeOver()
+        failOver()
         step(Input.MachinesListed(listOf(listed(0))))
         val confirmed = aborts(1)
         assertTrue(cancelled(confirmed))
@@ -62,7 +62,7 @@
         lead()
         val (attempt) = runs(1)
         aborts(1)
-        assertEquals(listOf(attempt), stops(machine.reports(deaf = true)))
+        assertEquals(listOf(attempt), stops(machine.reports(missesReplies = true)))
         assertEquals(listOf(attempt), stops(machine.reports()))
         assertEquals(emptyList<AttemptId>(), stops(machine.reports()))
     }
@@ -111,7 +111,7 @@
         val early = effects.filterIsInstance<Effect.Answer>().map { it.reply }
         assertTrue(early.none { it is UserReply.Cancelled || it is UserReply.Status && it.state == JobState.DONE }) { "$early" }
         assertEquals(JobState.DONE, (reply(stateServiceBack()) as UserReply.Cancelled).state)
-        takeOver()
+        failOver()
         assertEquals(JobState.DONE, (asks(1) as UserReply.Status).state)
         assertEquals(JobState.DONE, (reply(aborts(1)) as UserReply.Cancelled).state)
     }
@@ -126,7 +126,7 @@
         machine.reports()
         assertTrue(cancelled(stateServiceBack()))
         settle(rounds = 2)
-        takeOver()
+        failOver()
         assertEquals(JobState.CANCELLED, (asks(1) as UserReply.Status).state)
         assertTrue(cancelled(aborts(1)))
     }
@@ -141,7 +141,7 @@
         val told = (machine.reports() + aborts(1)).filterIsInstance<Effect.Answer>()
         assertEquals(emptyList<Effect>(), told)
         assertTrue((asks(1) as UserReply.Status).state in setOf(JobState.QUEUED, JobState.RUNNING))
-        takeOver()
+        failOver()
         assertTrue((asks(1) as UserReply.Status).state in setOf(JobState.QUEUED, JobState.RUNNING))
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/CombinedFaultsHarness.kt
+++ b/src/test/kotlin/cleathitch/scheduler/CombinedFaultsHarness.kt
@@ -21,28 +21,28 @@
     /** A machine as its reports show it. */
     protected inner class Machine(private val number: Int) {
         val id = report(number).machine
-        var session = 1L
-        private var seq = 1L
-        var version = FencingToken.NONE
+        var incarnation = 1L
+        private var sequenceNumber = 1L
+        var token = FencingToken.NONE
         val tasks = LinkedHashMap<AttemptId, TaskStatus>()
 
-        fun shown() = report(number, ++seq, version, session).copy(tasks = tasks.values.toList())
+        fun shown() = report(number, ++sequenceNumber, token, incarnation).copy(tasks = tasks.values.toList())
 
-        /** Its report and, unless it is [deaf], what it is told. */
-        fun reports(deaf: Boolean = false): List<Effect> = step(Input.HeartbeatReceived(request(), shown())).also { effects ->
-            if (!deaf) effects.filterIsInstance<Effect.AnswerHeartbeat>().forEach { obey(it.version, it.orders) }
+        /** Its report and, unless it is [missesReplies], what it is told. */
+        fun reports(missesReplies: Boolean = false): List<Effect> = step(Input.HeartbeatReceived(request(), shown())).also { effects ->
+            if (!missesReplies) effects.filterIsInstance<Effect.AnswerHeartbeat>().forEach { obey(it.token, it.commands) }
         }
 
         /** Carries direct orders out, and tells what it shows after that. */
         fun obeys(push: Effect.SendCommands): List<Effect> {
-            if (push.version >= version && push.session == session) obey(push.version, push.orders)
+            if (push.token >= token && push.incarnation == incarnation) obey(push.token, push.commands)
             return step(Input.ProbeAnswered(shown()))
         }
 
-        private fun obey(newer: FencingToken, orders: List<WorkerCommand>) {
-            if (newer < version) return
-            version = newer
-            for (order in orders) {
+        private fun obey(newer: FencingToken, commands: List<WorkerCommand>) {
+            if (newer < token) return
+            token = newer
+            for (order in commands) {
                 when (order) {
                     is WorkerCommand.Start -> tasks.putIfAbsent(order.attempt, TaskStatus(order.attempt, TaskState.RUNNING))
                     is WorkerCommand.Stop -> tasks.computeIfPresent(order.attempt) { _, task ->
@@ -59,15 +59,15 @@
             }
         }
 
-        fun ends(why: ExitReason = ExitReason.DONE) = tasks.replaceAll { id, _ -> exited(id, why) }
+        fun ends(exitReason: ExitReason = ExitReason.DONE) = tasks.replaceAll { id, _ -> exited(id, exitReason) }
 
         /** Its lease ran out: everything on it is gone. */
         fun losesLease() {
             tasks.clear()
-            session++
+            incarnation++
         }
 
-        private fun exited(id: AttemptId, why: ExitReason) = TaskStatus(id, TaskState.EXITED, why)
+        private fun exited(id: AttemptId, exitReason: ExitReason) = TaskStatus(id, TaskState.EXITED, exitReason)
     }
 
     protected val machine = Machine(0)
@@ -80,11 +80,11 @@
     protected fun reply(effects: List<Effect>) = effects.filterIsInstance<Effect.Answer>().single().reply
     protected fun cancelled(effects: List<Effect>) = (reply(effects) as UserReply.Cancelled).state == JobState.CANCELLED
     protected fun pushes(effects: List<Effect>) = effects.filterIsInstance<Effect.SendCommands>()
-    private fun orders(effects: List<Effect>) =
-        pushes(effects).flatMap { it.orders } + effects.filterIsInstance<Effect.AnswerHeartbeat>().flatMap { it.orders }
+    private fun commands(effects: List<Effect>) =
+        pushes(effects).flatMap { it.commands } + effects.filterIsInstance<Effect.AnswerHeartbeat>().flatMap { it.commands }
 
-    protected fun starts(effects: List<Effect>) = orders(effects).filterIsInstance<WorkerCommand.Start>().map { it.attempt }
-    protected fun stops(effects: List<Effect>) = orders(effects).filterIsInstance<WorkerCommand.Stop>().map { it.attempt }
+    protected fun starts(effects: List<Effect>) = commands(effects).filterIsInstance<WorkerCommand.Start>().map { it.attempt }
+    protected fun stops(effects: List<Effect>) = commands(effects).filterIsInstance<WorkerCommand.Stop>().map { it.attempt }
     protected fun returned(effects: List<Effect>) =
         effects.filterIsInstance<Effect.TerminateMachines>().flatMapTo(HashSet()) { it.machines }
 
@@ -101,8 +101,8 @@
     }
 
     /** Some report periods with a report of [others] in each, by default the machine's own. */
-    protected fun periods(count: Int, others: List<Machine> = listOf(machine), deaf: Boolean = false) = (1..count).flatMap {
-        others.flatMap { it.reports(deaf) } + settle((deployment.reportS * 1000 / tuning.roundMs).toInt())
+    protected fun periods(count: Int, others: List<Machine> = listOf(machine), missesReplies: Boolean = false) = (1..count).flatMap {
+        others.flatMap { it.reports(missesReplies) } + settle((deployment.reportS * 1000 / timings.roundMs).toInt())
     }
 
     protected val leasePeriods get() = (deployment.leaseS / deployment.reportS).toInt() + 1
--- a/src/test/kotlin/cleathitch/scheduler/CommitVisibilityTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/CommitVisibilityTest.kt
@@ -22,7 +22,7 @@
         machine.reports()
         settle(rounds = 2)
         stateServiceOut = true
-        at(nowMs + tuning.trimMs)
+        at(nowMs + timings.trimMs)
         machine.ends()
         val archives = machine.reports().filterIsInstance<Effect.Write>().single().commit.changes.filter {
             it.key.startsWith(DecisionLog.FINALS_PREFIX)
@@ -54,7 +54,7 @@
         for ((question, command) in questions) {
             assertFalse(JobState.DONE in told(step(command())), question)
         }
-        takeOver()
+        failOver()
         assertEquals(JobState.QUEUED, state(asks(1)))
     }
 
@@ -65,7 +65,7 @@
         assertEquals(emptyList<JobState?>(), told(cancellation))
         assertEquals(listOf(JobState.DONE), told(stateServiceBack()))
         assertEquals(JobState.DONE, state(asks(1)))
-        takeOver()
+        failOver()
         for ((question, command) in questions) assertEquals(listOf(JobState.DONE), told(step(command())), question)
     }
 
@@ -77,11 +77,11 @@
         machine.reports()
         assertTrue(cancelled(aborts(1)))
         stateServiceOut = true
-        at(nowMs + tuning.trimMs)
+        at(nowMs + timings.trimMs)
         machine.reports()
         machine.reports()
         assertEquals(listOf(JobState.CANCELLED), told(step(Input.Poll(request(), job))))
-        takeOver()
+        failOver()
         assertEquals(JobState.CANCELLED, state(asks(1)))
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/FailoverFaultsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FailoverFaultsTest.kt
@@ -26,7 +26,7 @@
         settle(rounds = 1)
         machine.reports()
         assertEquals(setOf(second), machine.tasks.keys)
-        takeOver()
+        failOver()
         machine.reports()
         assertEquals(1, (asks(1) as UserReply.Status).done)
         machine.ends()
@@ -45,7 +45,7 @@
         step(Input.HeartbeatReceived(request(), machine.shown()))
         settle(rounds = 2)
         machine.tasks.clear()
-        takeOver()
+        failOver()
         assertEquals(emptyList<AttemptId>(), starts(machine.reports()).filter { it.task == attempt.task })
     }
 
@@ -55,7 +55,7 @@
         val (attempt) = runs(1)
         at(nowMs + (deployment.leaseS * 1500).toLong())
         machine.losesLease()
-        takeOver()
+        failOver()
         assertEquals(listOf(attempt), starts(machine.reports()))
         assertEquals(emptyList<AttemptId>(), starts(machine.reports() + settle(rounds = 4)))
     }
@@ -66,7 +66,7 @@
         lead()
         val held = machine.shown()
         val (attempt) = runs(1)
-        takeOver()
+        failOver()
         step(Input.HeartbeatReceived(request(), held))
         val other = Machine(2)
         val effects = periods(2, others = listOf(other))
@@ -81,7 +81,7 @@
         val (attempt) = runs(1)
         val other = Machine(2)
         val again = (1..4).flatMap {
-            takeOver()
+            failOver()
             step(Input.MachinesListed(listOf(listed(0), listed(2))))
             val effects = periods(4, others = listOf(other))
             effects +
@@ -97,9 +97,9 @@
     fun `tasks on machines that don't hear the new leader are left alone while they run`() {
         lead()
         val (attempt) = runs(1)
-        takeOver()
+        failOver()
         val other = Machine(2)
-        val effects = (1..leasePeriods * 2).flatMap { machine.reports(deaf = true) + periods(1, others = listOf(other)) }
+        val effects = (1..leasePeriods * 2).flatMap { machine.reports(missesReplies = true) + periods(1, others = listOf(other)) }
         assertEquals(emptyList<AttemptId>(), starts(effects).filter { it.task == attempt.task && it != attempt })
     }
 
@@ -107,7 +107,7 @@
     @Test
     fun `a machine taken before its first report doesn't stand for room for ever`() {
         lead()
-        takeOver()
+        failOver()
         step(Input.MachinesListed(listOf(listed(4))))
         assertTrue(MachineId("vm-000004") in returned(periods(leasePeriods + 6)))
     }
--- a/src/test/kotlin/cleathitch/scheduler/FailoverTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FailoverTest.kt
@@ -47,20 +47,20 @@
     private val started = AttemptId(TaskId(JobId("j-000001"), 0), 1)
 
     private fun starts(effects: List<Effect>) = effects.filterIsInstance<Effect.SendCommands>()
-        .flatMap { push -> push.orders.filterIsInstance<WorkerCommand.Start>().map { it.attempt to push.machine } }
+        .flatMap { push -> push.commands.filterIsInstance<WorkerCommand.Start>().map { it.attempt to push.machine } }
 
     /** The old leader may have answered that machine until its grace was over, and it counts its lease from there. */
     @Test
     fun `a machine that was never heard keeps its task until grace, lease and margin are over`() {
         step(Input.LeaseRenewed(Long.MAX_VALUE / 2), Input.MachineTypesListed(listOf(type)))
-        val endMs = tuning.graceMs + (deployment.leaseS * 1000).toLong() + tuning.leaseMarginMs
-        var seq = 0L
+        val endMs = timings.graceMs + (deployment.leaseS * 1000).toLong() + timings.leaseMarginMs
+        var sequenceNumber = 0L
         fun until(ms: Long) = buildList {
             var at = 0L
             while (at < ms) {
-                addAll(step(Input.HeartbeatReceived(request(), report(2, ++seq))))
+                addAll(step(Input.HeartbeatReceived(request(), report(2, ++sequenceNumber))))
                 addAll(settle(rounds = 8))
-                at += tuning.roundMs * 8
+                at += timings.roundMs * 8
             }
         }
         assertEquals(emptyList<Any>(), starts(until(endMs - 4000)))
@@ -76,19 +76,23 @@
     fun `a start that the machine doesn't show goes to it again, as the same attempt and under the new term`() {
         step(Input.LeaseRenewed(Long.MAX_VALUE / 2), Input.MachineTypesListed(listOf(type)))
         val answer = step(
-            Input.HeartbeatReceived(request(), report(1, seq = 4, FencingToken.first(7))),
+            Input.HeartbeatReceived(request(), report(1, sequenceNumber = 4, FencingToken.first(7))),
         ).filterIsInstance<Effect.AnswerHeartbeat>().single()
-        assertEquals(listOf<WorkerCommand>(WorkerCommand.Start(started)), answer.orders)
-        assertTrue(answer.version > FencingToken.first(9))
+        assertEquals(listOf<WorkerCommand>(WorkerCommand.Start(started)), answer.commands)
+        assertTrue(answer.token > FencingToken.first(9))
     }
 
     /** As when an answer crosses it: a late copy shows less than was seen, and proves nothing. */
     @Test
     fun `a late copy that lacks the task ends nothing`() {
         step(Input.LeaseRenewed(Long.MAX_VALUE / 2), Input.MachineTypesListed(listOf(type)))
-        val running = report(1, seq = 4, FencingToken.first(7)).copy(tasks = listOf(TaskStatus(started, TaskState.RUNNING)))
+        val running = report(1, sequenceNumber = 4, FencingToken.first(7)).copy(tasks = listOf(TaskStatus(started, TaskState.RUNNING)))
         step(Input.HeartbeatReceived(request(), running))
-        assertTrue(step(Input.HeartbeatReceived(request(), report(1, seq = 3, FencingToken.first(7)))).any { it is Effect.RefuseHeartbeat })
+        assertTrue(
+            step(Input.HeartbeatReceived(request(), report(1, sequenceNumber = 3, FencingToken.first(7)))).any {
+                it is Effect.RefuseHeartbeat
+            },
+        )
         step(Input.HeartbeatReceived(request(), report(2)))
         assertEquals(emptyList<Any>(), starts(settle(rounds = 20)))
     }
--- a/src/test/kotlin/cleathitch/scheduler/FailureDetectorTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FailureDetectorTest.kt
@@ -15,18 +15,18 @@
 
 /** Many machines fall silent together: whose fault it is decides what becomes of them. */
 class FailureDetectorTest : SchedulerHarness() {
-    private var seq = 1L
-    private val roundsPerReport = (deployment.reportS * 1000 / tuning.roundMs).toInt()
+    private var sequenceNumber = 1L
+    private val roundsPerReport = (deployment.reportS * 1000 / timings.roundMs).toInt()
 
     /** One report period in which the machines of [heard] report, spread over it as they are in life. */
-    private fun period(heard: Iterable<Int>, version: FencingToken? = null, throughFollower: Boolean = false): List<Effect> {
-        seq++
+    private fun period(heard: Iterable<Int>, token: FencingToken? = null, throughFollower: Boolean = false): List<Effect> {
+        sequenceNumber++
         return (0 until roundsPerReport).flatMap { round ->
             heard.filter { it % roundsPerReport == round }.flatMap {
-                val report = report(it, seq, version ?: shown[it] ?: FencingToken.first(revision))
+                val report = report(it, sequenceNumber, token ?: shown[it] ?: FencingToken.first(revision))
                 val effects = step(if (throughFollower) forwarded(report) else Input.HeartbeatReceived(request(), report))
                 effects.filterIsInstance<Effect.AnswerFollower>().flatMap { answer -> answer.decisions }
-                    .forEach { decision -> if (decision is HeartbeatDecision.Answer) shown[it] = decision.version }
+                    .forEach { decision -> if (decision is HeartbeatDecision.Answer) shown[it] = decision.token }
                 effects
             } + settle(rounds = 1)
         }
@@ -62,7 +62,7 @@
         period(0 until 40, throughFollower = true)
         repeat(4) { step(Input.DirectCallUnanswered(report(it).machine)) }
         val stepDown = (1..2).flatMap { period(0 until 40, throughFollower = true) }.filterIsInstance<Effect.StepDown>().single()
-        assertTrue(stepDown.handOver)
+        assertTrue(stepDown.transferLeadership)
     }
 
     /** Nothing is wrong with the leader's own path if all machines report through followers, or two lose commands. */
@@ -82,7 +82,7 @@
         val old = FencingToken.first(revision)
         val effects = (1..4).flatMap {
             period(10 until 40, throughFollower = true) +
-                period(5 until 10, version = old, throughFollower = true)
+                period(5 until 10, token = old, throughFollower = true)
         }
         assertEquals(emptyList<Effect>(), effects.filterIsInstance<Effect.StepDown>())
     }
@@ -92,7 +92,7 @@
     fun `a leader stays when other direct commands are answered`() {
         busy(40)
         repeat(4) { step(Input.DirectCallUnanswered(report(it).machine)) }
-        step(Input.ProbeAnswered(report(20, seq = 1000)))
+        step(Input.ProbeAnswered(report(20, sequenceNumber = 1000)))
         val effects = (1..4).flatMap { period(0 until 20, throughFollower = true) }
         assertEquals(emptyList<Effect>(), effects.filterIsInstance<Effect.StepDown>())
     }
@@ -116,7 +116,7 @@
     fun `when all machines miss our answers, none is to blame`() {
         busy(40)
         val old = FencingToken.first(7)
-        val effects = (1..8).flatMap { period(0 until 40, version = old) }
+        val effects = (1..8).flatMap { period(0 until 40, token = old) }
         assertEquals(emptySet<MachineId>(), returned(effects))
     }
 
--- a/src/test/kotlin/cleathitch/scheduler/ForwardedHeartbeatsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/ForwardedHeartbeatsTest.kt
@@ -23,25 +23,32 @@
 
     private fun whole(report: Heartbeat) = ForwardedHeartbeat.Full(report)
 
-    private fun heartbeat(machine: Int, seq: Long, baseSeq: Long, session: Long = 1) =
-        ForwardedHeartbeat.Unchanged(report(machine).machine, session, seq, FencingToken.first(revision), noticeS = null, baseSeq)
+    private fun heartbeat(machine: Int, sequenceNumber: Long, baseSequenceNumber: Long, incarnation: Long = 1) =
+        ForwardedHeartbeat.Unchanged(
+            report(machine).machine,
+            incarnation,
+            sequenceNumber,
+            FencingToken.first(revision),
+            preemptionNoticeS = null,
+            baseSequenceNumber,
+        )
 
     /** The machines on which tasks start by orders sent directly. */
     private fun started(effects: List<Effect>) = effects.filterIsInstance<Effect.SendCommands>()
-        .filter { push -> push.orders.any { it is WorkerCommand.Start } }.map { it.machine }
+        .filter { push -> push.commands.any { it is WorkerCommand.Start } }.map { it.machine }
 
-    private fun reportsTask(machine: Int, seq: Long, attempt: AttemptId) =
-        report(machine, seq).copy(tasks = listOf(TaskStatus(attempt, TaskState.RUNNING)))
+    private fun reportsTask(machine: Int, sequenceNumber: Long, attempt: AttemptId) =
+        report(machine, sequenceNumber).copy(tasks = listOf(TaskStatus(attempt, TaskState.RUNNING)))
 
     /** One machine with the only task there is, which a follower has reported as running. */
     private fun oneRunningTask(): AttemptId {
         machines(1)
         submit(jobs = 1, tasks = 1)
         val push = settle(rounds = 3).filterIsInstance<Effect.SendCommands>().first { push ->
-            push.orders.any { it is WorkerCommand.Start }
+            push.commands.any { it is WorkerCommand.Start }
         }
-        val attempt = push.orders.single().attempt
-        forward(whole(reportsTask(0, seq = 2, attempt)))
+        val attempt = push.commands.single().attempt
+        forward(whole(reportsTask(0, sequenceNumber = 2, attempt)))
         return attempt
     }
 
@@ -51,7 +58,9 @@
         val leaseMs = (deployment.leaseS * 1000).toLong()
         val effects = (1L..20).flatMap { period ->
             at(nowMs + (deployment.reportS * 1000).toLong())
-            assertTrue(forward(heartbeat(0, seq = 2 + period, baseSeq = 1 + period)).single() is HeartbeatDecision.Answer)
+            assertTrue(
+                forward(heartbeat(0, sequenceNumber = 2 + period, baseSequenceNumber = 1 + period)).single() is HeartbeatDecision.Answer,
+            )
             settle(rounds = 1)
         }
         assertTrue(nowMs > leaseMs)
@@ -63,28 +72,31 @@
     @Test
     fun `a heartbeat whose base isn't the last report heard is answered by a call for the whole`() {
         machines(1)
-        forward(whole(report(0, seq = 2)))
-        step(Input.HeartbeatReceived(request(), report(0, seq = 3)))
-        assertEquals(HeartbeatDecision.RequestFull, forward(heartbeat(0, seq = 4, baseSeq = 2)).single())
+        forward(whole(report(0, sequenceNumber = 2)))
+        step(Input.HeartbeatReceived(request(), report(0, sequenceNumber = 3)))
+        assertEquals(HeartbeatDecision.RequestFull, forward(heartbeat(0, sequenceNumber = 4, baseSequenceNumber = 2)).single())
     }
 
     @Test
     fun `a heartbeat of another session, of an unknown machine or before a take-over is answered by a call for the whole`() {
         machines(1)
-        forward(whole(report(0, seq = 2)))
-        assertEquals(HeartbeatDecision.RequestFull, forward(heartbeat(0, seq = 3, baseSeq = 2, session = 2)).single())
-        assertEquals(HeartbeatDecision.RequestFull, forward(heartbeat(5, seq = 3, baseSeq = 2)).single())
-        takeOver()
-        assertEquals(HeartbeatDecision.RequestFull, forward(heartbeat(0, seq = 3, baseSeq = 2)).single())
+        forward(whole(report(0, sequenceNumber = 2)))
+        assertEquals(
+            HeartbeatDecision.RequestFull,
+            forward(heartbeat(0, sequenceNumber = 3, baseSequenceNumber = 2, incarnation = 2)).single(),
+        )
+        assertEquals(HeartbeatDecision.RequestFull, forward(heartbeat(5, sequenceNumber = 3, baseSequenceNumber = 2)).single())
+        failOver()
+        assertEquals(HeartbeatDecision.RequestFull, forward(heartbeat(0, sequenceNumber = 3, baseSequenceNumber = 2)).single())
     }
 
     /** As when a batch is delivered twice, or a report's copy reaches a second node. */
     @Test
     fun `the same report isn't answered a second time, and doesn't spoil the rest of its batch`() {
         machines(2)
-        val first = forward(whole(report(0, seq = 2)), whole(report(1, seq = 2)))
+        val first = forward(whole(report(0, sequenceNumber = 2)), whole(report(1, sequenceNumber = 2)))
         assertTrue(first.all { it is HeartbeatDecision.Answer })
-        val second = forward(whole(report(0, seq = 2)), whole(report(1, seq = 3)))
+        val second = forward(whole(report(0, sequenceNumber = 2)), whole(report(1, sequenceNumber = 3)))
         assertEquals(HeartbeatDecision.Refuse, second[0])
         assertTrue(second[1] is HeartbeatDecision.Answer)
     }
@@ -94,13 +106,13 @@
     fun `a report held up on its way keeps its machine's tasks for a lease from its arrival`() {
         oneRunningTask()
         at(nowMs + (deployment.leaseS * 1000).toLong() / 2)
-        forward(heartbeat(0, seq = 3, baseSeq = 2))
+        forward(heartbeat(0, sequenceNumber = 3, baseSequenceNumber = 2))
         val leaseEndMs = nowMs + (deployment.leaseS * 1000).toLong()
         var shown = FencingToken.first(revision)
         val starts = ArrayList<Long>()
         while (nowMs < leaseEndMs * 2) {
-            val answers = step(Input.HeartbeatReceived(request(), report(1, seq = nowMs, version = shown)))
-            shown = answers.filterIsInstance<Effect.AnswerHeartbeat>().single().version
+            val answers = step(Input.HeartbeatReceived(request(), report(1, sequenceNumber = nowMs, token = shown)))
+            shown = answers.filterIsInstance<Effect.AnswerHeartbeat>().single().token
             if (started(settle(rounds = 1)).isNotEmpty()) starts += nowMs
         }
         assertTrue(starts.isNotEmpty() && starts.first() >= leaseEndMs) { "$starts, the lease may run until $leaseEndMs" }
@@ -109,20 +121,20 @@
     /** Without a lease of its own a leader answers for a bounded time, through followers too. */
     @Test
     fun `nothing is answered through followers once the grace is over`() {
-        machines(1, heldUntilMs = 1000)
-        at(1000 + tuning.graceMs - 1)
-        assertTrue(forward(whole(report(0, seq = 2))).single() is HeartbeatDecision.Answer)
-        at(1000 + tuning.graceMs)
-        assertEquals(HeartbeatDecision.Refuse, forward(whole(report(0, seq = 3))).single())
-        assertEquals(HeartbeatDecision.Refuse, forward(heartbeat(0, seq = 4, baseSeq = 3)).single())
+        machines(1, validUntilMs = 1000)
+        at(1000 + timings.graceMs - 1)
+        assertTrue(forward(whole(report(0, sequenceNumber = 2))).single() is HeartbeatDecision.Answer)
+        at(1000 + timings.graceMs)
+        assertEquals(HeartbeatDecision.Refuse, forward(whole(report(0, sequenceNumber = 3))).single())
+        assertEquals(HeartbeatDecision.Refuse, forward(heartbeat(0, sequenceNumber = 4, baseSequenceNumber = 3)).single())
     }
 
     /** Whoever has seen a higher version has met a newer leader; what comes after it in the batch gets nothing either. */
     @Test
     fun `a higher version in a batch ends the term and the answers`() {
         machines(2)
-        val newer = report(0, seq = 2, version = FencingToken.first(revision + 1000))
-        val effects = step(Input.FollowerBatchReceived(request(), listOf(whole(newer), whole(report(1, seq = 2)))))
+        val newer = report(0, sequenceNumber = 2, token = FencingToken.first(revision + 1000))
+        val effects = step(Input.FollowerBatchReceived(request(), listOf(whole(newer), whole(report(1, sequenceNumber = 2)))))
         assertEquals(1, effects.filterIsInstance<Effect.StepDown>().size)
         assertEquals(List(2) { HeartbeatDecision.Refuse }, effects.filterIsInstance<Effect.AnswerFollower>().single().decisions)
     }
@@ -133,7 +145,7 @@
         step(Input.MachinesListed(listOf(listed(0, ListedState.FAILED))))
         settle(rounds = 40)
         step(Input.MachinesTerminated(listOf(report(0).machine)))
-        assertEquals(HeartbeatDecision.Refuse, forward(whole(report(0, seq = 2))).single())
-        assertEquals(HeartbeatDecision.Refuse, forward(heartbeat(0, seq = 3, baseSeq = 1)).single())
+        assertEquals(HeartbeatDecision.Refuse, forward(whole(report(0, sequenceNumber = 2))).single())
+        assertEquals(HeartbeatDecision.Refuse, forward(heartbeat(0, sequenceNumber = 3, baseSequenceNumber = 1)).single())
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/IsolatedLeaderTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/IsolatedLeaderTest.kt
@@ -20,10 +20,10 @@
     /** Without a bound its machines would run on for ever, and nobody could ever start their tasks elsewhere. */
     @Test
     fun `without state service and peers it answers machines for its grace, decides nothing, and sends users away`() {
-        machines(2, heldUntilMs = 1000)
+        machines(2, validUntilMs = 1000)
         submit(jobs = 1, tasks = 2)
-        at(1000 + tuning.graceMs - 1)
-        val answer = answerTo(Input.HeartbeatReceived(request(), report(0, seq = 2)))
+        at(1000 + timings.graceMs - 1)
+        val answer = answerTo(Input.HeartbeatReceived(request(), report(0, sequenceNumber = 2)))
         assertTrue(answer is Effect.AnswerHeartbeat)
         val poll = answerTo(Input.Poll(request(), JobId("j-000003"))) as Effect.Answer
         val submission = answerTo(Input.Submit(request(), SimulatedCluster.job(99))) as Effect.Answer
@@ -38,7 +38,7 @@
                     it is Effect.TerminateMachines
             },
         )
-        at(1000 + tuning.graceMs)
-        assertTrue(answerTo(Input.HeartbeatReceived(request(), report(0, seq = 3))) is Effect.RefuseHeartbeat)
+        at(1000 + timings.graceMs)
+        assertTrue(answerTo(Input.HeartbeatReceived(request(), report(0, sequenceNumber = 3))) is Effect.RefuseHeartbeat)
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/LargeFleetTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/LargeFleetTest.kt
@@ -28,9 +28,9 @@
         submit(jobs = machines / TASKS_PER_JOB, tasks = TASKS_PER_JOB)
         val tasks = HashMap<MachineId, MutableSet<TaskStatus>>()
         var rounds = 0
-        while (tasks.values.sumOf { it.size } < machines && rounds++ < MOST_ROUNDS) {
+        while (tasks.values.sumOf { it.size } < machines && rounds++ < MAX_ROUNDS) {
             val starts = settle(rounds = 1).filterIsInstance<Effect.SendCommands>().flatMap { push ->
-                push.orders.filterIsInstance<WorkerCommand.Start>().map { push.machine to TaskStatus(it.attempt, TaskState.RUNNING) }
+                push.commands.filterIsInstance<WorkerCommand.Start>().map { push.machine to TaskStatus(it.attempt, TaskState.RUNNING) }
             }
             // An order that no report has shown yet may be sent again.
             starts.forEach { (machine, task) -> tasks.getOrPut(machine) { LinkedHashSet() } += task }
@@ -38,11 +38,12 @@
             if (rounds % ROUNDS_PER_REPORT == 0) reportAll(machines, tasks, rounds.toLong())
         }
         assertEquals(machines, tasks.values.sumOf { it.size }, "tasks that were started in $rounds rounds")
-        return reportAll(machines, tasks, MOST_ROUNDS + 1L)
+        return reportAll(machines, tasks, MAX_ROUNDS + 1L)
     }
 
-    private fun reportAll(machines: Int, tasks: Map<MachineId, Set<TaskStatus>>, seq: Long): List<Heartbeat> {
-        val reports = List(machines) { number -> report(number, seq + 1).let { it.copy(tasks = tasks[it.machine].orEmpty().toList()) } }
+    private fun reportAll(machines: Int, tasks: Map<MachineId, Set<TaskStatus>>, sequenceNumber: Long): List<Heartbeat> {
+        val reports =
+            List(machines) { number -> report(number, sequenceNumber + 1).let { it.copy(tasks = tasks[it.machine].orEmpty().toList()) } }
         reports.forEach { step(Input.HeartbeatReceived(request(), it)) }
         return reports
     }
@@ -63,7 +64,7 @@
         val pages = pagesOf(stored.size, bytes)
         val withEngine = usedMb()
         val startNs = System.nanoTime()
-        takeOver()
+        failOver()
         val replayMs = (System.nanoTime() - startNs) / 1_000_000
         step(Input.MachinesListed(List(MACHINES) { listed(it) }))
         val beginMs = nowMs
@@ -74,9 +75,11 @@
                 "${asked.size} machines asked in a report period of $reportMs ms; " +
                 "heap $before MB before, $withEngine MB with the engine, ${usedMb()} MB after its successor's replay",
         )
-        assertTrue(pages <= MOST_PAGES) { "$pages pages, $bytes bytes, ${stored.size} entries" }
+        assertTrue(pages <= MAX_PAGES) { "$pages pages, $bytes bytes, ${stored.size} entries" }
         val heard = reports.count { report ->
-            step(Input.HeartbeatReceived(request(), report.copy(seq = report.seq + 1))).any { it is Effect.AnswerHeartbeat }
+            step(Input.HeartbeatReceived(request(), report.copy(sequenceNumber = report.sequenceNumber + 1))).any {
+                it is Effect.AnswerHeartbeat
+            }
         }
         assertEquals(MACHINES, heard)
     }
@@ -87,19 +90,19 @@
         val reports = running(MACHINES)
         val atFirst = storedEntries().size
         reports.forEach { report ->
-            val ended = report.tasks.map { it.copy(state = TaskState.EXITED, why = ExitReason.DONE) }
-            step(Input.HeartbeatReceived(request(), report.copy(seq = report.seq + 1, tasks = ended)))
+            val ended = report.tasks.map { it.copy(state = TaskState.EXITED, exitReason = ExitReason.DONE) }
+            step(Input.HeartbeatReceived(request(), report.copy(sequenceNumber = report.sequenceNumber + 1, tasks = ended)))
         }
         var rounds = 0
-        while (storedEntries().size > LEFT_ENTRIES && rounds++ < MOST_ROUNDS) settle(rounds = 1)
-        println("$MACHINES ended tasks: $atFirst entries before, ${storedEntries().size} after $rounds rounds of ${tuning.roundMs} ms")
+        while (storedEntries().size > LEFT_ENTRIES && rounds++ < MAX_ROUNDS) settle(rounds = 1)
+        println("$MACHINES ended tasks: $atFirst entries before, ${storedEntries().size} after $rounds rounds of ${timings.roundMs} ms")
         assertTrue(storedEntries().size <= LEFT_ENTRIES) { "${storedEntries().size} entries are left" }
     }
 
     private companion object {
         const val MACHINES = 4000
         const val TASKS_PER_JOB = 4
-        const val MOST_ROUNDS = 3000
+        const val MAX_ROUNDS = 3000
         const val ROUNDS_PER_REPORT = 8
 
         /** What the state service gives in one answer. */
@@ -107,7 +110,7 @@
         const val PAGE_BYTES = 512 * 1024L
 
         /** At a few milliseconds a page, and some hundred now and then, far below the watchdog's four leases. */
-        const val MOST_PAGES = 8
+        const val MAX_PAGES = 8
 
         /** Head, fleet, two chunks of final states, and the last records. */
         const val LEFT_ENTRIES = 8
--- a/src/test/kotlin/cleathitch/scheduler/QuotaFaultsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/QuotaFaultsTest.kt
@@ -16,11 +16,11 @@
     fun `a team at its limit waits for cancelled tasks on a machine that nobody hears, and no longer`() {
         lead()
         runs(1, tasks = 2)
-        takeOver()
+        failOver()
         assertTrue(cancelled(aborts(1)))
         submits(2)
         val other = Machine(2)
-        val bound = tuning.graceMs + (deployment.leaseS * 1000).toLong() + tuning.leaseMarginMs
+        val bound = timings.graceMs + (deployment.leaseS * 1000).toLong() + timings.leaseMarginMs
         val periodMs = (deployment.reportS * 1000).toLong()
         assertEquals(emptyList<AttemptId>(), starts(periods((bound / periodMs - 1).toInt(), others = listOf(other))))
         assertEquals(listOf(taskOf(2)), starts(periods(6, others = listOf(other))).map { it.task }.distinct())
@@ -34,7 +34,13 @@
         settle(rounds = 2)
         aborts(1)
         submits(2)
-        assertEquals(emptyList<AttemptId>(), starts(machine.reports(deaf = true) + settle(rounds = 2)).filter { it.task == taskOf(2) })
+        assertEquals(
+            emptyList<AttemptId>(),
+            starts(machine.reports(missesReplies = true) + settle(rounds = 2)).filter {
+                it.task ==
+                    taskOf(2)
+            },
+        )
         machine.reports()
         assertEquals(listOf(taskOf(2)), starts(periods(2)).map { it.task }.distinct())
     }
@@ -49,14 +55,14 @@
         repeat(2) {
             assertEquals(
                 emptyList<AttemptId>(),
-                starts(machine.reports(deaf = true) + settle(rounds = 2)).filter {
+                starts(machine.reports(missesReplies = true) + settle(rounds = 2)).filter {
                     it.task ==
                         taskOf(2)
                 },
             )
         }
         machine.losesLease()
-        machine.reports(deaf = true)
+        machine.reports(missesReplies = true)
         assertEquals(listOf(taskOf(2)), starts(periods(2, others = listOf(Machine(2)))).map { it.task }.distinct())
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/ScalabilityTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/ScalabilityTest.kt
@@ -22,10 +22,10 @@
         val fresh = ScalabilityTest()
         fresh.machines(machines)
         fresh.submit(jobs, tasks = 2)
-        val before = fresh.engine.looks
+        val before = fresh.scheduler.candidatesEvaluated
         // The first round waits until the intakes are written, which the budget of changes spreads.
-        repeat(200) { if (fresh.engine.looks == before) fresh.settle(rounds = 1) }
-        return fresh.engine.looks - before
+        repeat(200) { if (fresh.scheduler.candidatesEvaluated == before) fresh.settle(rounds = 1) }
+        return fresh.scheduler.candidatesEvaluated - before
     }
 
     /** Once each task was weighed against each machine. */
@@ -71,17 +71,17 @@
     @Test
     fun `a machine gets tasks once it shows a version of this term, not before`() {
         step(Input.LeaseRenewed(Long.MAX_VALUE / 2), Input.MachineTypesListed(listOf(type)))
-        step(Input.HeartbeatReceived(request(), report(1, seq = 1, FencingToken.first(3))))
+        step(Input.HeartbeatReceived(request(), report(1, sequenceNumber = 1, FencingToken.first(3))))
         submit(jobs = 1, tasks = 1)
         assertTrue(settle(rounds = 4).none { it is Effect.SendCommands })
-        step(Input.HeartbeatReceived(request(), report(1, seq = 2, FencingToken.first(7))))
+        step(Input.HeartbeatReceived(request(), report(1, sequenceNumber = 2, FencingToken.first(7))))
         assertEquals(1, settle(rounds = 2).count { it is Effect.SendCommands })
     }
 
     /** Every machine's last answered report is then older than its lease; counted over the outage, all went back at once. */
     @Test
     fun `after a long outage of the state service no machine is returned for its silence`() {
-        machines(20, heldUntilMs = 1000)
+        machines(20, validUntilMs = 1000)
         submit(jobs = 20, tasks = 2)
         assertTrue(settle(rounds = 3).any { it is Effect.SendCommands })
         settle(rounds = 4 * 60)
@@ -93,9 +93,9 @@
     @Test
     fun `after a take-over a machine that the cloud lists is asked, and its answer is enough`() {
         step(Input.LeaseRenewed(Long.MAX_VALUE / 2), Input.MachineTypesListed(listOf(type)))
-        val seen = report(1, seq = 5, FencingToken.first(3))
-        step(Input.MachinesListed(listOf(ListedMachine(seen.machine, seen.addr, Offer("m4", "b", false), ListedState.RUNNING, 100.0))))
-        assertTrue(Effect.Probe(seen.machine, seen.addr) in settle(rounds = 4))
+        val seen = report(1, sequenceNumber = 5, FencingToken.first(3))
+        step(Input.MachinesListed(listOf(ListedMachine(seen.machine, seen.address, Offer("m4", "b", false), ListedState.RUNNING, 100.0))))
+        assertTrue(Effect.Probe(seen.machine, seen.address) in settle(rounds = 4))
         step(Input.ProbeAnswered(seen))
         submit(jobs = 1, tasks = 1)
         assertEquals(1, settle(rounds = 2).count { it is Effect.SendCommands })
@@ -108,7 +108,7 @@
         val returned = settle(rounds = 4 * 70).filterIsInstance<Effect.TerminateMachines>().first().machines
         step(Input.MachinesTerminated(returned))
         val request = request()
-        assertTrue(Effect.RefuseHeartbeat(request) in step(Input.HeartbeatReceived(request, report(0, seq = 9))))
+        assertTrue(Effect.RefuseHeartbeat(request) in step(Input.HeartbeatReceived(request, report(0, sequenceNumber = 9))))
         submit(jobs = 1, tasks = 1)
         assertTrue(settle(rounds = 4).none { it is Effect.SendCommands })
     }
@@ -117,14 +117,14 @@
     @Test
     fun `a machine that shows none of our answers is given nothing more and returned`() {
         machines(20)
-        var seq = 1L
+        var sequenceNumber = 1L
         val returned = LinkedHashSet<MachineId>()
         repeat(6) {
-            seq++
+            sequenceNumber++
             submit(jobs = 1, tasks = 1)
             for (i in 0 until 20) {
-                val version = if (i == 0) FencingToken.first(7) else FencingToken.first(revision + 1)
-                step(Input.HeartbeatReceived(request(), report(i, seq, minOf(version, FencingToken.first(revision)))))
+                val token = if (i == 0) FencingToken.first(7) else FencingToken.first(revision + 1)
+                step(Input.HeartbeatReceived(request(), report(i, sequenceNumber, minOf(token, FencingToken.first(revision)))))
             }
             returned += settle(rounds = 8).filterIsInstance<Effect.TerminateMachines>().flatMap { it.machines }
         }
--- a/src/test/kotlin/cleathitch/scheduler/SchedulerHarness.kt
+++ b/src/test/kotlin/cleathitch/scheduler/SchedulerHarness.kt
@@ -25,8 +25,8 @@
 abstract class SchedulerHarness(private var term: Long = 7, snapshot: RecoveredState = RecoveredState.EMPTY, maxCpus: Double? = null) {
     protected val type = MachineType("m4", 4.0, 0.0, 16.0, 50.0, 1.0, 1.0, 0.4, 5.0, listOf("a", "b"))
     protected val deployment = SimulatedCluster.standard.copy(teams = mapOf("red" to Team("red", 8.0, maxCpus, 0.0, null)))
-    protected val tuning = SchedulerTimings.of(deployment)
-    protected var engine = Scheduler(deployment, tuning, Term(term), snapshot, ClockReading(0, 0), LogCodec)
+    protected val timings = SchedulerTimings.of(deployment)
+    protected var scheduler = Scheduler(deployment, timings, Term(term), snapshot, ClockReading(0, 0), LogCodec)
         private set
     protected var nowMs = 0L
         private set
@@ -47,7 +47,7 @@
     protected fun request() = RequestId(++requests)
 
     protected fun step(vararg commands: Input): List<Effect> {
-        val effects = engine.handle(commands.toList(), ClockReading(nowMs, nowMs)).toMutableList()
+        val effects = scheduler.handle(commands.toList(), ClockReading(nowMs, nowMs)).toMutableList()
         effects.filterIsInstance<Effect.Write>().forEach { write ->
             if (stateServiceOut) unanswered += write.commit else effects += carryOut(write.commit)
         }
@@ -67,11 +67,11 @@
     }
 
     /** The leader ends; a successor replays what is recorded, and nothing else is known to it. */
-    protected fun takeOver(): List<Effect> {
+    protected fun failOver(): List<Effect> {
         stateServiceOut = false
         unanswered.clear()
         term = ++revision
-        engine = Scheduler(deployment, tuning, Term(term), LogCodec.snapshot(storedEntries()), ClockReading(nowMs, nowMs), LogCodec)
+        scheduler = Scheduler(deployment, timings, Term(term), LogCodec.snapshot(storedEntries()), ClockReading(nowMs, nowMs), LogCodec)
         return step(Input.LeaseRenewed(Long.MAX_VALUE / 2), Input.MachineTypesListed(listOf(type)))
     }
 
@@ -83,21 +83,30 @@
     }
 
     protected fun settle(rounds: Int) = List(rounds) {
-        nowMs += tuning.roundMs
+        nowMs += timings.roundMs
         step(Input.Tick)
     }.flatten()
 
-    protected fun machines(count: Int, heldUntilMs: Long = Long.MAX_VALUE / 2) {
-        step(Input.LeaseRenewed(heldUntilMs), Input.MachineTypesListed(listOf(type)))
+    protected fun machines(count: Int, validUntilMs: Long = Long.MAX_VALUE / 2) {
+        step(Input.LeaseRenewed(validUntilMs), Input.MachineTypesListed(listOf(type)))
         repeat(count) { i ->
             step(Input.HeartbeatReceived(request(), report(i)))
         }
     }
 
-    protected fun report(machine: Int, seq: Long = 1, version: FencingToken = FencingToken.first(term), session: Long = 1) = Heartbeat(
-        MachineId("vm-%06d".format(machine)), "10.0.0.9:1", "m4", if (machine % 2 == 0) "a" else "b", false, session, seq,
-        version, null, emptyList(),
-    )
+    protected fun report(machine: Int, sequenceNumber: Long = 1, token: FencingToken = FencingToken.first(term), incarnation: Long = 1) =
+        Heartbeat(
+            MachineId("vm-%06d".format(machine)), "10.0.0.9:1", "m4",
+            if (machine % 2 ==
+                0
+            ) {
+                "a"
+            } else {
+                "b"
+            },
+            false, incarnation, sequenceNumber,
+            token, null, emptyList(),
+        )
 
     protected fun listed(machine: Int, state: ListedState = ListedState.RUNNING) =
         ListedMachine(report(machine).machine, "10.0.0.9:1", Offer("m4", report(machine).zone, spot = false), state, ageS = 300.0)
--- a/src/test/kotlin/cleathitch/scheduler/SchedulerTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/SchedulerTest.kt
@@ -26,7 +26,7 @@
 /** Small traces of one engine, step by step. */
 class SchedulerTest {
     private val type = MachineType("m4", 4.0, 0.0, 16.0, 50.0, 1.0, 1.0, 0.4, 5.0, listOf("a", "b"))
-    private val engine = Scheduler(
+    private val scheduler = Scheduler(
         SimulatedCluster.standard,
         SchedulerTimings.of(SimulatedCluster.standard),
         Term(7),
@@ -37,13 +37,13 @@
     private var nowMs = 0L
     private var revision = 7L
 
-    private fun step(vararg commands: Input): List<Effect> = engine.handle(commands.toList(), ClockReading(nowMs, nowMs))
+    private fun step(vararg commands: Input): List<Effect> = scheduler.handle(commands.toList(), ClockReading(nowMs, nowMs))
 
     private fun commit(effects: List<Effect>): List<Effect> = effects.filterIsInstance<Effect.Write>()
         .flatMap { step(Input.CommitSucceeded(it.commit.seq, ++revision)) }
 
-    private fun report(seq: Long, version: Long = 0, tasks: List<TaskStatus> = emptyList()) =
-        Heartbeat(MachineId("vm-1"), "10.0.0.9:1", "m4", "a", false, 1, seq, FencingToken(version), null, tasks)
+    private fun report(sequenceNumber: Long, token: Long = 0, tasks: List<TaskStatus> = emptyList()) =
+        Heartbeat(MachineId("vm-1"), "10.0.0.9:1", "m4", "a", false, 1, sequenceNumber, FencingToken(token), null, tasks)
 
     private fun lead() = step(Input.LeaseRenewed(Long.MAX_VALUE / 2))
 
@@ -58,7 +58,7 @@
         nowMs += 300
         val written = step(Input.Submit(RequestId(3), SimulatedCluster.job(1, tasks = 1)))
         val pushed = commit(written).filterIsInstance<Effect.SendCommands>()
-        assertEquals(listOf(WorkerCommand.Start(AttemptId(TaskId(JobId("j-000001"), 0), 1))), pushed.single().orders)
+        assertEquals(listOf(WorkerCommand.Start(AttemptId(TaskId(JobId("j-000001"), 0), 1))), pushed.single().commands)
     }
 
     @Test
--- a/src/test/kotlin/cleathitch/scheduler/UnreachableMachinesTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/UnreachableMachinesTest.kt
@@ -11,7 +11,7 @@
 /** Machines that only half of the messages reach, and zones that lose them. */
 class UnreachableMachinesTest : CombinedFaultsHarness() {
     private fun answersOnly(machines: List<Machine>, count: Int) = (1..count).flatMap {
-        machines.flatMap { step(Input.ProbeAnswered(it.shown())) } + settle((deployment.reportS * 1000 / tuning.roundMs).toInt())
+        machines.flatMap { step(Input.ProbeAnswered(it.shown())) } + settle((deployment.reportS * 1000 / timings.roundMs).toInt())
     }
 
     /** Direct orders don't renew leases: what was started there died with the next lease. */
--- a/src/test/kotlin/cleathitch/scheduler/placement/SchedulingOrderTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/placement/SchedulingOrderTest.kt
@@ -16,13 +16,13 @@
 class SchedulingOrderTest {
     private val teams = mapOf("red" to Team("red", 4.0, null, 0.0, null), "blue" to Team("blue", 0.0, null, 0.0, null))
     private val quota = Quota(teams, JobTable())
-    private val aims = mapOf("batch" to listOf(100.0, 200.0))
+    private val completionObjectives = mapOf("batch" to listOf(100.0, 200.0))
 
     private fun job(number: Int, submittedS: Int, tasks: Int, team: String = "blue", kind: JobKind = JobKind.ARRAY) =
         Job(SimulatedCluster.job(number, kind, tasks, team), submittedS * 1000L, LogIndex(1))
 
     private fun order(nowS: Int, vararg jobs: Job) =
-        SchedulingOrder(aims, quota, nowS * 1000L).order(jobs.toList()).map { it.id.text.removePrefix("j-").toInt() }
+        SchedulingOrder(completionObjectives, quota, nowS * 1000L).order(jobs.toList()).map { it.id.text.removePrefix("j-").toInt() }
 
     @Test
     fun `services, then guarantees, then small jobs before large ones of about the same age`() {
