--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
@@ -46,7 +46,7 @@
     seed: Long,
     private val weather: FaultSchedule,
     val deployment: Deployment = standard,
-    private val mostMachines: Int = 24,
+    private val maxMachines: Int = 24,
 ) {
     private class Step(val atMs: Long, val order: Long, val action: () -> Unit)
 
@@ -60,7 +60,7 @@
     val broken = ArrayList<String>()
     val trace = ArrayList<String>()
 
-    private val tuning = SchedulerTimings.of(deployment, weather.trimS)
+    private val timings = SchedulerTimings.of(deployment, weather.trimS)
     private val state = SimulatedKeyValueStore<Node>(TTL_MS) { nowMs }
     private val type = MachineType("m4", 4.0, 0.0, 16.0, 50.0, 1.0, 1.0, 0.4, 5.0, deployment.zones)
 
@@ -90,7 +90,7 @@
     // ---- nodes
 
     inner class Node(val name: String, private val drift: Double) {
-        var engine: Scheduler? = null
+        var scheduler: Scheduler? = null
         private var term = 0L
         private var head = 0L
         private var life = 0
@@ -109,7 +109,7 @@
         private var openBatch: HeartbeatQueue.Batch? = null
 
         fun steadyMs() = (nowMs * drift).toLong() + 1_000_000
-        private fun moment() = ClockReading(steadyMs(), nowMs)
+        private fun clockReading() = ClockReading(steadyMs(), nowMs)
 
         fun live() {
             val mine = life
@@ -117,8 +117,8 @@
                 if (life != mine) return
                 if (nowMs < standsUntilMs) return after(standsUntilMs - nowMs, ::loop)
                 state.expireLease()
-                if (engine == null && state.isLeaderless && served) elect()
-                engine?.let { if (nowMs - lastRenewal >= TTL_MS / 4) renew() }
+                if (scheduler == null && state.isLeaderless && served) elect()
+                scheduler?.let { if (nowMs - lastRenewal >= TTL_MS / 4) renew() }
                 take(Input.Tick)
                 forwardReports()
                 after(200, ::loop)
@@ -127,7 +127,7 @@
         }
 
         fun kill(awayMs: Long? = null) {
-            engine = null
+            scheduler = null
             life++
             forwarding = HeartbeatQueue(FORWARD_WITHIN_MS)
             openBatch = null
@@ -142,7 +142,7 @@
             heldUntil = steadyMs() + TTL_MS * 999 / 1000
             lastRenewal = nowMs
             inFlight = null
-            engine = Scheduler(deployment, tuning, Term(term), state.snapshot(), moment(), LogCodec)
+            scheduler = Scheduler(deployment, timings, Term(term), state.snapshot(), clockReading(), LogCodec)
             trace += "${nowMs / 1000.0} $name leads in term $term"
             take(Input.LeaseRenewed(heldUntil))
             take(Input.MachineTypesListed(listOf(type)))
@@ -156,7 +156,7 @@
             after(random.nextLong(1, 10)) {
                 val held = state.renew(mine)
                 after(random.nextLong(1, 10)) {
-                    if (term == mine && engine != null) {
+                    if (term == mine && scheduler != null) {
                         if (held) take(Input.LeaseRenewed(sent + TTL_MS * 999 / 1000)) else resign()
                     }
                 }
@@ -164,7 +164,7 @@
         }
 
         fun resign() {
-            engine = null
+            scheduler = null
         }
 
         fun take(command: Input) {
@@ -172,8 +172,8 @@
                 val mine = life
                 return after(standsUntilMs - nowMs) { if (life == mine) take(command) }
             }
-            val engine = engine ?: return
-            engine.handle(listOf(command), moment()).forEach(::perform)
+            val scheduler = scheduler ?: return
+            scheduler.handle(listOf(command), clockReading()).forEach(::perform)
         }
 
         /** A worker's report reaches this node, which answers it as leader or through the leader. */
@@ -182,18 +182,18 @@
                 val mine = life
                 return after(standsUntilMs - nowMs) { if (life == mine) takeReport(report, answer) }
             }
-            if (engine == null) {
-                return forwarding.add(report, steadyMs()) { if (it is ForwardOutcome.Answered) answer(it.version, it.orders) }
+            if (scheduler == null) {
+                return forwarding.add(report, steadyMs()) { if (it is ForwardOutcome.Answered) answer(it.token, it.commands) }
             }
             val request = RequestId(++requests)
-            reportAnswers[request] = { answer(it.version, it.orders) }
+            reportAnswers[request] = { answer(it.token, it.commands) }
             take(Input.HeartbeatReceived(request, report))
         }
 
         private fun forwardReports() {
-            if (engine != null || openBatch != null) return
+            if (scheduler != null || openBatch != null) return
             // It may as well take a deposed leader for the present one.
-            val leader = nodes.filter { it.engine != null }.randomOrNull(random) ?: return forwarding.refuseAll()
+            val leader = nodes.filter { it.scheduler != null }.randomOrNull(random) ?: return forwarding.refuseAll()
             val batch = forwarding.nextBatch(leader.term, steadyMs())
             if (batch.isEmpty) return
             openBatch = batch
@@ -221,7 +221,7 @@
         }
 
         private fun decide(batch: HeartbeatQueue.Batch, answer: (List<HeartbeatDecision>) -> Unit) {
-            if (engine == null || term != batch.term) return
+            if (scheduler == null || term != batch.term) return
             val request = RequestId(++requests)
             batchAnswers[request] = { answer(it.decisions) }
             take(Input.FollowerBatchReceived(request, batch.reports))
@@ -233,7 +233,7 @@
             val mine = term
             val expected = head
             fun attempt() {
-                if (term != mine || engine == null || inFlight !== commit) return
+                if (term != mine || scheduler == null || inFlight !== commit) return
                 if (served && nowMs >= standsUntilMs) {
                     val late = !calm && random.nextDouble() < weather.lateWrites
                     send(if (late) random.nextLong(2000, 12_000) else 0) {
@@ -242,7 +242,7 @@
                         val refused = result == null
                         if (!late && (calm || random.nextDouble() >= weather.lost)) {
                             after(random.nextLong(1, 10)) {
-                                if (term == mine && engine != null && inFlight === commit) {
+                                if (term == mine && scheduler != null && inFlight === commit) {
                                     if (refused) {
                                         resign()
                                     } else {
@@ -309,16 +309,16 @@
     private val answers = HashMap<RequestId, (UserReply) -> Unit>()
     private val reportAnswers = HashMap<RequestId, (Effect.AnswerHeartbeat) -> Unit>()
     private val batchAnswers = HashMap<RequestId, (Effect.AnswerFollower) -> Unit>()
-    val leader: Node? get() = nodes.filter { it.engine != null }.maxByOrNull { if (it === state.leader) 1 else 0 }
+    val leader: Node? get() = nodes.filter { it.scheduler != null }.maxByOrNull { if (it === state.leader) 1 else 0 }
 
     // ---- machines
 
     private class Running(val id: AttemptId, var state: TaskState, val imageAtMs: Long, var endsAtMs: Long?) {
-        var why: ExitReason? = null
+        var exitReason: ExitReason? = null
     }
 
     inner class Worker(val id: MachineId, private val offer: Offer) {
-        private var session = 1L
+        private var incarnation = 1L
         private var seq = 0L
         private var token = 0L
         private val tasks = LinkedHashMap<AttemptId, Running>()
@@ -327,16 +327,16 @@
         private var hangsUntilMs = 0L
 
         /** Until then its zone is cut off: what it sends and what is sent to it is held. */
-        private val heldMs get() = (cutZones[zone] ?: 0L) - nowMs
+        private val heldMs get() = (partitionedZones[zone] ?: 0L) - nowMs
 
         /** Until then its reports arrive, while answers and orders don't reach it. */
         var deafUntilMs = 0L
-        private val deaf get() = nowMs < deafUntilMs
+        private val missesReplies get() = nowMs < deafUntilMs
 
         /** Until then it reaches no node, while direct orders reach it. */
         var muteUntilMs = 0L
         val cpusUsed get() = tasks.values.filter { it.state != TaskState.EXITED }.sumOf { submitted.getValue(it.id.task.job).spec.cpus }
-        val works get() = nowMs >= hangsUntilMs && !deaf && nowMs >= muteUntilMs
+        val works get() = nowMs >= hangsUntilMs && !missesReplies && nowMs >= muteUntilMs
         fun has(task: TaskId) = tasks.values.any { it.id.task == task && it.state != TaskState.EXITED }
         fun cpusOf(job: JobId) =
             tasks.values.count { it.id.task.job == job && it.state != TaskState.EXITED } * submitted.getValue(job).spec.cpus
@@ -360,14 +360,14 @@
             after((deployment.reportS * 1000 * random.nextDouble(0.75, 1.25)).toLong(), ::live)
         }
 
-        fun hang(mostMs: Long = 40_000) {
-            hangsUntilMs = nowMs + random.nextLong(mostMs)
+        fun hang(maxMs: Long = 40_000) {
+            hangsUntilMs = nowMs + random.nextLong(maxMs)
         }
 
         /** Starts anew within a fraction of a second: everything on it is gone, its highest version too. */
         fun bounce() {
             tasks.clear()
-            session++
+            incarnation++
             seq = 0
             token = 0
             leaseFromMs = nowMs
@@ -377,7 +377,7 @@
         private fun advance() {
             if (nowMs - leaseFromMs > deployment.leaseS * 1000) {
                 tasks.clear()
-                session++
+                incarnation++
                 leaseFromMs = nowMs
             }
             for (task in tasks.values) {
@@ -385,7 +385,7 @@
                 val ends = task.endsAtMs
                 if (task.state == TaskState.RUNNING && ends != null && ends <= nowMs) {
                     task.state = TaskState.EXITED
-                    task.why = ExitReason.DONE
+                    task.exitReason = ExitReason.DONE
                     if (results.add(task.id.task)) ended(task.id.task.job)
                 }
             }
@@ -394,8 +394,8 @@
         private fun report(): Heartbeat {
             seq++
             return Heartbeat(
-                id, "x", offer.type, offer.zone, offer.spot, session, seq, FencingToken(token), null,
-                tasks.values.map { TaskStatus(it.id, it.state, it.why) },
+                id, "x", offer.type, offer.zone, offer.spot, incarnation, seq, FencingToken(token), null,
+                tasks.values.map { TaskStatus(it.id, it.state, it.exitReason) },
             )
         }
 
@@ -412,21 +412,21 @@
                 }
             }
             send(heldMs) {
-                target.takeReport(report) { version, orders ->
+                target.takeReport(report) { newToken, commands ->
                     send(heldMs) {
-                        if (!deaf &&
+                        if (!missesReplies &&
                             machines[id] === this &&
-                            report.session == session &&
+                            report.incarnation == incarnation &&
                             nowMs - sentMs < 4000 &&
                             !answered &&
                             nowMs >= hangsUntilMs
                         ) {
                             answered = true
-                            if (version.packed >= token) {
+                            if (newToken.packed >= token) {
                                 advance()
-                                token = version.packed
+                                token = newToken.packed
                                 leaseFromMs = maxOf(leaseFromMs, sentMs)
-                                execute(orders)
+                                execute(commands)
                             }
                         }
                     }
@@ -436,7 +436,7 @@
         }
 
         fun direct(push: Effect.SendCommands): Heartbeat? {
-            if (deaf) return null
+            if (missesReplies) return null
             val waitMs = maxOf(hangsUntilMs - nowMs, heldMs)
             if (waitMs > 0) {
                 // A hanging machine, or one cut off, takes up what waited for it when it goes on.
@@ -444,21 +444,21 @@
                 return null
             }
             advance()
-            if (push.version.packed >= token && push.session == session) {
-                token = push.version.packed
-                execute(push.orders)
+            if (push.token.packed >= token && push.incarnation == incarnation) {
+                token = push.token.packed
+                execute(push.commands)
             }
             return report()
         }
 
         fun inspected(): Heartbeat? {
-            if (deaf || nowMs < hangsUntilMs || heldMs > 0) return null
+            if (missesReplies || nowMs < hangsUntilMs || heldMs > 0) return null
             advance()
             return report()
         }
 
-        private fun execute(orders: List<WorkerCommand>) {
-            for (order in orders) {
+        private fun execute(commands: List<WorkerCommand>) {
+            for (order in commands) {
                 when (order) {
                     is WorkerCommand.Start -> if (order.attempt !in tasks) {
                         val job = submitted.getValue(order.attempt.task.job)
@@ -477,7 +477,7 @@
                     is WorkerCommand.Stop -> tasks[order.attempt]?.let {
                         if (it.state != TaskState.EXITED) {
                             it.state = TaskState.EXITED
-                            it.why = ExitReason.STOPPED
+                            it.exitReason = ExitReason.STOPPED
                         }
                     }
                     is WorkerCommand.Forget -> tasks[order.attempt]?.let { if (it.state == TaskState.EXITED) tasks.remove(order.attempt) }
@@ -487,12 +487,12 @@
     }
 
     val machines = LinkedHashMap<MachineId, Worker>()
-    private val cutZones = HashMap<String, Long>()
+    private val partitionedZones = HashMap<String, Long>()
     private val rentals = HashMap<String, List<MachineId>>()
     private var machineCount = 0
 
     private fun rent(asked: Event.RentalRequested): List<MachineId> = rentals.getOrPut(asked.request) {
-        val count = minOf(asked.count, mostMachines - machines.size).coerceAtLeast(0)
+        val count = minOf(asked.count, maxMachines - machines.size).coerceAtLeast(0)
         List(count) {
             val id = MachineId("vm-%06d".format(machineCount++))
             val worker = Worker(id, asked.offer)
@@ -556,7 +556,7 @@
     private fun cancelSome(hang: Boolean) {
         val running = submitted.values.filter { known -> !known.abortAsked && machines.values.any { it.runsOf(known.spec.id) } }
         for (known in running.shuffled(random).take(4)) {
-            if (hang) machines.values.filter { it.runsOf(known.spec.id) }.forEach { it.hang(mostMs = (deployment.cancelS * 1500).toLong()) }
+            if (hang) machines.values.filter { it.runsOf(known.spec.id) }.forEach { it.hang(maxMs = (deployment.cancelS * 1500).toLong()) }
             abort(known.spec.id)
         }
     }
@@ -574,7 +574,7 @@
                 good.copy(zone = "c"),
                 good.copy(kind = JobKind.SERVICE, tasks = 7),
             )
-        val node = nodes.filter { it.engine != null }.randomOrNull(random) ?: return
+        val node = nodes.filter { it.scheduler != null }.randomOrNull(random) ?: return
         val request = RequestId(++requests)
         answers[request] =
             { if (it !is UserReply.Unsatisfiable && it !is UserReply.Unavailable) broken += "accepted though it can't run: $it" }
@@ -582,7 +582,7 @@
     }
 
     private fun request(known: Known, command: (RequestId) -> Input) {
-        val node = nodes.filter { it.engine != null }.randomOrNull(random) ?: return
+        val node = nodes.filter { it.scheduler != null }.randomOrNull(random) ?: return
         val request = RequestId(++requests)
         val acceptedBefore = known.accepted
         val cancelledBefore = known.cancelledToldMs != null
@@ -719,7 +719,7 @@
         now(weather.deafS) { machines.values.randomOrNull(random)?.let { it.deafUntilMs = Long.MAX_VALUE } }
         now(weather.bounceS) { machines.values.randomOrNull(random)?.bounce() }
         now(weather.rackS) { machines.keys.shuffled(random).take(machines.size / 4).forEach(machines::remove) }
-        now(weather.zoneS) { cutZones[deployment.zones.random(random)] = nowMs + random.nextLong(5_000, 60_000) }
+        now(weather.zoneS) { partitionedZones[deployment.zones.random(random)] = nowMs + random.nextLong(5_000, 60_000) }
         now(weather.standS) {
             val node = if (random.nextBoolean()) leader ?: nodes.random(random) else nodes.random(random)
             node.standsUntilMs = nowMs + random.nextLong(1000, if (random.nextInt(4) == 0) 50_000 else 6000)
@@ -751,7 +751,7 @@
         val old = leader ?: return after(200, ::gap)
         old.refusedUntilMs = nowMs + 14_000
         fun succeeded() {
-            if (leader == null || state.leader === old || state.leader?.engine == null) return after(50, ::succeeded)
+            if (leader == null || state.leader === old || state.leader?.scheduler == null) return after(50, ::succeeded)
             cancelSome(hang = random.nextBoolean())
             after(random.nextLong(100, 1500)) { state.outage((deployment.cancelS * 1200).toLong()) }
         }
@@ -768,7 +768,7 @@
             machine.muteUntilMs = 0
             if (machine.deafUntilMs != Long.MAX_VALUE) machine.deafUntilMs = 0
         }
-        cutZones.clear()
+        partitionedZones.clear()
     }
 
     companion object {
--- a/src/test/kotlin/cleathitch/workers/HeartbeatQueueTest.kt
+++ b/src/test/kotlin/cleathitch/workers/HeartbeatQueueTest.kt
@@ -24,8 +24,11 @@
     private val answer = HeartbeatDecision.Answer(FencingToken.first(9).next(), emptyList())
     private val outcomes = ArrayList<ForwardOutcome>()
 
-    private fun report(machine: Int = 1, seq: Long = 1, session: Long = 1, tasks: Int = 1) = Heartbeat(
-        MachineId("vm-%06d".format(machine)), "10.1.0.7:9000", "m4", "zone-a", false, session, seq, FencingToken.first(9), null,
+    private fun report(machine: Int = 1, sequenceNumber: Long = 1, incarnation: Long = 1, tasks: Int = 1) = Heartbeat(
+        MachineId(
+            "vm-%06d".format(machine),
+        ),
+        "10.1.0.7:9000", "m4", "zone-a", false, incarnation, sequenceNumber, FencingToken.first(9), null,
         List(tasks) { TaskStatus(AttemptId(TaskId(JobId("j-000412"), it), 1), TaskState.RUNNING) },
     )
 
@@ -45,49 +48,49 @@
     fun `a worker gets the leader's answer`() {
         add(report())
         queue.decided(batch(), listOf(answer), currentTerm = 9, nowMs = 10)
-        assertEquals(listOf<ForwardOutcome>(ForwardOutcome.Answered(answer.version, emptyList())), outcomes)
+        assertEquals(listOf<ForwardOutcome>(ForwardOutcome.Answered(answer.token, emptyList())), outcomes)
     }
 
     @Test
     fun `a report that repeats an acknowledged one goes as a heartbeat`() {
-        acknowledged(report(seq = 1))
-        add(report(seq = 2))
+        acknowledged(report(sequenceNumber = 1))
+        add(report(sequenceNumber = 2))
         val heartbeat = batch().reports.single() as ForwardedHeartbeat.Unchanged
-        assertEquals(2, heartbeat.seq)
-        assertEquals(1, heartbeat.baseSeq)
+        assertEquals(2, heartbeat.sequenceNumber)
+        assertEquals(1, heartbeat.baseSequenceNumber)
     }
 
     @Test
     fun `other tasks, another session and another leader need the whole report`() {
-        acknowledged(report(seq = 1))
-        add(report(seq = 2, tasks = 2))
+        acknowledged(report(sequenceNumber = 1))
+        add(report(sequenceNumber = 2, tasks = 2))
         assertTrue(batch().reports.single() is ForwardedHeartbeat.Full)
-        add(report(seq = 1, session = 2))
+        add(report(sequenceNumber = 1, incarnation = 2))
         assertTrue(batch().reports.single() is ForwardedHeartbeat.Full)
-        add(report(seq = 2))
+        add(report(sequenceNumber = 2))
         assertTrue(batch(term = 10).reports.single() is ForwardedHeartbeat.Full)
     }
 
     @Test
     fun `what was refused or not decided is no base`() {
-        add(report(seq = 1))
+        add(report(sequenceNumber = 1))
         queue.decided(batch(), listOf(HeartbeatDecision.Refuse), currentTerm = 9, nowMs = 0)
-        add(report(seq = 2))
+        add(report(sequenceNumber = 2))
         val undecided = batch()
         assertTrue(undecided.reports.single() is ForwardedHeartbeat.Full)
         queue.unanswered(undecided)
-        add(report(seq = 3))
+        add(report(sequenceNumber = 3))
         assertTrue(batch().reports.single() is ForwardedHeartbeat.Full)
         assertEquals(List(2) { ForwardOutcome.Unanswered }, outcomes)
     }
 
     @Test
     fun `a report goes again, whole, when the leader lacks its base`() {
-        acknowledged(report(seq = 1))
-        add(report(seq = 2))
+        acknowledged(report(sequenceNumber = 1))
+        add(report(sequenceNumber = 2))
         queue.decided(batch(), listOf(HeartbeatDecision.RequestFull), currentTerm = 9, nowMs = 0)
         val again = batch()
-        assertEquals(ForwardedHeartbeat.Full(report(seq = 2)), again.reports.single())
+        assertEquals(ForwardedHeartbeat.Full(report(sequenceNumber = 2)), again.reports.single())
         queue.decided(again, listOf(answer), currentTerm = 9, nowMs = 0)
         assertEquals(1, outcomes.size)
     }
@@ -119,10 +122,10 @@
     /** A worker has one report in flight: whoever sent the older one has given it up. */
     @Test
     fun `a newer report of the same machine takes the place of the older one`() {
-        add(report(seq = 1))
-        add(report(seq = 2))
+        add(report(sequenceNumber = 1))
+        add(report(sequenceNumber = 2))
         assertEquals(listOf<ForwardOutcome>(ForwardOutcome.Unanswered), outcomes)
-        assertEquals(ForwardedHeartbeat.Full(report(seq = 2)), batch().reports.single())
+        assertEquals(ForwardedHeartbeat.Full(report(sequenceNumber = 2)), batch().reports.single())
         assertTrue(queue.nextBatch(9, 0).isEmpty)
     }
 
@@ -145,7 +148,7 @@
             val batch = queue.nextBatch(9, 0)
             if (batch.isEmpty) break
             seen += batch.reports.map { it.machine }
-            assertTrue(PeerCodec.encode(message(batch)).size <= PeerClient.MOST_BODY)
+            assertTrue(PeerCodec.encode(message(batch)).size <= PeerClient.MAX_BODY)
             queue.decided(batch, batch.reports.map { answer }, currentTerm = 9, nowMs = 0)
         }
         assertEquals(machines + 1, seen.size)
@@ -153,10 +156,10 @@
 
     @Test
     fun `heartbeats and whole reports of a batch get their own decisions`() {
-        acknowledged(report(machine = 1, seq = 1))
+        acknowledged(report(machine = 1, sequenceNumber = 1))
         val perMachine = HashMap<Int, ForwardOutcome>()
-        queue.add(report(machine = 1, seq = 2), 0) { perMachine[1] = it }
-        queue.add(report(machine = 2, seq = 1), 0) { perMachine[2] = it }
+        queue.add(report(machine = 1, sequenceNumber = 2), 0) { perMachine[1] = it }
+        queue.add(report(machine = 2, sequenceNumber = 1), 0) { perMachine[2] = it }
         val batch = batch()
         val received = PeerCodec.decodeRequest(PeerCodec.encode(message(batch))) as PeerRequest.FollowerBatch
         val decisions = received.toReports().map { if (it.machine == report(machine = 1).machine) HeartbeatDecision.Refuse else answer }
