--- a/src/main/kotlin/cleathitch/controller/Controller.kt
+++ b/src/main/kotlin/cleathitch/controller/Controller.kt
@@ -4,6 +4,7 @@
 import cleathitch.election.ElectionListener
 import cleathitch.election.LeaderElection
 import cleathitch.election.LeaderLease
+import cleathitch.election.TermEndReason
 import cleathitch.http.HttpReply
 import cleathitch.leader.LeaderDependencies
 import cleathitch.leader.LeaderTerm
@@ -121,9 +122,9 @@
     // ---- leadership
 
     // The lease has a loop of its own; what follows from it happens on ours.
-    override fun elected(lease: LeaderLease) = post { lead(lease) }
-    override fun deposed(lease: LeaderLease, reason: String) = post { depose(lease.term, reason) }
-    override fun leaderIs(member: String?, term: Long) = post { follow(member, term) }
+    override fun onElected(lease: LeaderLease) = post { lead(lease) }
+    override fun onDeposed(lease: LeaderLease, reason: TermEndReason) = post { depose(lease.term, reason.toString()) }
+    override fun onLeaderObserved(member: String?, term: Long) = post { follow(member, term) }
 
     private fun post(action: () -> Unit) {
         scope.launch { action() }
@@ -133,7 +134,7 @@
         val term = lease.term
         log.info("term {}: elected", term.revision)
         elections.increment()
-        val store = LogStorage(state, PREFIX, LEADER_KEY, term, services.processingTimes)
+        val store = LogStorage(state, PREFIX, LEADER_KEY, term, services.processingTimes, clocks::steadyMs)
         val mine =
             LeaderTerm(lease, services, store, types, HashMap(imageCacheHints), {
                 WorkerCommandDelivery(Routes(term), openMs = reportMs, clocks::steadyMs, it)
--- a/src/main/kotlin/cleathitch/election/ElectionListener.kt
+++ b/src/main/kotlin/cleathitch/election/ElectionListener.kt
@@ -1,11 +1,13 @@
 package cleathitch.election
 
-/** Told what becomes of the leadership, on the loop that keeps the lease. */
+/** Receives the events of [LeaderElection], on the event loop that keeps the lease. */
 interface ElectionListener {
-    /** We lead for as long as the lease says. */
-    fun elected(lease: LeaderLease)
-    fun deposed(lease: LeaderLease, reason: String)
+    /** This controller leads, for as long as [lease] is valid. */
+    fun onElected(lease: LeaderLease)
 
-    /** Who leads, and in which term; with nobody, the newest revision known. */
-    fun leaderIs(member: String?, term: Long)
+    /** This controller doesn't lead the term of [lease] any more. */
+    fun onDeposed(lease: LeaderLease, reason: TermEndReason)
+
+    /** Another controller, [member], leads in [term]; or nobody does, and [term] is the newest revision known. */
+    fun onLeaderObserved(member: String?, term: Long)
 }
--- a/src/main/kotlin/cleathitch/election/LeaderElection.kt
+++ b/src/main/kotlin/cleathitch/election/LeaderElection.kt
@@ -1,10 +1,6 @@
 package cleathitch.election
 
 import cleathitch.protocol.KeyValueStoreProtocol
-import cleathitch.protocol.MalformedMessageException
-import cleathitch.protocol.MessageCodec
-import cleathitch.protocol.text
-import cleathitch.protocol.whole
 import cleathitch.scheduler.api.SchedulerTimings
 import cleathitch.scheduler.model.Term
 import cleathitch.storage.CompareAndSwapResult
@@ -15,155 +11,178 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Holds the leader's key under a lease while it can, and watches it otherwise. It runs on a loop of its own:
- * behind the reports of a large fleet, a leader whose code was still cold lost its lease again and again.
+ * Leader election through a key of the key-value store that is held under a lease: campaigns while nobody holds the key, renews
+ * the lease while this controller leads, and watches the key otherwise.
  *
- * Times are by the steady clock, and a lease is reckoned from before the request that renewed it was
- * sent, less what two clocks may drift apart: what is held here is surely held there.
+ * [run] has an event loop of its own: behind the heartbeats of a large fleet, renewals would come too late while the process is
+ * still slow after its start. All times are readings of the steady clock. A lease counts from before the request that granted or
+ * renewed it was sent, less what two clocks may drift apart, so that it is never believed to be held longer than the store holds it.
+ *
+ * @param incarnation tells this process from earlier ones of the same [member]
+ * @param ttlMs how long a lease lasts without renewal
  */
 class LeaderElection(
-    private val state: KeyValueStoreClient,
+    private val store: KeyValueStoreClient,
     private val member: String,
     private val incarnation: String,
     private val ttlMs: Long,
     private val leaderKey: String,
     private val steadyMs: () -> Long,
 ) {
-    private var holdBackUntilMs = 0L
+    /** After a transfer of leadership, no campaign before this time. */
+    private var noCampaignBeforeMs = 0L
     private var lastLedTerm = 0L
 
+    /** Takes part in elections until it is cancelled, and reports to [listener]. */
     suspend fun run(listener: ElectionListener): Nothing {
         while (true) {
-            when (val read = state.list(leaderKey, null)) {
-                is StoreRead.Value -> act(read.value, listener)
+            when (val read = store.list(leaderKey, null)) {
+                is StoreRead.Value -> onLeaderKeyRead(read.value, listener)
                 is StoreRead.Failed -> pause()
             }
         }
     }
 
-    /** Does what follows from who holds the leader's key, as [page] shows it. */
-    private suspend fun act(page: KeyValueStoreProtocol.Page, listener: ElectionListener) {
+    private suspend fun onLeaderKeyRead(page: KeyValueStoreProtocol.Page, listener: ElectionListener) {
         val entry = page.entries.firstOrNull { it.key == leaderKey }
-        val holder = entry?.let(Holder::of)
+        val leader = entry?.let(LeaderRecord::decode)
         when {
-            entry == null -> leaderMissing(page.revision, listener)
-            holder?.incarnation == incarnation && entry.revision != lastLedTerm -> resume(entry, holder, listener)
-            holder?.member == member -> releaseFormerTerm(entry, holder)
+            entry == null -> onLeaderMissing(page.revision, listener)
+            leader?.incarnation == incarnation && entry.revision != lastLedTerm -> resumeTerm(entry, leader, listener)
+            leader?.member == member -> revokeFormerLease(entry, leader)
             else -> {
-                listener.leaderIs(holder?.member, entry.revision)
-                if (state.follow(leaderKey, page.revision, WATCH_LEASES * ttlMs) is StoreRead.Failed) pause()
+                listener.onLeaderObserved(leader?.member, entry.revision)
+                awaitChange(page.revision)
             }
         }
     }
 
-    private suspend fun leaderMissing(revision: Long, listener: ElectionListener) {
-        listener.leaderIs(null, revision)
-        if (steadyMs() < holdBackUntilMs) pause() else compete(listener)
+    private suspend fun awaitChange(since: Long) {
+        if (store.watch(leaderKey, since, WATCH_LEASES * ttlMs) is StoreRead.Failed) pause()
+    }
+
+    private suspend fun onLeaderMissing(revision: Long, listener: ElectionListener) {
+        listener.onLeaderObserved(null, revision)
+        if (steadyMs() < noCampaignBeforeMs) pause() else campaign(listener)
     }
 
     /**
-     * Leads a term that was won by a transaction whose answer was lost. What is left of its lease isn't known, and after
-     * a pause of the process it may be nothing: it counts from a renewal, not from the look at the key.
+     * Leads a term that was won by a compare-and-swap whose response was lost. How much of its lease is left isn't known, and may
+     * be nothing if the process stood still: it counts from a renewal, not from when the key was read.
      */
-    private suspend fun resume(entry: KeyValueStoreProtocol.Entry, holder: Holder, listener: ElectionListener) {
-        val sentMs = steadyMs()
-        if (state.extend(holder.lease) == LeaseRenewal.Held) lead(listener, Term(entry.revision), holder.lease, sentMs) else pause()
+    private suspend fun resumeTerm(entry: KeyValueStoreProtocol.Entry, leader: LeaderRecord, listener: ElectionListener) {
+        val sentAtMs = steadyMs()
+        when (store.renewLease(leader.lease)) {
+            LeaseRenewal.Renewed -> lead(listener, Term(entry.revision), leader.lease, sentAtMs)
+            LeaseRenewal.Expired, is LeaseRenewal.Unknown -> pause()
+        }
     }
 
     /**
-     * Ends a lease of a process whose successor this one is, or of a term that this process gave up, without waiting for
-     * the lease's end. A term is led once, as its names and versions count up from one.
+     * Revokes the lease of an earlier process of this member, or of a term that this process gave up, without waiting for its
+     * expiry. A term isn't led twice, because its request names and fencing tokens count up from its start.
      */
-    private suspend fun releaseFormerTerm(entry: KeyValueStoreProtocol.Entry, holder: Holder) {
-        log.info("releasing the lease of term {}", entry.revision)
-        if (!state.release(holder.lease)) pause()
+    private suspend fun revokeFormerLease(entry: KeyValueStoreProtocol.Entry, leader: LeaderRecord) {
+        log.info("term={} event=former_lease_revoked", entry.revision)
+        if (!store.revokeLease(leader.lease)) pause()
     }
 
     private suspend fun pause() = delay(ttlMs / PAUSES_PER_LEASE)
 
-    private suspend fun compete(listener: ElectionListener) {
-        val asked = steadyMs()
-        val lease = when (val read = state.hold(ttlMs)) {
-            is StoreRead.Value -> read.value
+    private suspend fun campaign(listener: ElectionListener) {
+        val sentAtMs = steadyMs()
+        val lease = when (val granted = store.grantLease(ttlMs)) {
+            is StoreRead.Value -> granted.value
             is StoreRead.Failed -> return pause()
         }
-        val value = MessageCodec.newMap().put("member", member).put("incarnation", incarnation).put("lease", lease)
-        when (val result = state.transaction(mapOf(leaderKey to 0L), listOf(KeyValueStoreProtocol.Write.Put(leaderKey, value, lease)))) {
-            is CompareAndSwapResult.Applied -> lead(listener, Term(result.revision), lease, asked)
-            is CompareAndSwapResult.Refused, CompareAndSwapResult.LeaseNotFound -> state.release(lease)
-            // The next look at the key shows whether we have it.
+        when (val result = claimLeaderKey(lease)) {
+            is CompareAndSwapResult.Applied -> lead(listener, Term(result.revision), lease, sentAtMs)
+            is CompareAndSwapResult.Refused, CompareAndSwapResult.LeaseNotFound -> store.revokeLease(lease)
+            // The next read of the key shows whether this controller holds it.
             is CompareAndSwapResult.Unavailable, is CompareAndSwapResult.Unknown -> pause()
         }
     }
 
-    private suspend fun lead(listener: ElectionListener, term: Term, hold: Long, renewedMs: Long) {
+    private suspend fun claimLeaderKey(lease: Long): CompareAndSwapResult {
+        val record = LeaderRecord(member, incarnation, lease).encode()
+        val put = KeyValueStoreProtocol.Write.Put(leaderKey, record, lease)
+        return store.compareAndSwap(mapOf(leaderKey to KEY_ABSENT), listOf(put))
+    }
+
+    /** Leads [term] under the lease [leaseId] until the term is over. */
+    private suspend fun lead(listener: ElectionListener, term: Term, leaseId: Long, renewalSentAtMs: Long) {
         lastLedTerm = term.revision
-        val lease = LeaderLease(term, heldUntil(renewedMs), steadyMs())
-        listener.elected(lease)
+        val lease = LeaderLease(term, validUntilMs(renewalSentAtMs), electedAtMs = steadyMs())
+        listener.onElected(lease)
         while (true) {
             delay(ttlMs / RENEWALS_PER_LEASE)
-            if (givenUp(lease, hold, listener) || !renewed(lease, hold, listener)) return
+            if (endedByResignation(lease, leaseId, listener)) return
+            if (endedByStall(lease, listener)) return
+            if (endedByExpiry(lease, leaseId, listener)) return
         }
     }
 
-    /** True if the term is over because its own side has given it up, or has stopped working. */
-    private suspend fun givenUp(lease: LeaderLease, hold: Long, listener: ElectionListener): Boolean {
-        val resignation = lease.resignation
-        if (resignation != null) {
-            if (resignation.transferLeadership) holdBackUntilMs = steadyMs() + ttlMs * TRANSFER_LEASES
-            listener.deposed(lease, resignation.reason)
-            state.release(hold)
-            return true
-        }
-        if (steadyMs() - lease.workedMs <= ttlMs * STUCK_LEASES) return false
-        // It runs out and isn't released: whoever does the work may be in the middle of an answer, and goes by the clock.
-        listener.deposed(lease, "nothing gets on here")
+    private suspend fun endedByResignation(lease: LeaderLease, leaseId: Long, listener: ElectionListener): Boolean {
+        val resignation = lease.resignation ?: return false
+        if (resignation.transferLeadership) noCampaignBeforeMs = steadyMs() + ttlMs * TRANSFER_LEASES
+        listener.onDeposed(lease, TermEndReason.Resigned(resignation.reason))
+        store.revokeLease(leaseId)
+        return true
+    }
+
+    /**
+     * Ends the term of a leader whose event loop makes no progress. The lease isn't revoked but expires: the stalled loop may be in
+     * the middle of an answer, and relies on the lease for as long as its clock says that it is valid.
+     */
+    private suspend fun endedByStall(lease: LeaderLease, listener: ElectionListener): Boolean {
+        if (steadyMs() - lease.lastProgressMs <= ttlMs * STALLED_LEASES) return false
+        listener.onDeposed(lease, TermEndReason.Stalled)
         delay(ttlMs)
         return true
     }
 
-    /** False if the lease is surely gone. */
-    private suspend fun renewed(lease: LeaderLease, hold: Long, listener: ElectionListener): Boolean {
-        val sentMs = steadyMs()
-        when (val renewal = state.extend(hold)) {
-            LeaseRenewal.Held -> lease.validUntilMs = heldUntil(sentMs)
-            LeaseRenewal.Gone -> {
-                listener.deposed(lease, "the lease ran out")
-                return false
+    /** Renews the lease, and ends the term if the store doesn't know it any more. */
+    private suspend fun endedByExpiry(lease: LeaderLease, leaseId: Long, listener: ElectionListener): Boolean {
+        val sentAtMs = steadyMs()
+        when (val renewal = store.renewLease(leaseId)) {
+            LeaseRenewal.Renewed -> lease.recordRenewal(validUntilMs(sentAtMs))
+            LeaseRenewal.Expired -> {
+                listener.onDeposed(lease, TermEndReason.LeaseExpired)
+                return true
             }
             is LeaseRenewal.Unknown -> if (steadyMs() > lease.validUntilMs) {
-                log.info("term {}: the lease may have run out: {}", lease.term.revision, renewal.failure)
+                log.info("term={} event=lease_renewal_unknown failure=\"{}\"", lease.term.revision, renewal.failure)
             }
         }
-        return true
+        return false
     }
 
-    private fun heldUntil(renewedMs: Long) = renewedMs + ttlMs - (ttlMs * SchedulerTimings.DRIFT).toLong() - 1
-
-    private class Holder(val member: String, val incarnation: String, val lease: Long) {
-        companion object {
-            fun of(entry: KeyValueStoreProtocol.Entry): Holder? = try {
-                Holder(entry.value.text("member"), entry.value.text("incarnation"), entry.value.whole("lease"))
-            } catch (_: MalformedMessageException) {
-                null
-            }
-        }
+    private fun validUntilMs(renewalSentAtMs: Long): Long {
+        val driftMs = (ttlMs * SchedulerTimings.DRIFT).toLong()
+        return renewalSentAtMs + ttlMs - driftMs - 1
     }
 
     private companion object {
         val log = LoggerFactory.getLogger("cleathitch.state")
+
+        /** The revision that stands for a key that doesn't exist. */
+        const val KEY_ABSENT = 0L
+
         const val RENEWALS_PER_LEASE = 4
 
-        /** Between two looks at the key while nothing else can be done. */
+        /** How often the key is read in a lease's time while nothing else can be done. */
         const val PAUSES_PER_LEASE = 8
 
-        /** An election takes far less; if nobody else has won it by then, we may lead again. */
+        /**
+         * For how many lease times this controller stays out of elections after a transfer of leadership. An election takes far
+         * less; if nobody else has won by then, this controller may lead again.
+         */
         const val TRANSFER_LEASES = 4
 
-        /** A leader whose own loop stands still for as long gives up, though its lease could be kept. */
-        const val STUCK_LEASES = 4
+        /** A leader without progress for so many lease times gives up, though its lease could be kept. */
+        const val STALLED_LEASES = 4
 
-        /** How long a watch hangs, in leases. */
+        /** How many lease times a watch stays open. */
         const val WATCH_LEASES = 4L
     }
 }
--- a/src/main/kotlin/cleathitch/election/LeaderLease.kt
+++ b/src/main/kotlin/cleathitch/election/LeaderLease.kt
@@ -3,31 +3,38 @@
 import cleathitch.scheduler.model.Term
 
 /**
- * One term's lease, as both loops see it: kept on a loop of its own, used and given up where the work is done.
+ * The lease of one term as it is shared by two event loops: [LeaderElection] renews it on a loop of its own, and the leader reports
+ * progress and resigns on the loop that does the work. All times are readings of the steady clock, in milliseconds.
  */
-class LeaderLease(val term: Term, validUntilMs: Long, workedMs: Long) {
-    /** Until then it is surely held. */
+class LeaderLease(val term: Term, validUntilMs: Long, electedAtMs: Long) {
+    /** The lease is certainly held until then. */
     @Volatile
     var validUntilMs = validUntilMs
-        internal set
+        private set
 
-    /** When the leader's own loop last showed that it gets on. */
+    /** When the leader's event loop last reported progress; its election counts as such. */
     @Volatile
-    var workedMs = workedMs
+    var lastProgressMs = electedAtMs
         private set
 
+    /** How the leader gave the term up, null while it hasn't. */
     @Volatile
     internal var resignation: Resignation? = null
         private set
 
     internal class Resignation(val reason: String, val transferLeadership: Boolean)
 
-    fun worked(nowMs: Long) {
-        workedMs = nowMs
+    /** The leader's event loop made progress at [nowMs]. A leader that stops reporting loses its term. */
+    fun recordProgress(nowMs: Long) {
+        lastProgressMs = nowMs
     }
 
-    /** Gives the leadership up, for instance because a newer leader was seen; a [transferLeadership] lets others go first. */
+    /** Gives the term up, for instance because a newer leader was seen. [transferLeadership] lets other controllers win the next one. */
     fun resign(reason: String, transferLeadership: Boolean) {
         resignation = Resignation(reason, transferLeadership)
     }
+
+    internal fun recordRenewal(validUntilMs: Long) {
+        this.validUntilMs = validUntilMs
+    }
 }
--- /dev/null
+++ b/src/main/kotlin/cleathitch/election/LeaderRecord.kt
@@ -0,0 +1,29 @@
+package cleathitch.election
+
+import cleathitch.protocol.KeyValueStoreProtocol
+import cleathitch.protocol.MalformedMessageException
+import cleathitch.protocol.MessageCodec
+import cleathitch.protocol.text
+import cleathitch.protocol.whole
+import com.fasterxml.jackson.databind.node.ObjectNode
+
+/** The value of the leader's key: who leads, in which [incarnation] of its process, under which [lease]. */
+internal class LeaderRecord(val member: String, val incarnation: String, val lease: Long) {
+    fun encode(): ObjectNode = MessageCodec.newMap()
+        .put(MEMBER, member)
+        .put(INCARNATION, incarnation)
+        .put(LEASE, lease)
+
+    companion object {
+        private const val MEMBER = "member"
+        private const val INCARNATION = "incarnation"
+        private const val LEASE = "lease"
+
+        /** The record that [entry] holds, null if it is malformed. */
+        fun decode(entry: KeyValueStoreProtocol.Entry): LeaderRecord? = try {
+            LeaderRecord(entry.value.text(MEMBER), entry.value.text(INCARNATION), entry.value.whole(LEASE))
+        } catch (_: MalformedMessageException) {
+            null
+        }
+    }
+}
--- a/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
+++ b/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
@@ -63,7 +63,7 @@
         private set
 
     /** What this term is at, for the log. */
-    val activity get() = if (ready) "leading with ${queue.requests} requests waiting" else "replaying: ${store.activity}"
+    val activity get() = if (ready) "leading with ${queue.requests} requests waiting" else "replaying: ${store.loadProgress}"
 
     suspend fun submit(spec: JobSpec) = askUser { Input.Submit(it, spec) }
     suspend fun poll(job: JobId) = askUser { Input.Poll(it, job) }
@@ -173,7 +173,7 @@
         while (true) {
             wakeUp.receive()
             while (!queue.isEmpty) {
-                lease.worked(services.clocks.steadyMs())
+                lease.recordProgress(services.clocks.steadyMs())
                 post(Input.LeaseRenewed(lease.validUntilMs))
                 val batch = queue.nextBatch(::isAwaited)
                 batchSizes.record(batch.size.toDouble())
@@ -206,7 +206,7 @@
             is Effect.AnswerFollower -> batches[effect.request]?.answer?.complete(checked(effect))
             is Effect.Write -> launch {
                 when (val result = store.commit(effect.commit)) {
-                    is CommitResult.Done -> post(Input.CommitSucceeded(effect.commit.seq, result.revision))
+                    is CommitResult.Committed -> post(Input.CommitSucceeded(effect.commit.seq, result.revision))
                     is CommitResult.Refused -> stepDown(Effect.StepDown("a transaction was refused: ${result.failedKeys} changed"))
                 }
             }
--- a/src/main/kotlin/cleathitch/storage/CommitResult.kt
+++ b/src/main/kotlin/cleathitch/storage/CommitResult.kt
@@ -1,9 +1,10 @@
 package cleathitch.storage
 
-/** What became of a commit. */
+/** How a commit of the decision log ended. */
 sealed interface CommitResult {
-    data class Done(val revision: Long) : CommitResult
+    /** The commit stands in the key-value store, whose revision it raised to [revision]. */
+    data class Committed(val revision: Long) : CommitResult
 
-    /** Another leads, or has led since: this node's term is over. */
+    /** Another controller leads or has led since: this term is over. [failedKeys] are the keys whose revisions differed. */
     data class Refused(val failedKeys: List<String>) : CommitResult
 }
--- a/src/main/kotlin/cleathitch/storage/KeyValueStoreClient.kt
+++ b/src/main/kotlin/cleathitch/storage/KeyValueStoreClient.kt
@@ -13,8 +13,10 @@
 import java.net.URLEncoder
 
 /**
- * The state service's interface; every failure is a value, none an exception. [name] tells a node's clients apart in
- * metrics and in the log.
+ * Client of the consensus-backed key-value store. Every failure is a value of the result, none an exception.
+ *
+ * [timeoutMs] bounds one request; [name] tells the clients of a process apart in metrics and in the log. A client is used on
+ * the event loop that it was made for.
  */
 class KeyValueStoreClient(
     vertx: Vertx,
@@ -23,88 +25,123 @@
     name: String = "state",
     meters: MeterRegistry = SimpleMeterRegistry(),
 ) {
-    private val client = PooledHttpClient(vertx, name, connections = 4, meters = meters)
+    private val client = PooledHttpClient(vertx, name, connections = REQUEST_CONNECTIONS, meters = meters)
 
-    /** Watches hang for long and must not take connections from the rest. */
-    private val watcher = PooledHttpClient(vertx, "$name-watch", connections = 2, meters = meters)
+    /** Watches stay open for long and must not take connections from other requests. */
+    private val watchClient = PooledHttpClient(vertx, "$name-watch", connections = WATCH_CONNECTIONS, meters = meters)
 
+    /** One page of the entries whose keys begin with [prefix], in the order of their keys, from the first one behind [after]. */
     suspend fun list(prefix: String, after: String?): StoreRead<KeyValueStoreProtocol.Page> {
-        val since = if (after == null) "" else "&since=${query(after)}"
-        val result = call(HttpMethod.GET, "/keys?under=${query(prefix)}$since&most=1000", null, timeoutMs * 2)
-        return read(result) { KeyValueStoreProtocol.page(it) }
+        val since = if (after == null) "" else "&since=${encodeQuery(after)}"
+        val path = "/keys?under=${encodeQuery(prefix)}$since&most=$MAX_ENTRIES_PER_PAGE"
+        return read(call(HttpMethod.GET, path, null, timeoutMs * LIST_TIMEOUT_FACTOR)) { KeyValueStoreProtocol.page(it) }
     }
 
-    suspend fun transaction(guards: Map<String, Long>, writes: List<KeyValueStoreProtocol.Write>): CompareAndSwapResult =
-        when (val result = call(HttpMethod.POST, "/txn", KeyValueStoreProtocol.transaction(guards, writes), timeoutMs)) {
-            is CallResult.Failed -> CompareAndSwapResult.Unknown(StoreFailure.NoAnswer(result.failure))
+    /**
+     * Carries out all of [writes] if each key of [expectedRevisions] has its revision, and none otherwise; revision 0 stands for
+     * a key that doesn't exist.
+     */
+    suspend fun compareAndSwap(expectedRevisions: Map<String, Long>, writes: List<KeyValueStoreProtocol.Write>): CompareAndSwapResult {
+        val body = KeyValueStoreProtocol.transaction(expectedRevisions, writes)
+        return when (val result = call(HttpMethod.POST, "/txn", body, timeoutMs)) {
+            is CallResult.Failed -> CompareAndSwapResult.Unknown(StoreFailure.NoResponse(result.failure))
             is CallResult.Answered -> try {
-                outcome(result)
+                compareAndSwapResult(result)
             } catch (e: MalformedMessageException) {
-                log.error("a garbled answer from the state service: {}", e.message)
-                CompareAndSwapResult.Unknown(StoreFailure.Garbled(e.message))
+                CompareAndSwapResult.Unknown(malformed(e))
             }
         }
+    }
 
-    private fun outcome(answer: CallResult.Answered): CompareAndSwapResult = when (answer.status) {
-        200 -> CompareAndSwapResult.Applied(KeyValueStoreProtocol.revision(answer.body))
-        409 -> CompareAndSwapResult.Refused(KeyValueStoreProtocol.failedKeys(answer.body))
-        400 -> {
-            val error = KeyValueStoreProtocol.errorText(answer.body)
-            if (error == "no such lease") {
-                CompareAndSwapResult.LeaseNotFound
-            } else {
-                log.error("the state service calls a transaction malformed: {}", error)
-                CompareAndSwapResult.Unavailable("malformed: $error")
-            }
-        }
-        else -> CompareAndSwapResult.Unavailable("status ${answer.status}")
+    private fun compareAndSwapResult(response: CallResult.Answered): CompareAndSwapResult = when (response.status) {
+        HTTP_OK -> CompareAndSwapResult.Applied(KeyValueStoreProtocol.revision(response.body))
+        HTTP_CONFLICT -> CompareAndSwapResult.Refused(KeyValueStoreProtocol.failedKeys(response.body))
+        HTTP_BAD_REQUEST -> rejected(KeyValueStoreProtocol.errorText(response.body))
+        else -> CompareAndSwapResult.Unavailable("status ${response.status}")
     }
 
-    /** A new lease's id. */
-    suspend fun hold(ttlMs: Long): StoreRead<Long> =
-        read(call(HttpMethod.POST, "/holds", KeyValueStoreProtocol.ttl(ttlMs), timeoutMs)) { KeyValueStoreProtocol.lease(it) }
+    private fun rejected(error: String?): CompareAndSwapResult {
+        if (error == LEASE_NOT_FOUND_ERROR) return CompareAndSwapResult.LeaseNotFound
+        log.error("event=compare_and_swap_rejected error=\"{}\"", error)
+        return CompareAndSwapResult.Unavailable("rejected as malformed: $error")
+    }
 
-    suspend fun extend(lease: Long): LeaseRenewal = when (val result = call(HttpMethod.POST, "/holds/$lease/extend", EMPTY, timeoutMs)) {
-        is CallResult.Failed -> LeaseRenewal.Unknown(StoreFailure.NoAnswer(result.failure))
-        is CallResult.Answered -> when (result.status) {
-            200 -> LeaseRenewal.Held
-            404 -> LeaseRenewal.Gone
-            else -> LeaseRenewal.Unknown(StoreFailure.Status(result.status))
-        }
+    /** Grants a new lease of [ttlMs] and gives its id. */
+    suspend fun grantLease(ttlMs: Long): StoreRead<Long> {
+        val result = call(HttpMethod.POST, "/holds", KeyValueStoreProtocol.ttl(ttlMs), timeoutMs)
+        return read(result) { KeyValueStoreProtocol.lease(it) }
     }
 
-    /** True once the lease is surely over. */
-    suspend fun release(lease: Long): Boolean {
+    /** Renews [lease] for the time that it was granted for. */
+    suspend fun renewLease(lease: Long): LeaseRenewal =
+        when (val result = call(HttpMethod.POST, "/holds/$lease/extend", EMPTY_MAP, timeoutMs)) {
+            is CallResult.Failed -> LeaseRenewal.Unknown(StoreFailure.NoResponse(result.failure))
+            is CallResult.Answered -> when (result.status) {
+                HTTP_OK -> LeaseRenewal.Renewed
+                HTTP_NOT_FOUND -> LeaseRenewal.Expired
+                else -> LeaseRenewal.Unknown(StoreFailure.UnexpectedStatus(result.status))
+            }
+        }
+
+    /** Revokes [lease]; true once it is certain that the lease doesn't exist any more. */
+    suspend fun revokeLease(lease: Long): Boolean {
         val result = call(HttpMethod.DELETE, "/holds/$lease", null, timeoutMs)
-        return result is CallResult.Answered && result.status in setOf(200, 204, 404)
+        return result is CallResult.Answered && result.status in REVOKED_STATUSES
     }
 
-    /** Waits for a change; it fails after an error, or when [since] is too old. */
-    suspend fun follow(prefix: String, since: Long, waitMs: Long): StoreRead<KeyValueStoreProtocol.Watched> {
-        val path = "/follow?under=${query(prefix)}&since=$since&blockMs=$waitMs"
-        return read(watcher.call(address, HttpMethod.GET, path, null, waitMs + timeoutMs)) { KeyValueStoreProtocol.watched(it) }
+    /**
+     * Waits up to [waitMs] for a change behind revision [since] of a key that begins with [prefix]. Fails also when the store no
+     * longer knows the changes since that revision.
+     */
+    suspend fun watch(prefix: String, since: Long, waitMs: Long): StoreRead<KeyValueStoreProtocol.Watched> {
+        val path = "/follow?under=${encodeQuery(prefix)}&since=$since&blockMs=$waitMs"
+        val result = watchClient.call(address, HttpMethod.GET, path, null, waitMs + timeoutMs)
+        return read(result) { KeyValueStoreProtocol.watched(it) }
     }
 
     private suspend fun call(method: HttpMethod, path: String, body: ByteArray?, timeoutMs: Long): CallResult =
         client.call(address, method, path, body, timeoutMs)
 
     private inline fun <T> read(result: CallResult, decode: (ByteArray) -> T): StoreRead<T> = when (result) {
-        is CallResult.Failed -> StoreRead.Failed(StoreFailure.NoAnswer(result.failure))
+        is CallResult.Failed -> StoreRead.Failed(StoreFailure.NoResponse(result.failure))
         is CallResult.Answered -> when (result.status) {
-            200 -> try {
+            HTTP_OK -> try {
                 StoreRead.Value(decode(result.body))
             } catch (e: MalformedMessageException) {
-                log.error("a garbled answer from the state service: {}", e.message)
-                StoreRead.Failed(StoreFailure.Garbled(e.message))
+                StoreRead.Failed(malformed(e))
             }
-            else -> StoreRead.Failed(StoreFailure.Status(result.status))
+            else -> StoreRead.Failed(StoreFailure.UnexpectedStatus(result.status))
         }
     }
 
-    private fun query(text: String) = URLEncoder.encode(text, Charsets.UTF_8)
+    private fun malformed(cause: MalformedMessageException): StoreFailure {
+        log.error("event=malformed_response error=\"{}\"", cause.message)
+        return StoreFailure.Malformed(cause.message)
+    }
+
+    private fun encodeQuery(text: String) = URLEncoder.encode(text, Charsets.UTF_8)
 
     private companion object {
         val log = LoggerFactory.getLogger("cleathitch.state")
-        val EMPTY = byteArrayOf(0x80.toByte()) // an empty map
+
+        const val REQUEST_CONNECTIONS = 4
+        const val WATCH_CONNECTIONS = 2
+        const val MAX_ENTRIES_PER_PAGE = 1000
+
+        /** A page is far larger than any other response. */
+        const val LIST_TIMEOUT_FACTOR = 2
+
+        const val HTTP_OK = 200
+        const val HTTP_NO_CONTENT = 204
+        const val HTTP_BAD_REQUEST = 400
+        const val HTTP_NOT_FOUND = 404
+        const val HTTP_CONFLICT = 409
+        val REVOKED_STATUSES = setOf(HTTP_OK, HTTP_NO_CONTENT, HTTP_NOT_FOUND)
+
+        /** What the store answers to a write under a lease that doesn't exist. */
+        const val LEASE_NOT_FOUND_ERROR = "no such lease"
+
+        /** An empty MessagePack map. */
+        val EMPTY_MAP = byteArrayOf(0x80.toByte())
     }
 }
--- a/src/main/kotlin/cleathitch/storage/LogCodec.kt
+++ b/src/main/kotlin/cleathitch/storage/LogCodec.kt
@@ -81,7 +81,7 @@
     fun head(node: JsonNode) = StoredValue.Head(LogIndex(node.whole("seq")), Term(node.whole("term")))
 
     /** Puts together what stands under the deployment's keys, [entries] without their common prefix. */
-    fun snapshot(entries: List<KeyValueStoreProtocol.Entry>): RecoveredState {
+    fun recoveredState(entries: List<KeyValueStoreProtocol.Entry>): RecoveredState {
         var head = LogIndex.NONE
         val records = ArrayList<Pair<LogIndex, LogRecord>>()
         val jobs = LinkedHashMap<String, MutableList<KeyValueStoreProtocol.Entry>>()
--- a/src/main/kotlin/cleathitch/storage/LogStorage.kt
+++ b/src/main/kotlin/cleathitch/storage/LogStorage.kt
@@ -11,145 +11,167 @@
 import cleathitch.scheduler.model.Term
 import kotlinx.coroutines.delay
 import org.slf4j.LoggerFactory
-import java.util.concurrent.TimeUnit
 
 /**
- * The journal's place in the state service during one term.
+ * Reads and writes the decision log in the key-value store during one term. Owned by the leader's term and used on its event
+ * loop, by one commit at a time.
  *
- * Every transaction is guarded by the leader's key and by the head key, which it rewrites: a deposed
- * leader commits nothing, and a copy that comes late, even after a trim has deleted what it wrote,
- * finds another head.
+ * Every commit is a compare-and-swap on the revisions of the leader's key and of the head key, which it rewrites. So a deposed
+ * leader commits nothing, and a delayed copy of a commit is refused even after compaction has deleted what the commit wrote.
  */
 class LogStorage(
-    private val state: KeyValueStoreClient,
-    private val prefix: String,
+    private val store: KeyValueStoreClient,
+    private val keyPrefix: String,
     private val leaderKey: String,
     private val term: Term,
     private val processingTimes: ProcessingTimes,
+    private val steadyMs: () -> Long,
 ) {
     private class Contents(val entries: List<KeyValueStoreProtocol.Entry>, val pages: Int)
 
-    private var headRevision = 0L
+    private val headKey = keyPrefix + DecisionLog.HEAD
+    private var headRevision = KEY_ABSENT
 
-    /** What this store is doing, for the log of a term that ends in the middle of it. */
-    var activity = "nothing read yet"
+    /** How far [load] has come; tells what a term was doing that ends before it leads. */
+    var loadProgress: LoadProgress = LoadProgress.NotStarted
         private set
 
-    /** Reads everything; since we hold the leader's key, nobody else writes meanwhile. */
+    /**
+     * Reads the whole log, and tries again until every page was read. Nobody else writes meanwhile, because this controller holds
+     * the leader's key. Throws [MalformedMessageException] if a stored value can't be decoded.
+     */
     suspend fun load(): RecoveredState {
-        val begunMs = steadyMs()
-        var tries = 0
+        val startedAtMs = steadyMs()
+        var attempt = 1
         while (true) {
-            val contents = readAll(++tries)
-            if (contents != null) {
-                val snapshot = decode(contents.entries)
-                log.info(
-                    "term {}: read {} entries on {} pages in {} ms, try {}",
-                    term.revision,
-                    contents.entries.size,
-                    contents.pages,
-                    steadyMs() - begunMs,
-                    tries,
-                )
-                activity = "everything read"
-                return snapshot
+            when (val read = readPages(attempt)) {
+                is StoreRead.Value -> return recover(read.value, attempt, startedAtMs)
+                is StoreRead.Failed -> delay(RETRY_DELAY_MS)
             }
-            delay(RETRY_MS)
+            attempt++
         }
     }
 
-    /** All entries, or null after a page that couldn't be read. */
-    private suspend fun readAll(tryNumber: Int): Contents? {
+    private suspend fun readPages(attempt: Int): StoreRead<Contents> {
         val entries = ArrayList<KeyValueStoreProtocol.Entry>()
-        var after: String? = null
+        var lastKey: String? = null
         var pages = 0
         while (true) {
-            activity = "reading page ${pages + 1}, ${entries.size} entries so far, try $tryNumber"
-            val page = when (val read = state.list(prefix, after)) {
+            loadProgress = LoadProgress.ReadingPage(pages + 1, entries.size, attempt)
+            val page = when (val read = store.list(keyPrefix, lastKey)) {
                 is StoreRead.Value -> read.value
                 is StoreRead.Failed -> {
-                    if (tryNumber == 1) log.info("term {}: page {} can't be read: {}", term.revision, pages + 1, read.failure)
-                    return null
+                    if (attempt ==
+                        1
+                    ) {
+                        log.info("term={} event=log_read_failed page={} failure=\"{}\"", term.revision, pages + 1, read.failure)
+                    }
+                    return read
                 }
             }
             pages++
             entries += page.entries
-            after = page.entries.lastOrNull()?.key
-            if (!page.more) return Contents(entries, pages)
+            lastKey = page.entries.lastOrNull()?.key
+            if (!page.more) return StoreRead.Value(Contents(entries, pages))
         }
     }
 
+    private fun recover(contents: Contents, attempt: Int, startedAtMs: Long): RecoveredState {
+        val recovered = decode(contents.entries)
+        log.info(
+            "term={} event=log_read entries={} pages={} duration_ms={} attempt={}",
+            term.revision,
+            contents.entries.size,
+            contents.pages,
+            steadyMs() - startedAtMs,
+            attempt,
+        )
+        loadProgress = LoadProgress.Complete
+        return recovered
+    }
+
     private fun decode(entries: List<KeyValueStoreProtocol.Entry>): RecoveredState {
-        headRevision = entries.firstOrNull { it.key == prefix + DecisionLog.HEAD }?.revision ?: 0
-        val named = entries.map { KeyValueStoreProtocol.Entry(it.key.removePrefix(prefix), it.value, it.revision) }
-        return processingTimes.measure(ProcessingStage.REPLAY) { LogCodec.snapshot(named) }
+        headRevision = entries.firstOrNull { it.key == headKey }?.revision ?: KEY_ABSENT
+        val relative = entries.map { KeyValueStoreProtocol.Entry(it.key.removePrefix(keyPrefix), it.value, it.revision) }
+        return processingTimes.measure(ProcessingStage.REPLAY) { LogCodec.recoveredState(relative) }
     }
 
-    /** Sends the same content until its fate is known. */
+    /** Carries out [commit], and sends the same content again until it is certain whether it was carried out. */
     suspend fun commit(commit: Commit): CommitResult {
-        val guards = mapOf(leaderKey to term.revision, prefix + DecisionLog.HEAD to headRevision)
+        val expectedRevisions = mapOf(leaderKey to term.revision, headKey to headRevision)
         val writes = processingTimes.measure(ProcessingStage.COMMIT_ENCODING) { commit.changes.flatMap(::writesOf) }
-        val begunMs = steadyMs()
-        var tries = 0
+        val startedAtMs = steadyMs()
+        var attempt = 1
         while (true) {
-            tries++
-            when (val result = state.transaction(guards, writes)) {
-                is CompareAndSwapResult.Applied -> return done(commit, result.revision, tries, begunMs)
+            when (val result = store.compareAndSwap(expectedRevisions, writes)) {
+                is CompareAndSwapResult.Applied -> return committed(commit, result.revision, attempt, startedAtMs)
                 is CompareAndSwapResult.Refused -> {
-                    val earlier = appliedAs(commit) ?: return CommitResult.Refused(result.failed)
-                    return done(commit, earlier, tries, begunMs)
+                    val revision = revisionOfEarlierAttempt(commit) ?: return CommitResult.Refused(result.failedKeys)
+                    return committed(commit, revision, attempt, startedAtMs)
                 }
                 is CompareAndSwapResult.LeaseNotFound, is CompareAndSwapResult.Unavailable, is CompareAndSwapResult.Unknown -> {
-                    if (tries == 1) log.info("term {}: record {} isn't written yet: {}", term.revision, commit.seq, result)
-                    delay(RETRY_MS)
+                    if (attempt == 1) log.info("term={} event=commit_unconfirmed index={} result=\"{}\"", term.revision, commit.seq, result)
+                    delay(RETRY_DELAY_MS)
                 }
             }
+            attempt++
         }
     }
 
-    private fun done(commit: Commit, revision: Long, tries: Int, begunMs: Long): CommitResult {
+    private fun committed(commit: Commit, revision: Long, attempt: Int, startedAtMs: Long): CommitResult {
         headRevision = revision
-        if (tries > 1) log.info("term {}: record {} written at try {}, {} ms", term.revision, commit.seq, tries, steadyMs() - begunMs)
-        return CommitResult.Done(revision)
+        if (attempt > 1) {
+            val durationMs = steadyMs() - startedAtMs
+            log.info("term={} event=committed index={} attempt={} duration_ms={}", term.revision, commit.seq, attempt, durationMs)
+        }
+        return CommitResult.Committed(revision)
     }
 
-    /** An earlier copy of the same content may have been carried out though its answer was lost. */
-    private suspend fun appliedAs(commit: Commit): Long? {
+    /**
+     * The revision at which an earlier attempt at [commit] was carried out although its response was lost; null if the head isn't
+     * this commit's.
+     */
+    private suspend fun revisionOfEarlierAttempt(commit: Commit): Long? {
+        val entry = readHead() ?: return null
+        val head = try {
+            LogCodec.head(entry.value)
+        } catch (e: MalformedMessageException) {
+            log.error("term={} event=malformed_head error=\"{}\"", term.revision, e.message)
+            return null
+        }
+        return entry.revision.takeIf { head.seq == commit.seq && head.term == term }
+    }
+
+    /** The entry of the head key, null if there is none; tries again until the key was read. */
+    private suspend fun readHead(): KeyValueStoreProtocol.Entry? {
         while (true) {
-            val page = when (val read = state.list(prefix + DecisionLog.HEAD, null)) {
-                is StoreRead.Value -> read.value
-                is StoreRead.Failed -> {
-                    delay(RETRY_MS)
-                    continue
-                }
-            }
-            val entry = page.entries.firstOrNull() ?: return null
-            val head = try {
-                LogCodec.head(entry.value)
-            } catch (e: MalformedMessageException) {
-                log.error("the head is garbled: {}", e.message)
-                return null
+            when (val read = store.list(headKey, null)) {
+                is StoreRead.Value -> return read.value.entries.firstOrNull()
+                is StoreRead.Failed -> delay(RETRY_DELAY_MS)
             }
-            return entry.revision.takeIf { head.seq == commit.seq && head.term == term }
         }
     }
 
     private fun writesOf(change: Mutation): List<KeyValueStoreProtocol.Write> = when (change) {
-        is Mutation.Delete -> listOf(KeyValueStoreProtocol.Write.Delete(prefix + change.key))
-        is Mutation.Put -> {
-            val split = change.key.startsWith(DecisionLog.JOB_PREFIX)
-            LogCodec.encode(change.value, change.parts).mapIndexed { part, value ->
-                KeyValueStoreProtocol.Write.Put(prefix + change.key + if (split) "/$part" else "", value)
-            }
+        is Mutation.Delete -> listOf(KeyValueStoreProtocol.Write.Delete(keyPrefix + change.key))
+        is Mutation.Put -> putsOf(change)
+    }
+
+    private fun putsOf(put: Mutation.Put): List<KeyValueStoreProtocol.Write> {
+        val isSplit = put.key.startsWith(DecisionLog.JOB_PREFIX)
+        return LogCodec.encode(put.value, put.parts).mapIndexed { part, value ->
+            val suffix = if (isSplit) "/$part" else ""
+            KeyValueStoreProtocol.Write.Put(keyPrefix + put.key + suffix, value)
         }
     }
 
     private companion object {
         val log = LoggerFactory.getLogger("cleathitch.state")
 
-        /** Between two tries: some times a usual answer, so that an outage doesn't eat the request budget. */
-        const val RETRY_MS = 100L
+        /** The revision that stands for a key that doesn't exist. */
+        const val KEY_ABSENT = 0L
 
-        fun steadyMs() = TimeUnit.NANOSECONDS.toMillis(System.nanoTime())
+        /** Several times a usual response time, so that an outage doesn't use up the request budget. */
+        const val RETRY_DELAY_MS = 100L
     }
 }
--- a/src/main/kotlin/cleathitch/storage/StoreFailure.kt
+++ b/src/main/kotlin/cleathitch/storage/StoreFailure.kt
@@ -2,17 +2,20 @@
 
 import cleathitch.http.CallFailure
 
-/** Why the state service gave nothing that can be used. */
+/** Why a request to the key-value store gave no usable response. */
 sealed interface StoreFailure {
-    data class NoAnswer(val failure: CallFailure) : StoreFailure {
+    /** There was no response. */
+    data class NoResponse(val failure: CallFailure) : StoreFailure {
         override fun toString() = failure.description
     }
 
-    data class Status(val status: Int) : StoreFailure {
+    /** The response has a [status] other than those the request expects. */
+    data class UnexpectedStatus(val status: Int) : StoreFailure {
         override fun toString() = "status $status"
     }
 
-    data class Garbled(val message: String?) : StoreFailure {
-        override fun toString() = "garbled: $message"
+    /** The response couldn't be parsed; [message] tells what was expected and what was found. */
+    data class Malformed(val message: String?) : StoreFailure {
+        override fun toString() = "malformed response: $message"
     }
 }
--- a/src/main/kotlin/cleathitch/storage/StoreRead.kt
+++ b/src/main/kotlin/cleathitch/storage/StoreRead.kt
@@ -1,6 +1,6 @@
 package cleathitch.storage
 
-/** What was read from the state service, or why it wasn't. */
+/** What was read from the key-value store, or why nothing was. */
 sealed interface StoreRead<out T> {
     data class Value<T>(val value: T) : StoreRead<T>
     data class Failed(val failure: StoreFailure) : StoreRead<Nothing>
--- a/src/test/kotlin/cleathitch/election/LeaderElectionTest.kt
+++ b/src/test/kotlin/cleathitch/election/LeaderElectionTest.kt
@@ -14,7 +14,7 @@
 import java.util.concurrent.LinkedBlockingQueue
 import java.util.concurrent.TimeUnit
 
-/** Elections against a state service over HTTP. */
+/** [LeaderElection] against a key-value store over HTTP. */
 class LeaderElectionTest {
     private val platform = SimulatedPlatform()
     private val vertx = Vertx.vertx()
@@ -28,48 +28,55 @@
         platform.stop()
     }
 
-    private fun compete() {
-        val leadership = LeaderElection(
+    private fun campaign() {
+        val election = LeaderElection(
             KeyValueStoreClient(vertx, Address("127.0.0.1", platform.port), timeoutMs = 500),
-            "n0",
-            "one",
+            member = "n0",
+            incarnation = "one",
             ttlMs = 1000,
-            "leader/cleathitch",
-        ) { TimeUnit.NANOSECONDS.toMillis(System.nanoTime()) }
+            leaderKey = "leader/cleathitch",
+            ::steadyMs,
+        )
         val listener = object : ElectionListener {
-            override fun elected(lease: LeaderLease) {
+            override fun onElected(lease: LeaderLease) {
                 elected += lease
             }
-            override fun deposed(lease: LeaderLease, reason: String) = Unit
-            override fun leaderIs(member: String?, term: Long) = Unit
+            override fun onDeposed(lease: LeaderLease, reason: TermEndReason) = Unit
+            override fun onLeaderObserved(member: String?, term: Long) = Unit
         }
-        scope.launch { leadership.run(listener) }
+        scope.launch { election.run(listener) }
     }
 
-    private fun next(): LeaderLease = elected.poll(30, TimeUnit.SECONDS) ?: throw AssertionError("nobody was elected")
+    private fun awaitElection(): LeaderLease = elected.poll(ELECTION_TIMEOUT_S, TimeUnit.SECONDS) ?: throw AssertionError("nobody was elected within $ELECTION_TIMEOUT_S s")
 
     /**
-     * A term's rentals are named by counting from nought, and its versions rise from the term's own. A node that gave
-     * a term up, and couldn't end its lease, once found the key to be its own and led the same term anew.
+     * A term counts its rental requests from 0 and its fencing tokens from the term's own. Led twice, it would use both again. So a
+     * controller that resigned and couldn't revoke its lease must not take the key, which still is its own, for a term to lead.
      */
     @Test
-    fun `a term that was given up isn't led again`() {
-        compete()
-        val first = next()
+    fun `a term that was resigned is not led again`() {
+        campaign()
+        val first = awaitElection()
         platform.losesReleases = true
         first.resign("for the test", transferLeadership = false)
-        val second = next()
+        val second = awaitElection()
         assertTrue(second.term.revision > first.term.revision) { "${second.term} after ${first.term}" }
     }
 
-    /** Else a process whose work stands still would keep everybody from leading, for as long as it renews. */
+    /** A stalled process that went on renewing its lease would keep every other controller from leading. */
     @Test
-    fun `a leader whose work doesn't get on gives up, and its lease isn't held beyond its time`() {
-        compete()
-        val first = next()
-        // Nobody tells it that the work gets on.
-        val second = next()
+    fun `a leader without progress is deposed and its lease expires`() {
+        campaign()
+        val first = awaitElection()
+        // Nothing reports progress to the lease.
+        val second = awaitElection()
         assertTrue(second.term.revision > first.term.revision)
-        assertTrue(first.validUntilMs <= TimeUnit.NANOSECONDS.toMillis(System.nanoTime()))
+        assertTrue(first.validUntilMs <= steadyMs())
+    }
+
+    private fun steadyMs() = TimeUnit.NANOSECONDS.toMillis(System.nanoTime())
+
+    private companion object {
+        const val ELECTION_TIMEOUT_S = 30L
     }
 }
--- a/src/test/kotlin/cleathitch/formats/StoredFormatTest.kt
+++ b/src/test/kotlin/cleathitch/formats/StoredFormatTest.kt
@@ -73,7 +73,7 @@
     fun `records keep their form`() = records.map { (name, record) ->
         DynamicTest.dynamicTest(name) {
             PinnedBytes.assertUnchanged(name, encoded(StoredValue.OfRecord(record)).single())
-            val snapshot = LogCodec.snapshot(listOf(entry("r/0000000000000000091", name)))
+            val snapshot = LogCodec.recoveredState(listOf(entry("r/0000000000000000091", name)))
             assertEquals(listOf(LogIndex(91) to record), snapshot.records)
         }
     }
@@ -82,7 +82,7 @@
     fun `a job in two parts with live attempts keeps its form`() {
         val parts = encoded(StoredValue.OfJob(jobCell), parts = 2)
         parts.forEachIndexed { part, bytes -> PinnedBytes.assertUnchanged("job-part-$part", bytes) }
-        val snapshot = LogCodec.snapshot(List(2) { part -> entry("j/j-000412/$part", "job-part-$part") })
+        val snapshot = LogCodec.recoveredState(List(2) { part -> entry("j/j-000412/$part", "job-part-$part") })
         val read = snapshot.jobs.single()
         assertEquals(2, read.parts)
         assertArrayEquals(done, read.cell.done)
@@ -92,20 +92,20 @@
     @Test
     fun `rentals and returns keep their form`() {
         PinnedBytes.assertUnchanged("fleet", encoded(StoredValue.OfFleet(fleetCell)).single())
-        assertEquals(fleetCell, LogCodec.snapshot(listOf(entry("fleet", "fleet"))).fleet)
+        assertEquals(fleetCell, LogCodec.recoveredState(listOf(entry("fleet", "fleet"))).fleet)
     }
 
     @Test
     fun `final states keep their form`() {
         PinnedBytes.assertUnchanged("finals", encoded(StoredValue.Finals(finalsCell)).single())
-        assertEquals(listOf(4L to finalsCell), LogCodec.snapshot(listOf(entry("f/0000000000000000004", "finals"))).finals)
+        assertEquals(listOf(4L to finalsCell), LogCodec.recoveredState(listOf(entry("f/0000000000000000004", "finals"))).finals)
     }
 
     @Test
     fun `the head keeps its form`() {
         PinnedBytes.assertUnchanged("head", encoded(StoredValue.Head(LogIndex(93), Term(812))).single())
         assertEquals(StoredValue.Head(LogIndex(93), Term(812)), LogCodec.head(MessageCodec.decodeMap(PinnedBytes.read("head"))))
-        assertEquals(LogIndex(93), LogCodec.snapshot(listOf(entry("head", "head"))).head)
+        assertEquals(LogIndex(93), LogCodec.recoveredState(listOf(entry("head", "head"))).head)
     }
 
     @Test
--- a/src/test/kotlin/cleathitch/loopback/ConnectionLeakTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/ConnectionLeakTest.kt
@@ -47,8 +47,8 @@
     private val cloud = CloudClient(vertx, server.address, CallPacer(CLOUD_RPS, ::steadyMs), TIMEOUT_MS, ProcessingTimes(meters), meters)
 
     private val calls: Map<String, suspend () -> Any?> = mapOf(
-        "state" to { state.extend(lease = 1) },
-        "state-watch" to { state.follow("x", since = 1, waitMs = 0) },
+        "state" to { state.renewLease(lease = 1) },
+        "state-watch" to { state.watch("x", since = 1, waitMs = 0) },
         "peers" to { peers.ask(server.address, byteArrayOf(1), TIMEOUT_MS) },
         "workers" to { workers.send(Effect.Probe(MachineId("vm-000001"), server.address.toString())) },
         "cloud" to { cloud.types() },
--- a/src/test/kotlin/cleathitch/scheduler/SchedulerHarness.kt
+++ b/src/test/kotlin/cleathitch/scheduler/SchedulerHarness.kt
@@ -71,7 +71,8 @@
         stateServiceOut = false
         unanswered.clear()
         term = ++revision
-        scheduler = Scheduler(deployment, timings, Term(term), LogCodec.snapshot(storedEntries()), ClockReading(nowMs, nowMs), LogCodec)
+        scheduler =
+            Scheduler(deployment, timings, Term(term), LogCodec.recoveredState(storedEntries()), ClockReading(nowMs, nowMs), LogCodec)
         return step(Input.LeaseRenewed(Long.MAX_VALUE / 2), Input.MachineTypesListed(listOf(type)))
     }
 
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedKeyValueStore.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedKeyValueStore.kt
@@ -72,5 +72,5 @@
     }
 
     /** Through the real codec, as a new leader would read it. */
-    fun snapshot(): RecoveredState = LogCodec.snapshot(cells.entries(headRevision))
+    fun snapshot(): RecoveredState = LogCodec.recoveredState(cells.entries(headRevision))
 }
