--- a/src/main/kotlin/cleathitch/scheduler/capacity/DemandForecast.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/DemandForecast.kt
@@ -5,6 +5,7 @@
 import cleathitch.scheduler.model.JobKind
 import cleathitch.scheduler.model.JobSpec
 import cleathitch.scheduler.model.PlacementClass
+import cleathitch.scheduler.model.RESOURCE_TOLERANCE
 import kotlin.math.ceil
 
 /**
@@ -53,8 +54,8 @@
             want.late += lack.count - late / cpus
         }
         return wants.mapNotNull { (shape, want) ->
-            val count = ceil(want.soon - ROUNDING).toInt()
-            Inventory.Demand(shape, count, ceil(want.late - ROUNDING).toInt(), want.slackS, want.runS).takeIf { count > 0 }
+            val count = ceil(want.soon - RESOURCE_TOLERANCE).toInt()
+            Inventory.Demand(shape, count, ceil(want.late - RESOURCE_TOLERANCE).toInt(), want.slackS, want.runS).takeIf { count > 0 }
         }
     }
 
@@ -69,8 +70,4 @@
         return completionObjectives.firstOrNull { it > spec.estimateS + fetchS }?.let { it - spec.estimateS - fetchS }
             ?: completionObjectives.last()
     }
-
-    private companion object {
-        const val ROUNDING = 1e-6
-    }
 }
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Quota.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Quota.kt
@@ -2,6 +2,7 @@
 
 import cleathitch.scheduler.model.JobKind
 import cleathitch.scheduler.model.JobSpec
+import cleathitch.scheduler.model.RESOURCE_TOLERANCE
 import cleathitch.scheduler.model.Team
 
 /** A team's limit, counted over everything that may still be running. */
@@ -24,8 +25,8 @@
     fun insideGuarantee(spec: JobSpec): Boolean {
         val team = teams[spec.team] ?: return false
         val load = jobTable.loadOfTeam(spec.team)
-        return (load?.cpus ?: 0.0) + spec.cpus <= team.cpus + ROUNDING &&
-            (load?.gpus ?: 0.0) + spec.gpus <= team.gpus + ROUNDING
+        return (load?.cpus ?: 0.0) + spec.cpus <= team.cpus + RESOURCE_TOLERANCE &&
+            (load?.gpus ?: 0.0) + spec.gpus <= team.gpus + RESOURCE_TOLERANCE
     }
 
     /** How many more tasks like this the team's limit allows now. */
@@ -33,14 +34,9 @@
         val team = teams[spec.team] ?: return 0
         val load = jobTable.loadOfTeam(spec.team)
         fun room(use: Double, each: Double, limit: Double?) =
-            if (limit == null || each <= 0) Int.MAX_VALUE else ((limit - use + ROUNDING) / each).toInt().coerceAtLeast(0)
+            if (limit == null || each <= 0) Int.MAX_VALUE else ((limit - use + RESOURCE_TOLERANCE) / each).toInt().coerceAtLeast(0)
         return minOf(room(load?.cpus ?: 0.0, spec.cpus, team.maxCpus), room(load?.gpus ?: 0.0, spec.gpus, team.maxGpus))
     }
 
-    private fun within(use: Double, limit: Double?) = limit == null || use <= limit + ROUNDING
-
-    private companion object {
-        /** Sums of decimal amounts differ from the exact ones by far less than any amount asked for. */
-        const val ROUNDING = 1e-6
-    }
+    private fun within(use: Double, limit: Double?) = limit == null || use <= limit + RESOURCE_TOLERANCE
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
@@ -11,7 +11,6 @@
 import cleathitch.scheduler.model.Offer
 import cleathitch.scheduler.model.PlacementClass
 import kotlin.math.ceil
-import kotlin.math.floor
 import kotlin.math.max
 import kotlin.math.min
 
@@ -81,8 +80,7 @@
     fun roomFor(shape: PlacementClass, machine: Machine, without: List<Attempt> = emptyList()): Int {
         val type = machine.type ?: return 0
         val load = jobTable.loadOf(machine.id)
-        return slots(
-            shape,
+        return shape.fittingTasks(
             type.cpus - (load?.cpus ?: 0.0) + without.sumOf { it.job.spec.cpus },
             type.gpus - (load?.gpus ?: 0.0) + without.sumOf { it.job.spec.gpus },
             type.memoryGb - (load?.memoryGb ?: 0.0) + without.sumOf { it.job.spec.memoryGb },
@@ -105,7 +103,7 @@
             var left = demand.count
             for (space in spaces) {
                 if (left == 0) break
-                if (allows(demand.shape, space.offer)) left -= space.take(demand, left)
+                if (demand.shape.permits(space.offer)) left -= space.take(demand, left)
             }
             rent(demand, left, nowMs, plan, spotOnly = demand.shape.spotAllowed) { space ->
                 left -= space.take(demand, left)
@@ -124,7 +122,7 @@
         while (left > 0) {
             val offer = best(demand, left, nowMs, plan, spotOnly) ?: return
             val type = types.getValue(offer.type)
-            val each = (slots(demand.shape, type.cpus, type.gpus, type.memoryGb) * demand.turns(type)).toInt()
+            val each = (demand.shape.fittingTasks(type) * demand.turns(type)).toInt()
             val machines = min(plan.room(offer), max(1, left / each))
             plan.add(offer, machines)
             repeat(machines) { planned(Space(offer, type)) }
@@ -181,10 +179,6 @@
             nowMs - max(machine.rentedAtMs, listeningSinceMs) >= (machine.type?.bootS ?: deployment.leaseS) * 1000 * LATE_BOOTS
     }
 
-    fun allows(shape: PlacementClass, offer: Offer) = (shape.types == null || offer.type in shape.types) &&
-        (shape.zone == null || offer.zone == shape.zone) &&
-        (shape.spotAllowed || !offer.spot)
-
     /**
      * The cheapest offer for each processor that the demand uses, its boot time spread over the time for
      * which it is likely kept.
@@ -195,11 +189,11 @@
             .flatMap { type ->
                 type.zones.asSequence().flatMap { zone -> sequenceOf(Offer(type.name, zone, true), Offer(type.name, zone, false)) }
             }
-            .filter { allows(shape, it) && (it.spot || !spotOnly) && it.zone !in partitionedZones }
+            .filter { shape.permits(it) && (it.spot || !spotOnly) && it.zone !in partitionedZones }
             .filter { nowMs >= (refusedUntilMs[it] ?: 0) && plan.room(it) > 0 }
             .minByOrNull { offer ->
                 val type = types.getValue(offer.type)
-                val used = min(count, slots(shape, type.cpus, type.gpus, type.memoryGb))
+                val used = min(count, shape.fittingTasks(type))
                 type.priceOf(offer.spot) / used * (1 + type.bootS / (deployment.leaseS * KEPT_LEASES))
             }
     }
@@ -213,7 +207,7 @@
         fun take(demand: Demand, most: Int): Int {
             val turns = demand.turns(type)
             val shape = demand.shape
-            val used = min(ceil(most / turns).toInt(), slots(shape, cpus, gpus, memoryGb))
+            val used = min(ceil(most / turns).toInt(), shape.fittingTasks(cpus, gpus, memoryGb))
             cpus -= used * shape.cpus
             gpus -= used * shape.gpus
             memoryGb -= used * shape.memoryGb
@@ -239,15 +233,5 @@
 
         /** After a refusal the same offer is asked for again after as many report periods. */
         private const val REFUSAL_REPORTS = 3.0
-        private const val ROUNDING = 1e-6
-
-        /** How many tasks of [shape] fit into as much. */
-        fun slots(shape: PlacementClass, cpus: Double, gpus: Double, memoryGb: Double): Int {
-            var n = Double.MAX_VALUE
-            if (shape.cpus > 0) n = min(n, (cpus + ROUNDING) / shape.cpus)
-            if (shape.gpus > 0) n = min(n, (gpus + ROUNDING) / shape.gpus)
-            if (shape.memoryGb > 0) n = min(n, (memoryGb + ROUNDING) / shape.memoryGb)
-            return floor(min(n, 1e6)).toInt().coerceAtLeast(0)
-        }
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/placement/Placement.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/Placement.kt
@@ -10,6 +10,7 @@
 import cleathitch.scheduler.model.JobSpec
 import cleathitch.scheduler.model.MachineType
 import cleathitch.scheduler.model.PlacementClass
+import cleathitch.scheduler.model.RESOURCE_TOLERANCE
 import java.util.PriorityQueue
 
 /** Where tasks go and whose tasks make room for them. What it sees is fixed at the start of a round. */
@@ -34,7 +35,7 @@
             attempts.mapNotNullTo(HashSet()) { a -> a.job.spec.image.takeIf { a.runningSinceMs == null && !machine.hasImage(it) } }
         }
 
-        fun fits(shape: PlacementClass) = Inventory.slots(shape, cpus, gpus, memoryGb) > 0
+        fun fits(shape: PlacementClass) = shape.fittingTasks(cpus, gpus, memoryGb) > 0
 
         fun take(shape: PlacementClass) {
             cpus -= shape.cpus
@@ -60,7 +61,7 @@
     inner class Look(private val usable: List<Machine>, private val nowMs: Long) {
         private val rooms = usable.mapNotNull { machine ->
             machine.type?.let { Room(machine, it, jobTable.loadOf(machine.id), jobTable.attemptsOn(machine.id)) }
-        }.filter { it.cpus > ROUNDING }
+        }.filter { it.cpus > RESOURCE_TOLERANCE }
         private val ranked = HashMap<PlacementClass, Map<String, Ranked>>()
         private val sacrifices = HashMap<PlacementClass, Sacrifices>()
 
@@ -85,7 +86,7 @@
 
         private fun rank(shape: PlacementClass): Map<String, Ranked> {
             candidatesEvaluated += rooms.size
-            val fitting = rooms.filter { fleet.allows(shape, it.machine.offer) && it.fits(shape) }
+            val fitting = rooms.filter { shape.permits(it.machine.offer) && it.fits(shape) }
             return fitting.groupBy { it.machine.offer.zone }.mapValues { (_, list) ->
                 val costs = list.map { it to cost(shape, it) }.sortedBy { it.second }
                 Ranked(costs.map { it.first }, DoubleArray(costs.size) { costs[it].second })
@@ -96,14 +97,14 @@
         fun chooseAll(job: Job): List<Machine>? {
             val shape = job.spec.placementClass
             val zones = zonesFor(job)
-            val allowed = rooms.filter { (zones == null || it.machine.offer.zone in zones) && fleet.allows(shape, it.machine.offer) }
+            val allowed = rooms.filter { (zones == null || it.machine.offer.zone in zones) && shape.permits(it.machine.offer) }
                 .sortedBy { cost(shape, it) }
             val choices = if (job.spec.oneZone) allowed.groupBy { it.machine.offer.zone }.values else listOf(allowed)
             val chosen = choices.firstNotNullOfOrNull { candidates ->
                 val chosen = ArrayList<Room>()
                 val inZone = HashMap<String, Int>()
                 for (room in candidates) {
-                    repeat(Inventory.slots(shape, room.cpus, room.gpus, room.memoryGb)) {
+                    repeat(shape.fittingTasks(room.cpus, room.gpus, room.memoryGb)) {
                         val zone = room.machine.offer.zone
                         if (chosen.size < job.waiting && (inZone[zone] ?: 0) < job.spec.maxPerZone) {
                             inZone.merge(zone, 1, Int::plus)
@@ -146,7 +147,7 @@
             init {
                 candidatesEvaluated += usable.size
                 for (machine in usable) {
-                    if (!fleet.allows(shape, machine.offer)) continue
+                    if (!shape.permits(machine.offer)) continue
                     next(machine, jobTable.attemptsOn(machine.id).filter { it.stop != null })
                 }
             }
@@ -232,8 +233,6 @@
     }
 
     private companion object {
-        const val ROUNDING = 1e-6
-
         /** Weights in terms of the tightest fit, which is between 0 and 1. */
         const val FETCH = 2.0
         const val OTHER_KIND = 4.0
