--- a/src/main/kotlin/cleathitch/cli/Application.kt
+++ b/src/main/kotlin/cleathitch/cli/Application.kt
@@ -83,7 +83,7 @@
         val peerSockets = settings.peers.size * PeerClient.CONNECTIONS
         val ours = direct + peerSockets + OTHER_SOCKETS
         val internalRoom = ConnectionLimit(peerSockets + OTHER_SOCKETS)
-        val room = ConnectionLimit(maxOf(settings.maxSockets / 2, settings.maxSockets - ours - internalRoom.most))
+        val room = ConnectionLimit(maxOf(settings.maxSockets / 2, settings.maxSockets - ours - internalRoom.max))
         scope.launch {
             HttpEndpoint(vertx, scope, PeerClient.MAX_BODY, idleS, internalRoom) { method, path, body ->
                 internal(node, method, path, body)
--- a/src/main/kotlin/cleathitch/cli/ClassArchiveTraining.kt
+++ b/src/main/kotlin/cleathitch/cli/ClassArchiveTraining.kt
@@ -17,6 +17,7 @@
 import cleathitch.scheduler.model.MachineId
 import cleathitch.workers.HeartbeatQueue
 import com.fasterxml.jackson.databind.node.ObjectNode
+import io.micrometer.core.instrument.simple.SimpleMeterRegistry
 import io.vertx.core.Vertx
 import io.vertx.core.http.HttpMethod
 import io.vertx.kotlin.coroutines.dispatcher
@@ -37,14 +38,15 @@
 @Command(name = "train-class-archive", hidden = true, description = ["Loads what a controller needs, for the build's class archive."])
 class ClassArchiveTraining : Runnable {
     private val vertx = Vertx.vertx()
-    private val client = PooledHttpClient(vertx, "class-archive-training", connections = 4)
+    private val meters = SimpleMeterRegistry()
+    private val client = PooledHttpClient(vertx, "class-archive-training", maxConnections = 4, meters)
     private var revision = 1L
     private var leaderTerm = 0L
 
     override fun run() {
         val scope = CoroutineScope(vertx.dispatcher() + SupervisorJob())
         scope.launch {
-            val platform = HttpEndpoint(vertx, scope, MessageCodec.MAX_BODY, idleS = 60, ConnectionLimit(most = 100)) { method, path, _ ->
+            val platform = HttpEndpoint(vertx, scope, MessageCodec.MAX_BODY, idleS = 60, ConnectionLimit(max = 100)) { method, path, _ ->
                 platform(method, path)
             }
                 .listen(Address("127.0.0.1", 0))
@@ -54,7 +56,7 @@
             Application(Settings.read(file)).start()
             Files.delete(file)
             val node = Address("127.0.0.1", bind)
-            val peers = PeerClient(vertx)
+            val peers = PeerClient(vertx, meters)
             repeat(ROUNDS) { round ->
                 client.call(node, HttpMethod.GET, "/ready", null, 1000)
                 client.call(node, HttpMethod.POST, "/submissions", MessageCodec.encode(submission(round)), 1000)
--- a/src/main/kotlin/cleathitch/cloud/CloudClient.kt
+++ b/src/main/kotlin/cleathitch/cloud/CloudClient.kt
@@ -14,7 +14,6 @@
 import cleathitch.scheduler.model.MachineId
 import cleathitch.scheduler.model.MachineType
 import io.micrometer.core.instrument.MeterRegistry
-import io.micrometer.core.instrument.simple.SimpleMeterRegistry
 import io.vertx.core.Vertx
 import io.vertx.core.http.HttpMethod
 import org.slf4j.LoggerFactory
@@ -26,9 +25,9 @@
     private val budget: CallPacer,
     private val timeoutMs: Long,
     private val processingTimes: ProcessingTimes,
-    meters: MeterRegistry = SimpleMeterRegistry(),
+    meters: MeterRegistry,
 ) {
-    private val client = PooledHttpClient(vertx, "cloud", connections = 4, meters = meters)
+    private val client = PooledHttpClient(vertx, "cloud", maxConnections = 4, meters)
 
     suspend fun types(): List<MachineType>? = read(call(HttpMethod.GET, "/flavors", null).answerWith(200)) { CloudProtocol.types(it.body) }
 
--- a/src/main/kotlin/cleathitch/http/ClientMeters.kt
+++ b/src/main/kotlin/cleathitch/http/ClientMeters.kt
@@ -5,35 +5,40 @@
 import io.micrometer.core.instrument.Tags
 import java.util.concurrent.atomic.AtomicInteger
 
-/** Counts the calls of one HTTP client by their outcome, and what its connection pool has lent and still owes. */
+/**
+ * The meters of one HTTP client: its calls by outcome, the calls that wait for a connection, and the connections in use.
+ * Written on the client's event loop; the two gauges may be read from any thread.
+ */
 internal class ClientMeters(private val client: String, private val meters: MeterRegistry) {
     private val waiting = AtomicInteger()
-    private val lent = AtomicInteger()
-    private val counters = HashMap<String, Counter>()
+    private val inUse = AtomicInteger()
+    private val calls = HashMap<String, Counter>()
 
     init {
         val tags = Tags.of("client", client)
         meters.gauge("http.client.waiting", tags, waiting)
-        meters.gauge("http.client.lent", tags, lent)
+        meters.gauge("http.client.in_use", tags, inUse)
     }
 
     /** A call asks the pool for a connection. */
-    fun asked() = waiting.incrementAndGet()
+    fun recordAcquisitionStart() {
+        waiting.incrementAndGet()
+    }
 
-    /** The pool has answered a call that asked, whether or not somebody still waits for it. */
-    fun settled(gotConnection: Boolean) {
+    /** The pool has served or refused an acquisition, whether or not its call still waits for it. */
+    fun recordAcquisitionEnd(gotConnection: Boolean) {
         waiting.decrementAndGet()
-        if (gotConnection) lent.incrementAndGet()
+        if (gotConnection) inUse.incrementAndGet()
     }
 
-    /** A connection that was lent is the pool's again, or closed. */
-    fun returned() = lent.decrementAndGet()
+    /** A connection that was in use is back in the pool, or closed. */
+    fun recordRelease() {
+        inUse.decrementAndGet()
+    }
 
-    fun ended(result: CallResult) {
-        val outcome = when (result) {
-            is CallResult.Failed -> result.failure.name.lowercase()
-            is CallResult.Answered -> if (result.isRefusal) "refused" else "answered"
-        }
-        counters.getOrPut(outcome) { meters.counter("http.client.calls", "client", client, "outcome", outcome) }.increment()
+    /** A call has ended. */
+    fun recordCall(outcome: CallOutcome) {
+        val tag = outcome.metricTag
+        calls.getOrPut(tag) { meters.counter("http.client.calls", "client", client, "outcome", tag) }.increment()
     }
 }
--- a/src/main/kotlin/cleathitch/http/ConnectionLimit.kt
+++ b/src/main/kotlin/cleathitch/http/ConnectionLimit.kt
@@ -1,31 +1,35 @@
 package cleathitch.http
 
 /**
- * How many connections a server may hold, so that a node keeps sockets for what it opens itself: at the limit
- * of its sockets it once had no way left to the state service.
+ * Bounds a server's open connections to [max], so that the process keeps sockets for the connections that it opens itself.
+ * Without the bound, incoming connections can use up the sockets, and the leader can't renew its lease.
  *
- * Past [kept] each answer ends its connection, so those who come again make room for each other; past [most]
- * a new one is closed at once, and whoever it was tries another node.
+ * Past 95 % of [max] each response closes its connection, so that clients make room for each other; past [max] a new
+ * connection is closed at once, and its client tries another node. Confined to the server's event loop.
  */
-class ConnectionLimit(val most: Int) {
-    private val kept = most - most / SPARE_PART
+class ConnectionLimit(val max: Int) {
+    private val keepAliveMax = max - max / RESERVED_SHARE
+
+    /** Connections that are open now, those above [max] that are about to be closed included. */
     var open = 0
         private set
 
-    val crowded get() = open > kept
+    /** Responses must close their connections. */
+    val isNearlyFull get() = open > keepAliveMax
 
-    /** False if there is no room for one more. */
-    fun opened(): Boolean {
+    /** Counts a new connection; false if it must be closed, since there is no room for it. */
+    fun recordOpened(): Boolean {
         open++
-        return open <= most
+        return open <= max
     }
 
-    fun closed() {
+    /** Counts the end of a connection, of those for which [recordOpened] was false too. */
+    fun recordClosed() {
         open--
     }
 
     private companion object {
-        /** One in so many is left for those who come while all kept ones are in use. */
-        const val SPARE_PART = 20
+        /** One connection in this many is reserved for clients that arrive while all others are kept alive. */
+        const val RESERVED_SHARE = 20
     }
 }
--- a/src/main/kotlin/cleathitch/http/HttpEndpoint.kt
+++ b/src/main/kotlin/cleathitch/http/HttpEndpoint.kt
@@ -2,68 +2,85 @@
 
 import io.vertx.core.Vertx
 import io.vertx.core.buffer.Buffer
+import io.vertx.core.http.HttpConnection
 import io.vertx.core.http.HttpServerOptions
 import io.vertx.core.http.HttpServerRequest
 import io.vertx.kotlin.coroutines.coAwait
+import kotlinx.coroutines.CancellationException
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.CoroutineStart
 import kotlinx.coroutines.launch
 import org.slf4j.LoggerFactory
 
-/** One HTTP server that hands whole requests to a handler. */
+/**
+ * An HTTP/1.1 server that passes whole requests, of at most [maxBodyBytes], to [handle] in a coroutine of [scope]. It runs on
+ * the event loop of [vertx] and listens until [vertx] is closed. An exception of [handle] is answered with status 500.
+ */
 class HttpEndpoint(
     private val vertx: Vertx,
     private val scope: CoroutineScope,
-    private val maxBody: Int,
-    /** A machine that is gone leaves its connection behind; without an end to idle ones they use up the sockets. */
+    private val maxBodyBytes: Int,
+    /** Seconds until an idle connection is closed: connections of machines that are gone would use up the sockets. */
     private val idleS: Int,
-    private val room: ConnectionLimit,
+    private val connectionLimit: ConnectionLimit,
     private val handle: suspend (method: String, path: String, body: ByteArray) -> HttpReply,
 ) {
-    /** Starts listening and tells the port. */
+    /** Starts listening and returns the port, which the system chooses if that of [address] is 0. Throws if the port is taken. */
     suspend fun listen(address: Address): Int {
-        val options = HttpServerOptions().setHost(address.host).setPort(address.port).setTcpNoDelay(true)
-            .setCompressionSupported(false).setDecompressionSupported(false).setAcceptBacklog(1024)
-            .setIdleTimeout(idleS)
-            // Nobody here speaks HTTP/2 or WebSocket. With the first, a connection would count only from its first byte.
-            .setHttp2ClearTextEnabled(false)
-            .setPerFrameWebSocketCompressionSupported(false).setPerMessageWebSocketCompressionSupported(false)
-        val server = vertx.createHttpServer(options).requestHandler(::receive).connectionHandler { connection ->
-            connection.closeHandler { room.closed() }
-            if (!room.opened()) connection.close()
-        }
-            .invalidRequestHandler { it.response().setStatusCode(400).end() }
+        val server = vertx.createHttpServer(options(address))
+            .requestHandler(::receive)
+            .connectionHandler(::admit)
+            .invalidRequestHandler { it.response().setStatusCode(BAD_REQUEST).end() }
         return server.listen().coAwait().actualPort()
     }
 
+    private fun options(address: Address) = HttpServerOptions()
+        .setHost(address.host)
+        .setPort(address.port)
+        .setTcpNoDelay(true)
+        .setCompressionSupported(false)
+        .setDecompressionSupported(false)
+        .setAcceptBacklog(ACCEPT_BACKLOG)
+        .setIdleTimeout(idleS)
+        // No client uses HTTP/2 or WebSocket. With HTTP/2 on, a connection would count only from its first byte.
+        .setHttp2ClearTextEnabled(false)
+        .setPerFrameWebSocketCompressionSupported(false)
+        .setPerMessageWebSocketCompressionSupported(false)
+
+    private fun admit(connection: HttpConnection) {
+        connection.closeHandler { connectionLimit.recordClosed() }
+        if (!connectionLimit.recordOpened()) connection.close()
+    }
+
     private fun receive(request: HttpServerRequest) {
         val body = Buffer.buffer()
-        var refused = false
-        request.exceptionHandler { refused = true }
+        var isRejected = false
+        request.exceptionHandler { isRejected = true }
         request.handler { chunk ->
-            if (refused) return@handler
-            if (body.length() + chunk.length() > maxBody) {
-                refused = true
-                // What follows isn't read: the connection can't be used again.
-                respond(request, HttpReply(400, last = true))
-                return@handler
-            }
-            body.appendBuffer(chunk)
-        }
-        request.endHandler {
-            if (refused) return@endHandler
-            scope.launch(start = CoroutineStart.UNDISPATCHED) {
-                val reply = try {
-                    handle(request.method().name(), request.path() ?: "", body.bytes)
-                } catch (e: kotlinx.coroutines.CancellationException) {
-                    throw e
-                } catch (e: Exception) {
-                    log.error("{} {} failed", request.method(), request.path(), e)
-                    HttpReply(500)
-                }
-                respond(request, reply)
+            if (isRejected) return@handler
+            if (body.length() + chunk.length() <= maxBodyBytes) {
+                body.appendBuffer(chunk)
+            } else {
+                isRejected = true
+                // The rest of the body isn't read, so the connection can't carry another request.
+                respond(request, HttpReply(BAD_REQUEST, closesConnection = true))
             }
         }
+        request.endHandler { if (!isRejected) handleWhole(request, body) }
+    }
+
+    /** Starts [handle] without a trip through the dispatcher: this already runs on the event loop. */
+    private fun handleWhole(request: HttpServerRequest, body: Buffer) {
+        scope.launch(start = CoroutineStart.UNDISPATCHED) { respond(request, replyTo(request, body.bytes)) }
+    }
+
+    private suspend fun replyTo(request: HttpServerRequest, body: ByteArray): HttpReply = try {
+        handle(request.method().name(), request.path() ?: "", body)
+    } catch (e: CancellationException) {
+        throw e
+    } catch (e: Exception) {
+        log.error("event=request_failed method={} path={}", request.method(), request.path(), e)
+        HttpReply(INTERNAL_SERVER_ERROR)
     }
 
     private fun respond(request: HttpServerRequest, reply: HttpReply) {
@@ -71,13 +88,18 @@
         if (response.closed() || response.ended()) return
         response.setStatusCode(reply.status)
         reply.retryAfterS?.let { response.putHeader("Retry-After", it.toString()) }
-        val last = reply.last || room.crowded
-        if (last) response.putHeader("Connection", "close")
+        val closesConnection = reply.closesConnection || connectionLimit.isNearlyFull
+        if (closesConnection) response.putHeader("Connection", "close")
         val sent = if (reply.body != null) response.end(Buffer.buffer(reply.body)) else response.end()
-        if (last) sent.onComplete { request.connection().close() }
+        if (closesConnection) sent.onComplete { request.connection().close() }
     }
 
     private companion object {
         val log = LoggerFactory.getLogger("cleathitch.http")
+        const val BAD_REQUEST = 400
+        const val INTERNAL_SERVER_ERROR = 500
+
+        /** Connections that the kernel holds until the event loop accepts them; more are refused. */
+        const val ACCEPT_BACKLOG = 1024
     }
 }
--- a/src/main/kotlin/cleathitch/http/HttpReply.kt
+++ b/src/main/kotlin/cleathitch/http/HttpReply.kt
@@ -1,4 +1,7 @@
 package cleathitch.http
 
-/** An answer to a user, ready to be sent by any node; with the [last] one its connection ends. */
-class HttpReply(val status: Int, val body: ByteArray? = null, val retryAfterS: Int? = null, val last: Boolean = false)
+/**
+ * An HTTP response, ready to be sent by any node. [retryAfterS] goes out as `Retry-After`, in seconds. With
+ * [closesConnection] the server closes the connection after the response, so that a load balancer chooses again.
+ */
+class HttpReply(val status: Int, val body: ByteArray? = null, val retryAfterS: Int? = null, val closesConnection: Boolean = false)
--- a/src/main/kotlin/cleathitch/http/OutageLog.kt
+++ b/src/main/kotlin/cleathitch/http/OutageLog.kt
@@ -3,41 +3,54 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Logs when calls to a server begin to fail and when they are answered again, with the failures in between counted by
- * kind. While they go on it logs each time their number has doubled, so that a long outage costs few lines.
+ * Logs when calls to a server begin to fail and when the server answers again, with the failures in between counted by
+ * kind. During the outage it logs each time the number of failures has doubled, so that a long outage costs few lines.
+ * Confined to the event loop of its client; [nowMs] is a steady clock.
  */
 internal class OutageLog(private val client: String, private val nowMs: () -> Long) {
     private class Outage(val sinceMs: Long) {
-        val counts = LinkedHashMap<String, Int>()
-        var total = 0
+        val countsByFailure = LinkedHashMap<String, Int>()
+        var failures = 0
+            private set
+
+        fun recordFailure(failure: String) {
+            countsByFailure.merge(failure, 1, Int::plus)
+            failures++
+        }
+
+        /** As `status_503:2,connect_failed:1`, in the order of first occurrence. */
+        fun summary() = countsByFailure.entries.joinToString(",") { (failure, count) -> "$failure:$count" }
     }
 
     private val outages = HashMap<Address, Outage>()
 
-    fun ended(to: Address, path: String, result: CallResult) {
-        val failure = when (result) {
-            is CallResult.Failed -> result.failure.description
-            is CallResult.Answered -> if (result.isRefusal) "status ${result.status}" else return answered(to)
-        }
-        failed(to, path, failure)
+    /** A call to [server] has ended. */
+    fun recordCall(server: Address, path: String, outcome: CallOutcome) = when (outcome) {
+        CallOutcome.Answered -> recordRecovery(server)
+        is CallOutcome.Refused -> recordFailure(server, path, "status_${outcome.status}")
+        is CallOutcome.Failed -> recordFailure(server, path, outcome.metricTag)
     }
 
-    private fun failed(to: Address, path: String, failure: String) {
-        val outage = outages.getOrPut(to) { Outage(nowMs()) }
-        outage.counts.merge(failure, 1, Int::plus)
-        outage.total++
-        if (outage.total == 1) {
-            log.info("{}: calls to {} fail: {} ({})", client, to, failure, path.substringBefore('?'))
-        } else if (outage.total.countOneBits() == 1) {
-            log.info("{}: calls to {} fail for {} ms: {}", client, to, nowMs() - outage.sinceMs, outage.counts)
+    private fun recordFailure(server: Address, path: String, failure: String) {
+        val outage = outages.getOrPut(server) { Outage(nowMs()) }
+        outage.recordFailure(failure)
+        if (outage.failures == 1) {
+            // Without the query, which differs from call to call.
+            log.info("event=calls_failing client={} server={} failure={} path={}", client, server, failure, path.substringBefore('?'))
+        } else if (isPowerOfTwo(outage.failures)) {
+            log.info("event=calls_still_failing client={} server={} {}", client, server, details(outage))
         }
     }
 
-    private fun answered(to: Address) {
-        val outage = outages.remove(to) ?: return
-        log.info("{}: calls to {} are answered again after {} ms; failed: {}", client, to, nowMs() - outage.sinceMs, outage.counts)
+    private fun recordRecovery(server: Address) {
+        val outage = outages.remove(server) ?: return
+        log.info("event=calls_recovered client={} server={} {}", client, server, details(outage))
     }
 
+    private fun details(outage: Outage) = "duration_ms=${nowMs() - outage.sinceMs} failures=${outage.summary()}"
+
+    private fun isPowerOfTwo(number: Int) = number.countOneBits() == 1
+
     private companion object {
         val log = LoggerFactory.getLogger("cleathitch.http")
     }
--- a/src/main/kotlin/cleathitch/http/PooledHttpClient.kt
+++ b/src/main/kotlin/cleathitch/http/PooledHttpClient.kt
@@ -1,7 +1,6 @@
 package cleathitch.http
 
 import io.micrometer.core.instrument.MeterRegistry
-import io.micrometer.core.instrument.simple.SimpleMeterRegistry
 import io.vertx.core.Vertx
 import io.vertx.core.buffer.Buffer
 import io.vertx.core.http.HttpClient
@@ -16,65 +15,87 @@
 import java.util.concurrent.TimeoutException
 
 /**
- * An HTTP/1.1 client with a pool of at most [connections] connections to each server. Its calls end in a value, never in
- * an exception. It is used from the event loop of [vertx] alone.
+ * An HTTP/1.1 client with a pool of at most [maxConnections] connections to each server. Its calls end in a [CallResult],
+ * never in an exception other than cancellation. Confined to the event loop of [vertx], which also owns the connections.
  *
- * [name] stands in metrics and in the log; without [logsOutages], failures are only counted, as is right for a client
- * with thousands of servers.
+ * [name] stands in metrics and in the log. Without [keepAlive] each call has a connection of its own. Without [logsOutages],
+ * failures are only counted, as is right for a client with thousands of servers.
  */
 class PooledHttpClient(
     vertx: Vertx,
     name: String,
-    connections: Int,
-    private val connectMs: Int = 1000,
+    maxConnections: Int,
+    private val meters: MeterRegistry,
+    private val connectTimeoutMs: Int = DEFAULT_CONNECT_TIMEOUT_MS,
     keepAlive: Boolean = true,
-    meters: MeterRegistry = SimpleMeterRegistry(),
     logsOutages: Boolean = true,
 ) {
     private val client: HttpClient = vertx.httpClientBuilder()
-        .with(
-            HttpClientOptions().setKeepAlive(keepAlive).setKeepAliveTimeout(60).setConnectTimeout(connectMs)
-                .setDecompressionSupported(false).setTcpNoDelay(true),
-        )
-        .with(PoolOptions().setHttp1MaxSize(connections))
+        .with(clientOptions(keepAlive))
+        .with(PoolOptions().setHttp1MaxSize(maxConnections))
         .build()
     private val clientMeters = ClientMeters(name, meters)
-    private val outages = if (logsOutages) OutageLog(name) { TimeUnit.NANOSECONDS.toMillis(System.nanoTime()) } else null
+    private val outages = if (logsOutages) OutageLog(name, ::steadyMs) else null
 
-    /** Sends a request and waits for the whole answer, for [timeoutMs] milliseconds in all. */
-    suspend fun call(to: Address, method: HttpMethod, path: String, body: ByteArray?, timeoutMs: Long): CallResult {
-        val result = send(to, method, path, body, timeoutMs)
-        clientMeters.ended(result)
-        outages?.ended(to, path, result)
+    /** Sends a request and waits for the whole answer, [timeoutMs] at most, the wait for a connection included. */
+    suspend fun call(server: Address, method: HttpMethod, path: String, body: ByteArray?, timeoutMs: Long): CallResult {
+        val result = withConnection(timeoutMs) { checkout -> exchange(checkout, requestOptions(server, method, path), body) }
+        val outcome = CallOutcome.of(result)
+        clientMeters.recordCall(outcome)
+        outages?.recordCall(server, path, outcome)
         return result
     }
 
-    private suspend fun send(to: Address, method: HttpMethod, path: String, body: ByteArray?, timeoutMs: Long): CallResult {
-        val loan = ConnectionLoan(clientMeters)
-        try {
-            val answer = withTimeoutOrNull(timeoutMs) {
-                val options = RequestOptions().setHost(to.host).setPort(to.port).setMethod(method).setURI(path)
-                    .setConnectTimeout(connectMs.toLong())
-                val request = loan.obtain(client.request(options))
-                val response = (if (body == null) request.send() else request.send(Buffer.buffer(body))).coAwait()
-                val bytes = response.body().coAwait().bytes
-                loan.answered()
-                CallResult.Answered(response.statusCode(), bytes)
-            }
-            val stage = if (loan.isLent) CallFailure.NO_ANSWER_IN_TIME else CallFailure.NO_CONNECTION_IN_TIME
-            return answer ?: CallResult.Failed(stage)
+    /** Every failure of [exchange] becomes a value here, and its connection is released however it ends. */
+    private suspend fun withConnection(timeoutMs: Long, exchange: suspend (ConnectionCheckout) -> CallResult.Answered): CallResult {
+        val checkout = ConnectionCheckout(clientMeters)
+        return try {
+            withTimeoutOrNull(timeoutMs) { exchange(checkout) } ?: timedOut(checkout)
         } catch (e: CancellationException) {
             throw e
         } catch (e: Exception) {
-            return CallResult.Failed(failureOf(e, loan.isLent))
+            CallResult.Failed(failureOf(e, checkout.isAcquired))
         } finally {
-            loan.end()
+            checkout.end()
         }
     }
 
+    private suspend fun exchange(checkout: ConnectionCheckout, options: RequestOptions, body: ByteArray?): CallResult.Answered {
+        val request = checkout.acquire(client.request(options))
+        val response = (if (body == null) request.send() else request.send(Buffer.buffer(body))).coAwait()
+        val responseBody = response.body().coAwait().bytes
+        checkout.recordCompleteResponse()
+        return CallResult.Answered(response.statusCode(), responseBody)
+    }
+
+    private fun timedOut(checkout: ConnectionCheckout) =
+        CallResult.Failed(if (checkout.isAcquired) CallFailure.NO_ANSWER_IN_TIME else CallFailure.NO_CONNECTION_IN_TIME)
+
     private fun failureOf(e: Exception, gotConnection: Boolean) = when {
         gotConnection -> CallFailure.CONNECTION_LOST
         e is TimeoutException -> CallFailure.NO_CONNECTION_IN_TIME
         else -> CallFailure.CONNECT_FAILED
     }
+
+    private fun clientOptions(keepAlive: Boolean) = HttpClientOptions()
+        .setKeepAlive(keepAlive)
+        .setKeepAliveTimeout(KEEP_ALIVE_S)
+        .setConnectTimeout(connectTimeoutMs)
+        .setDecompressionSupported(false)
+        .setTcpNoDelay(true)
+
+    private fun requestOptions(server: Address, method: HttpMethod, path: String) = RequestOptions()
+        .setHost(server.host)
+        .setPort(server.port)
+        .setMethod(method)
+        .setURI(path)
+        .setConnectTimeout(connectTimeoutMs.toLong())
+
+    /** The registry's clock, which is the system's unless a test sets another. */
+    private fun steadyMs() = TimeUnit.NANOSECONDS.toMillis(meters.config().clock().monotonicTime())
+
+    private companion object {
+        const val DEFAULT_CONNECT_TIMEOUT_MS = 1000
+        const val KEEP_ALIVE_S = 60
+    }
 }
--- a/src/main/kotlin/cleathitch/peers/PeerClient.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerClient.kt
@@ -6,15 +6,14 @@
 import cleathitch.http.PooledHttpClient
 import cleathitch.protocol.MessageCodec
 import io.micrometer.core.instrument.MeterRegistry
-import io.micrometer.core.instrument.simple.SimpleMeterRegistry
 import io.vertx.core.Vertx
 import io.vertx.core.http.HttpMethod
 import kotlinx.serialization.SerializationException
 import org.slf4j.LoggerFactory
 
 /** Asks other nodes. */
-class PeerClient(vertx: Vertx, meters: MeterRegistry = SimpleMeterRegistry()) {
-    private val client = PooledHttpClient(vertx, "peers", connections = CONNECTIONS, connectMs = 500, meters = meters)
+class PeerClient(vertx: Vertx, meters: MeterRegistry) {
+    private val client = PooledHttpClient(vertx, "peers", maxConnections = CONNECTIONS, meters, connectTimeoutMs = CONNECT_TIMEOUT_MS)
 
     suspend fun ask(peer: Address, request: PeerRequest, timeoutMs: Long): PeerResult = ask(peer, PeerCodec.encode(request), timeoutMs)
 
@@ -43,6 +42,7 @@
 
         /** To each peer: one request in flight on each, and an answer takes a few milliseconds. */
         const val CONNECTIONS = 16
+        private const val CONNECT_TIMEOUT_MS = 500
         private val log = LoggerFactory.getLogger("cleathitch.peers")
     }
 }
--- a/src/main/kotlin/cleathitch/protocol/UserProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/UserProtocol.kt
@@ -89,7 +89,7 @@
     }
 
     /** Another node may serve: on a new connection the load balancer chooses again, open ones it never moves. */
-    fun elsewhere(reason: String) = HttpReply(503, error(reason), UserReply.Unavailable(reason).retryAfterS, last = true)
+    fun elsewhere(reason: String) = HttpReply(503, error(reason), UserReply.Unavailable(reason).retryAfterS, closesConnection = true)
 
     fun error(text: String): ByteArray = MessageCodec.encode(MessageCodec.newMap().put("error", text))
 
--- a/src/main/kotlin/cleathitch/storage/KeyValueStoreClient.kt
+++ b/src/main/kotlin/cleathitch/storage/KeyValueStoreClient.kt
@@ -23,10 +23,10 @@
     name: String = "state",
     meters: MeterRegistry = SimpleMeterRegistry(),
 ) {
-    private val client = PooledHttpClient(vertx, name, connections = 4, meters = meters)
+    private val client = PooledHttpClient(vertx, name, maxConnections = 4, meters = meters)
 
     /** Watches hang for long and must not take connections from the rest. */
-    private val watcher = PooledHttpClient(vertx, "$name-watch", connections = 2, meters = meters)
+    private val watcher = PooledHttpClient(vertx, "$name-watch", maxConnections = 2, meters = meters)
 
     suspend fun list(prefix: String, after: String?): StoreRead<KeyValueStoreProtocol.Page> {
         val since = if (after == null) "" else "&since=${query(after)}"
--- a/src/main/kotlin/cleathitch/workers/WorkerClient.kt
+++ b/src/main/kotlin/cleathitch/workers/WorkerClient.kt
@@ -10,7 +10,6 @@
 import cleathitch.scheduler.model.Heartbeat
 import cleathitch.scheduler.model.MachineId
 import io.micrometer.core.instrument.MeterRegistry
-import io.micrometer.core.instrument.simple.SimpleMeterRegistry
 import io.vertx.core.Vertx
 import io.vertx.core.http.HttpMethod
 import kotlinx.coroutines.sync.Semaphore
@@ -23,14 +22,8 @@
  * beside the one each machine reports on, a node once ran out of sockets after a take-over, and so
  * of ways to renew its lease. An order that waits too long is in the machine's next answer anyway.
  */
-class WorkerClient(
-    vertx: Vertx,
-    private val timeoutMs: Long,
-    private val probeMs: Long,
-    atOnce: Int,
-    meters: MeterRegistry = SimpleMeterRegistry(),
-) {
-    private val client = PooledHttpClient(vertx, "workers", connections = 2, keepAlive = false, meters = meters, logsOutages = false)
+class WorkerClient(vertx: Vertx, private val timeoutMs: Long, private val probeMs: Long, atOnce: Int, meters: MeterRegistry) {
+    private val client = PooledHttpClient(vertx, "workers", maxConnections = 2, meters, keepAlive = false, logsOutages = false)
     private val turns = Semaphore(atOnce)
 
     /** The machine's report in answer to the command; null if none came. */
--- a/src/test/kotlin/cleathitch/http/HttpEndpointTest.kt
+++ b/src/test/kotlin/cleathitch/http/HttpEndpointTest.kt
@@ -16,11 +16,11 @@
 /** A real server on loopback, at the limit of its connections. */
 class HttpEndpointTest {
     private val vertx = Vertx.vertx()
-    private val most = 40
-    private val room = ConnectionLimit(most)
+    private val max = 40
+    private val limit = ConnectionLimit(max)
     private val port = runBlocking {
-        HttpEndpoint(vertx, CoroutineScope(vertx.dispatcher()), maxBody = 1024, idleS = 60, room) { _, path, _ ->
-            HttpReply(if (path == "/") 200 else 503, last = path == "/elsewhere")
+        HttpEndpoint(vertx, CoroutineScope(vertx.dispatcher()), maxBodyBytes = 1024, idleS = 60, limit) { _, path, _ ->
+            HttpReply(if (path == "/") 200 else 503, closesConnection = path == "/elsewhere")
         }.listen(Address("127.0.0.1", 0))
     }
     private val sockets = ArrayList<Socket>()
@@ -63,15 +63,15 @@
     /** Kept connections of a whole fleet once took every socket, and with them the way to the state service. */
     @Test
     fun `past its share each answer ends its connection, and past the most nobody gets in`() {
-        val kept = List(most - most / 20) { open() }
+        val kept = List(max - max / 20) { open() }
         kept.forEach { assertTrue("connection: close" !in it.ask()!!) }
-        val late = List(most - kept.size) { open() }
+        val late = List(max - kept.size) { open() }
         // The late ones are in, but nobody after them.
         late.last().ask().let { assertTrue("connection: close" in it!!) }
         assertTrue(late.last().ended())
         val next = List(20) { open() }.count { it.ask() != null }
-        assertTrue(next <= most - kept.size) { "$next more were served" }
-        assertTrue(room.open <= most + 20)
+        assertTrue(next <= max - kept.size) { "$next more were served" }
+        assertTrue(limit.open <= max + 20)
     }
 
     /** Open connections are never moved: without an end to it, a user stays with a node that can't serve. */
@@ -84,7 +84,7 @@
         assertTrue(socket.ended())
     }
 
-    /** Connections that are reset before, in and after a request are all counted out, so that the room isn't used up. */
+    /** Connections that are reset before, in and after a request are all counted out, so that the limit isn't used up. */
     @Test
     fun `however connections end, none stays counted`() {
         val random = Random(SEED)
@@ -99,8 +99,8 @@
             socket.close()
         }
         val endMs = System.currentTimeMillis() + PATIENCE_MS
-        while (room.open > 0 && System.currentTimeMillis() < endMs) Thread.sleep(10)
-        assertEquals(0, room.open)
+        while (limit.open > 0 && System.currentTimeMillis() < endMs) Thread.sleep(10)
+        assertEquals(0, limit.open)
         assertTrue(open().ask() != null)
     }
 
--- a/src/test/kotlin/cleathitch/http/PooledHttpClientTest.kt
+++ b/src/test/kotlin/cleathitch/http/PooledHttpClientTest.kt
@@ -18,13 +18,13 @@
 import java.net.Socket
 import kotlin.concurrent.thread
 
-/** A client whose calls give up at every stage: what the pool lent must come back. */
+/** A client whose calls give up at every stage: every connection must return to the pool. */
 class PooledHttpClientTest {
     private val server = StubServer()
     private val vertx = Vertx.vertx()
     private val scope = CoroutineScope(vertx.dispatcher() + SupervisorJob())
     private val meters = SimpleMeterRegistry()
-    private val client = PooledHttpClient(vertx, "test", connections = CONNECTIONS, connectMs = 5000, meters = meters)
+    private val client = PooledHttpClient(vertx, "test", maxConnections = CONNECTIONS, meters, connectTimeoutMs = 5000)
 
     @AfterEach
     fun close() {
@@ -44,12 +44,12 @@
             delay(10)
         }
         throw AssertionError(
-            "$what: not within $PATIENCE_MS ms; lent ${gauge("http.client.lent")}, waiting ${gauge("http.client.waiting")}",
+            "$what: not within $PATIENCE_MS ms; in use ${gauge("http.client.in_use")}, waiting ${gauge("http.client.waiting")}",
         )
     }
 
     private suspend fun assertAllConnectionsFree() {
-        until("all connections free") { gauge("http.client.lent") == 0 && gauge("http.client.waiting") == 0 }
+        until("all connections free") { gauge("http.client.in_use") == 0 && gauge("http.client.waiting") == 0 }
         val calls = List(CONNECTIONS) { call(StubServer.AT_ONCE, timeoutMs = PATIENCE_MS.toLong()) }
         calls.forEach { assertTrue(it.await() is CallResult.Answered) }
     }
@@ -92,7 +92,7 @@
             until("no connection is being opened") { gauge("http.client.waiting") == 0 }
             val after = List(CONNECTIONS) { call("/", timeoutMs = PATIENCE_MS.toLong(), to) }
             after.forEach { assertTrue(it.await() is CallResult.Answered) }
-            until("all connections free") { gauge("http.client.lent") == 0 }
+            until("all connections free") { gauge("http.client.in_use") == 0 }
             queued.forEach { it.close() }
         }
     }
--- a/src/test/kotlin/cleathitch/loopback/ConnectionLeakTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/ConnectionLeakTest.kt
@@ -28,7 +28,7 @@
 
 /**
  * Every client of a node through thousands of calls that time out or are cancelled while they wait for a connection, for
- * the answer or for its end. Afterwards no connection is lent, and calls are answered again.
+ * the answer or for its end. Afterwards no connection is in use, and calls are answered again.
  */
 class ConnectionLeakTest {
     private val random = Random(SEED)
@@ -76,14 +76,14 @@
         }
         troubled = false
         server.release()
-        until("$client: all connections free") { gauge(client, "lent") == 0 && gauge(client, "waiting") == 0 }
+        until("$client: all connections free") { gauge(client, "in_use") == 0 && gauge(client, "waiting") == 0 }
         val answeredBefore = answered(client)
         // On a busy machine an answer may take longer than such a call waits, so there may be more than one try.
         until("$client: calls are answered") {
             scope.launch { call() }
             answered(client) > answeredBefore
         }
-        until("$client: all connections free again") { gauge(client, "lent") == 0 && gauge(client, "waiting") == 0 }
+        until("$client: all connections free again") { gauge(client, "in_use") == 0 && gauge(client, "waiting") == 0 }
     }
 
     private fun cancelSoon(call: Job) {
--- a/src/test/kotlin/cleathitch/loopback/SoakTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/SoakTest.kt
@@ -119,7 +119,7 @@
         for (node in 0 until NODES) {
             cluster.until("free connections at n$node") {
                 val metrics = askText(cluster.internalPort(node), "/metrics")
-                metrics?.takeIf { CLIENTS.all { client -> gauge(it, "lent", client) == 0 && gauge(it, "waiting", client) == 0 } }
+                metrics?.takeIf { CLIENTS.all { client -> gauge(it, "in_use", client) == 0 && gauge(it, "waiting", client) == 0 } }
             }
         }
     }
