--- a/src/main/kotlin/cleathitch/storage/KeyValueStoreClient.kt
+++ b/src/main/kotlin/cleathitch/storage/KeyValueStoreClient.kt
@@ -25,10 +25,10 @@
     name: String = "state",
     meters: MeterRegistry = SimpleMeterRegistry(),
 ) {
-    private val client = PooledHttpClient(vertx, name, connections = REQUEST_CONNECTIONS, meters = meters)
+    private val client = PooledHttpClient(vertx, name, maxConnections = REQUEST_CONNECTIONS, meters = meters)
 
     /** Watches stay open for long and must not take connections from other requests. */
-    private val watchClient = PooledHttpClient(vertx, "$name-watch", connections = WATCH_CONNECTIONS, meters = meters)
+    private val watchClient = PooledHttpClient(vertx, "$name-watch", maxConnections = WATCH_CONNECTIONS, meters = meters)
 
     /** One page of the entries whose keys begin with [prefix], in the order of their keys, from the first one behind [after]. */
     suspend fun list(prefix: String, after: String?): StoreRead<KeyValueStoreProtocol.Page> {
