--- a/src/main/kotlin/cleathitch/cli/Application.kt
+++ b/src/main/kotlin/cleathitch/cli/Application.kt
@@ -66,7 +66,7 @@
             meters,
             processingTimes,
             // Each waiting request holds a connection, here or at a follower.
-            maxRequests = settings.maxSockets,
+            maxQueuedRequests = settings.maxSockets,
         )
         val stateMs = timings.leaderLeaseMs / 3
         val leadership = LeaderElection(
--- a/src/main/kotlin/cleathitch/controller/Controller.kt
+++ b/src/main/kotlin/cleathitch/controller/Controller.kt
@@ -7,6 +7,7 @@
 import cleathitch.http.HttpReply
 import cleathitch.leader.LeaderDependencies
 import cleathitch.leader.LeaderTerm
+import cleathitch.leader.RequestOutcome
 import cleathitch.metrics.ProcessingStage
 import cleathitch.peers.BatchResult
 import cleathitch.peers.DeliveryMessage
@@ -175,7 +176,7 @@
             "term {}: stepping down: {}; {} ms after its election, {}",
             term.revision,
             reason,
-            clocks.steadyMs() - mine.sinceMs,
+            clocks.steadyMs() - mine.electedAtMs,
             mine.activity,
         )
         leading = null
@@ -206,7 +207,7 @@
     private suspend fun tellPeers() {
         while (true) {
             val mine = leading
-            if (mine != null && mine.ready) {
+            if (mine != null && mine.isReady) {
                 for (peer in settings.peers.filter { needsWord(it.member) }) {
                     scope.launch {
                         val word = PeerRequest.AnnounceLeader(settings.member, settings.member, mine.term.revision)
@@ -257,7 +258,7 @@
     private fun isReady(): Boolean {
         val now = clocks.steadyMs()
         leading?.let { mine ->
-            if (!mine.ready) return now - mine.sinceMs < leaseMs
+            if (!mine.isReady) return now - mine.electedAtMs < leaseMs
             val peersHeard = peerHeardMs.values.count { now - it < leaseMs }
             return now < mine.lease.validUntilMs + leaseMs || peersHeard * 2 >= settings.peers.size
         }
@@ -299,20 +300,20 @@
         if (path == "/submissions") {
             if (method != "POST") return null
             val spec = UserProtocol.submission(body)
-            return { it.submit(spec) }
+            return { it.requests.submit(spec) }
         }
         val parts = path.removePrefix("/submissions/").split('/')
         val job = UserProtocol.jobId(parts[0]) ?: return { UserReply.NotFound }
         return when {
-            parts.size == 1 && method == "GET" -> { term -> term.poll(job) }
-            parts.size == 2 && parts[1] == "abort" && method == "POST" -> { term -> term.abort(job) }
+            parts.size == 1 && method == "GET" -> { term -> term.requests.poll(job) }
+            parts.size == 2 && parts[1] == "abort" && method == "POST" -> { term -> term.requests.cancel(job) }
             else -> null
         }
     }
 
     private suspend fun workerReport(body: ByteArray): HttpReply {
         // Right after an election the whole fleet comes at once; what needs no look at the report gets none.
-        if (leading?.ready == false || leading == null && leader == null) return HttpReply(503)
+        if (leading?.isReady == false || leading == null && leader == null) return HttpReply(503)
         if (leading == null && batches.leaderUnreachable) return HttpReply(421, WorkerProtocol.elsewhere(leader))
         val report = try {
             services.processingTimes.measure(ProcessingStage.HEARTBEAT_DECODING) { WorkerProtocol.report(body) }
@@ -331,11 +332,10 @@
         distribution.followerFor(report.machine, reachableFollowers(), clocks.steadyMs())?.let {
             return HttpReply(421, WorkerProtocol.elsewhere(it))
         }
-        val answer = mine.report(report)
-        return when {
-            answer != null -> HttpReply(200, WorkerProtocol.answer(answer.token, answer.commands))
-            leading === mine -> HttpReply(503)
-            else -> HttpReply(421, WorkerProtocol.elsewhere(leader.takeIf { it != settings.member }))
+        return when (val outcome = mine.requests.heartbeat(report)) {
+            is RequestOutcome.Answered -> HttpReply(200, WorkerProtocol.answer(outcome.answer.token, outcome.answer.commands))
+            is RequestOutcome.Unanswered ->
+                if (leading === mine) HttpReply(503) else HttpReply(421, WorkerProtocol.elsewhere(leader.takeIf { it != settings.member }))
         }
     }
 
@@ -367,21 +367,23 @@
 
     private suspend fun decide(request: PeerRequest.FollowerBatch): PeerReply {
         leading?.let { if (it.term.revision < request.term) depose(it.term, "${request.from} knows term ${request.term}") }
-        val mine = leading?.takeIf { it.term.revision == request.term && it.ready }
+        val mine = leading?.takeIf { it.term.revision == request.term && it.isReady }
             ?: return PeerReply(503, leader = leader, term = leaderTerm)
         peerHeardMs[request.from] = clocks.steadyMs()
-        mine.directResults(request.directResults)
+        mine.recordDeliveryResults(request.directResults)
         val reports = services.processingTimes.measure(ProcessingStage.BATCH_DECODING) { request.toReports() }
         if (reportsTo.size > MAX_MACHINES_KNOWN) reportsTo.clear()
         reports.forEach { reportsTo[it.machine] = request.from }
-        val answer = mine.followerBatch(reports, request.polls)
-        return PeerReply(
-            status = if (answer == null) 503 else 200,
-            leader = leader,
-            term = leaderTerm,
-            decisions = answer?.decisions?.map(HeartbeatDecisionMessage::of),
-            statuses = answer?.statuses?.map(JobStatusMessage::of),
-        )
+        return when (val outcome = mine.requests.followerBatch(reports, request.polls)) {
+            is RequestOutcome.Answered -> PeerReply(
+                status = 200,
+                leader = leader,
+                term = leaderTerm,
+                decisions = outcome.answer.decisions.map(HeartbeatDecisionMessage::of),
+                statuses = outcome.answer.statuses.map(JobStatusMessage::of),
+            )
+            is RequestOutcome.Unanswered -> PeerReply(503, leader = leader, term = leaderTerm)
+        }
     }
 
     /** Carries commands of the leader to workers; what they answer goes back with the next batches. */
--- /dev/null
+++ b/src/main/kotlin/cleathitch/leader/EffectExecutor.kt
@@ -0,0 +1,92 @@
+package cleathitch.leader
+
+import cleathitch.cloud.CloudClient
+import cleathitch.election.LeaderLease
+import cleathitch.peers.WorkerCommandDelivery
+import cleathitch.scheduler.api.Effect
+import cleathitch.scheduler.api.Input
+import cleathitch.scheduler.api.LogLevel
+import cleathitch.scheduler.api.UserReply
+import cleathitch.scheduler.model.ImageCache
+import cleathitch.scheduler.model.MachineId
+import cleathitch.storage.CommitResult
+import cleathitch.storage.LogStorage
+import kotlinx.coroutines.CoroutineScope
+import kotlinx.coroutines.launch
+import org.slf4j.LoggerFactory
+
+/**
+ * Executes the scheduler's effects. What they lead to comes back as inputs through [enqueue]. Runs on the event loop;
+ * the coroutines that it launches belong to [scope] and end with the term.
+ */
+internal class EffectExecutor(
+    private val scope: CoroutineScope,
+    private val lease: LeaderLease,
+    private val storage: LogStorage,
+    private val cloud: CloudClient,
+    private val delivery: WorkerCommandDelivery,
+    private val requests: TermRequests,
+    private val steadyMs: () -> Long,
+    private val enqueue: (Input) -> Unit,
+    private val shareImageCacheHints: (Map<MachineId, ImageCache>) -> Unit,
+    private val stepDown: (Effect.StepDown) -> Unit,
+) {
+    /** Executes the effects of one batch in their order, then sends its worker commands together. */
+    fun execute(effects: List<Effect>) {
+        effects.forEach(::execute)
+        delivery.deliver(scope, effects.filterIsInstance<Effect.ToWorker>())
+    }
+
+    private fun execute(effect: Effect) {
+        when (effect) {
+            is Effect.Answer -> requests.userRequests.answer(effect.request, if (isLeaseValid()) effect.reply else NO_LEASE)
+            is Effect.AnswerHeartbeat -> requests.heartbeats.answer(effect.request, effect)
+            is Effect.RefuseHeartbeat -> requests.heartbeats.leaveUnanswered(effect.request, UnansweredReason.REFUSED)
+            is Effect.AnswerFollower -> requests.followerBatches.answer(effect.request, withValidStatuses(effect))
+            is Effect.Write -> commit(effect)
+            // Sent together with the others of its batch.
+            is Effect.ToWorker -> Unit
+            is Effect.Rent -> rent(effect)
+            is Effect.TerminateMachines -> terminate(effect)
+            is Effect.ShareImageCacheHints -> shareImageCacheHints(effect.images)
+            is Effect.StepDown -> stepDown(effect)
+            is Effect.Log -> write(effect)
+        }
+    }
+
+    /**
+     * Whether a reply to a user may leave. The process may have stood still since the scheduler decided on it, for longer
+     * than the lease; another controller may lead by now, and the reply may contradict what that one says.
+     */
+    private fun isLeaseValid() = steadyMs() < lease.validUntilMs
+
+    private fun withValidStatuses(answer: Effect.AnswerFollower): Effect.AnswerFollower =
+        if (isLeaseValid()) answer else answer.copy(statuses = answer.statuses.map { NO_LEASE })
+
+    private fun commit(effect: Effect.Write) = scope.launch {
+        when (val result = storage.commit(effect.commit)) {
+            is CommitResult.Done -> enqueue(Input.CommitSucceeded(effect.commit.seq, result.revision))
+            is CommitResult.Refused -> stepDown(Effect.StepDown("a transaction was refused: ${result.failedKeys} changed"))
+        }
+    }
+
+    private fun rent(effect: Effect.Rent) = scope.launch {
+        val answer = cloud.rent(effect.asked)
+        enqueue(Input.RentalCompleted(effect.asked.request, answer))
+    }
+
+    private fun terminate(effect: Effect.TerminateMachines) = scope.launch {
+        if (cloud.giveBack(effect.machines)) enqueue(Input.MachinesTerminated(effect.machines))
+    }
+
+    private fun write(effect: Effect.Log) = when (effect.level) {
+        LogLevel.ERROR -> log.error("term {}: {}", lease.term.revision, effect.text)
+        LogLevel.INFO -> log.info("term {}: {}", lease.term.revision, effect.text)
+        LogLevel.DEBUG -> log.debug("term {}: {}", lease.term.revision, effect.text)
+    }
+
+    private companion object {
+        val log = LoggerFactory.getLogger("cleathitch.leader")
+        val NO_LEASE = UserReply.Unavailable("no lease")
+    }
+}
--- a/src/main/kotlin/cleathitch/leader/InputQueue.kt
+++ b/src/main/kotlin/cleathitch/leader/InputQueue.kt
@@ -4,16 +4,16 @@
 import cleathitch.scheduler.model.JobId
 
 /**
- * The commands that wait for the engine, handed out in bounded batches, the urgent ones first.
+ * The inputs that wait for the scheduler, handed out in bounded batches by priority class. Confined to the event loop.
  *
- * Requests beyond [maxRequests] are refused, so a flood costs memory and time within limits. Each batch takes
- * everything that is known of lease and commits and a bounded part of every other kind, so no kind waits for the end of
- * another. Requests about the same job and reports of the same machine stay in their order.
+ * Requests beyond [maxQueuedRequests] are refused, so a flood costs memory and time within limits. Each batch takes
+ * everything that is known of lease and commits and a bounded part of every other class, so no class waits for the end of
+ * another. Requests about the same job and heartbeats of the same machine stay in their order.
  */
-class InputQueue(private val maxRequests: Int) {
-    /** The kinds of commands in the order in which a batch holds them. */
-    private enum class Urgency(val maxPerBatch: Int, val isRequest: Boolean) {
-        /** What was asked of others and is answered by now: lease, commits, machine types. */
+class InputQueue(private val maxQueuedRequests: Int) {
+    /** The classes of inputs in the order in which a batch holds them. */
+    private enum class PriorityClass(val maxPerBatch: Int, val isRequest: Boolean) {
+        /** The outcomes of calls to other services: lease, commits, machine types. */
         OUTCOME(Int.MAX_VALUE, isRequest = false),
         HEARTBEAT_OR_CANCELLATION(256, isRequest = true),
         POLL(128, isRequest = true),
@@ -21,56 +21,57 @@
         OTHER(16, isRequest = false),
     }
 
-    private val waiting = Urgency.entries.associateWith { ArrayDeque<Input>() }
+    private val queued = PriorityClass.entries.associateWith { ArrayDeque<Input>() }
 
-    /** How many submissions of each job wait: what is asked about the job later must not overtake them. */
-    private val waitingSubmissions = HashMap<JobId, Int>()
+    /** How many submissions of each job are queued: later requests about the job must not overtake them. */
+    private val queuedSubmissions = HashMap<JobId, Int>()
 
-    /** How many requests wait, of all kinds. */
-    var requests = 0
+    /** How many requests are queued, of all classes. */
+    var queuedRequests = 0
         private set
 
-    val isEmpty get() = waiting.values.all { it.isEmpty() }
+    val isEmpty get() = queued.values.all { it.isEmpty() }
 
-    /** Adds the command; false if it is a request and too many wait already. */
-    fun offer(command: Input): Boolean {
-        val urgency = urgencyOf(command)
-        if (urgency.isRequest) {
-            if (requests >= maxRequests) return false
-            requests++
+    /** Adds the input; false if it is a request and too many are queued already. */
+    fun offer(input: Input): Boolean {
+        val priority = priorityOf(input)
+        if (priority.isRequest) {
+            if (queuedRequests >= maxQueuedRequests) return false
+            queuedRequests++
         }
-        if (command is Input.Submit) waitingSubmissions.merge(command.spec.id, 1, Int::plus)
-        waiting.getValue(urgency).addLast(command)
+        if (input is Input.Submit) queuedSubmissions.merge(input.spec.id, 1, Int::plus)
+        queued.getValue(priority).addLast(input)
         return true
     }
 
-    /** The next commands for the engine; requests that nobody awaits any more are dropped. */
+    /** The next inputs for the scheduler; requests that nobody awaits any more are dropped. */
     fun nextBatch(isAwaited: (Input) -> Boolean): List<Input> {
         val batch = ArrayList<Input>()
-        for ((urgency, commands) in waiting) {
-            repeat(minOf(urgency.maxPerBatch, commands.size)) {
-                val command = commands.removeFirst()
-                recordRemoval(command, urgency)
-                if (isAwaited(command)) batch += command
+        for ((priority, inputs) in queued) {
+            repeat(minOf(priority.maxPerBatch, inputs.size)) {
+                val input = inputs.removeFirst()
+                recordRemoval(input, priority)
+                if (isAwaited(input)) batch += input
             }
         }
         return batch
     }
 
-    private fun recordRemoval(command: Input, urgency: Urgency) {
-        if (urgency.isRequest) requests--
-        if (command is Input.Submit) {
-            waitingSubmissions.computeIfPresent(command.spec.id) { _, count -> (count - 1).takeIf { it > 0 } }
+    private fun recordRemoval(input: Input, priority: PriorityClass) {
+        if (priority.isRequest) queuedRequests--
+        if (input is Input.Submit) {
+            queuedSubmissions.computeIfPresent(input.spec.id) { _, count -> (count - 1).takeIf { it > 0 } }
         }
     }
 
-    private fun urgencyOf(command: Input): Urgency = when (command) {
-        is Input.LeaseRenewed, is Input.CommitSucceeded, is Input.MachineTypesListed, is Input.ImageCacheHintsReceived -> Urgency.OUTCOME
+    private fun priorityOf(input: Input): PriorityClass = when (input) {
+        is Input.LeaseRenewed, is Input.CommitSucceeded, is Input.MachineTypesListed, is Input.ImageCacheHintsReceived ->
+            PriorityClass.OUTCOME
         is Input.HeartbeatReceived, is Input.FollowerBatchReceived, is Input.ProbeAnswered, is Input.DirectCallUnanswered ->
-            Urgency.HEARTBEAT_OR_CANCELLATION
-        is Input.Cancel -> if (command.job in waitingSubmissions) Urgency.SUBMISSION else Urgency.HEARTBEAT_OR_CANCELLATION
-        is Input.Poll -> if (command.job in waitingSubmissions) Urgency.SUBMISSION else Urgency.POLL
-        is Input.Submit -> Urgency.SUBMISSION
-        is Input.MachinesListed, is Input.RentalCompleted, is Input.MachinesTerminated, Input.Tick -> Urgency.OTHER
+            PriorityClass.HEARTBEAT_OR_CANCELLATION
+        is Input.Cancel -> if (input.job in queuedSubmissions) PriorityClass.SUBMISSION else PriorityClass.HEARTBEAT_OR_CANCELLATION
+        is Input.Poll -> if (input.job in queuedSubmissions) PriorityClass.SUBMISSION else PriorityClass.POLL
+        is Input.Submit -> PriorityClass.SUBMISSION
+        is Input.MachinesListed, is Input.RentalCompleted, is Input.MachinesTerminated, Input.Tick -> PriorityClass.OTHER
     }
 }
--- a/src/main/kotlin/cleathitch/leader/LeaderDependencies.kt
+++ b/src/main/kotlin/cleathitch/leader/LeaderDependencies.kt
@@ -7,7 +7,7 @@
 import cleathitch.workers.WorkerClient
 import io.micrometer.core.instrument.MeterRegistry
 
-/** What a term as leader works with. */
+/** What each leadership term of this process works with; made once, at the start of the process. */
 class LeaderDependencies(
     val deployment: Deployment,
     val timings: SchedulerTimings,
@@ -17,6 +17,6 @@
     val meters: MeterRegistry,
     val processingTimes: ProcessingTimes,
 
-    /** So many requests may wait for the engine; the rest is refused at once. */
-    val maxRequests: Int,
+    /** How many requests may wait for the scheduler; those beyond are refused at once. */
+    val maxQueuedRequests: Int,
 )
--- a/src/test/kotlin/cleathitch/leader/InputQueueTest.kt
+++ b/src/test/kotlin/cleathitch/leader/InputQueueTest.kt
@@ -11,13 +11,13 @@
 
 /** A flood of requests, and what must not wait behind it. */
 class InputQueueTest {
-    private val queue = InputQueue(maxRequests = 1000)
+    private val queue = InputQueue(maxQueuedRequests = 1000)
     private var requests = 0L
 
     private fun request() = RequestId(++requests)
     private fun submit(job: Int) = Input.Submit(request(), SimulatedCluster.job(job))
     private fun poll(job: Int) = Input.Poll(request(), SimulatedCluster.job(job).id)
-    private fun abort(job: Int) = Input.Cancel(request(), SimulatedCluster.job(job).id)
+    private fun cancel(job: Int) = Input.Cancel(request(), SimulatedCluster.job(job).id)
     private fun next(isAwaited: (Input) -> Boolean = { true }) = queue.nextBatch(isAwaited)
 
     @Test
@@ -32,9 +32,9 @@
     @Test
     fun `a cancellation is in the next batch, before the submissions of a flood`() {
         repeat(900) { queue.offer(submit(it)) }
-        val abort = abort(job = 5000)
-        queue.offer(abort)
-        assertEquals(abort, next().first())
+        val cancellation = cancel(job = 5000)
+        queue.offer(cancellation)
+        assertEquals(cancellation, next().first())
     }
 
     @Test
@@ -58,9 +58,9 @@
 
     @Test
     fun `requests about one job keep their order`() {
-        val commands = listOf(submit(job = 1), abort(job = 1), poll(job = 1))
-        commands.forEach { queue.offer(it) }
-        assertEquals(commands, next())
+        val inputs = listOf(submit(job = 1), cancel(job = 1), poll(job = 1))
+        inputs.forEach { queue.offer(it) }
+        assertEquals(inputs, next())
         // Once the submission is out, a poll needn't wait behind those of others.
         val others = listOf(submit(job = 2), poll(job = 1))
         others.forEach { queue.offer(it) }
@@ -76,6 +76,6 @@
             batches++
         }
         assertTrue(batches < 20)
-        assertEquals(0, queue.requests)
+        assertEquals(0, queue.queuedRequests)
     }
 }
