--- a/src/main/kotlin/cleathitch/controller/Controller.kt
+++ b/src/main/kotlin/cleathitch/controller/Controller.kt
@@ -1,7 +1,6 @@
 package cleathitch.controller
 
 import cleathitch.config.Settings
-import cleathitch.election.ElectionListener
 import cleathitch.election.LeaderElection
 import cleathitch.election.LeaderLease
 import cleathitch.http.HttpReply
@@ -40,13 +39,10 @@
 import cleathitch.storage.LogStorage
 import cleathitch.workers.ForwardOutcome
 import cleathitch.workers.WorkerDistribution
-import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.CoroutineScope
-import kotlinx.coroutines.Job
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.joinAll
 import kotlinx.coroutines.launch
-import kotlinx.coroutines.withTimeoutOrNull
 import org.slf4j.LoggerFactory
 
 /**
@@ -61,47 +57,37 @@
     private val leaseScope: CoroutineScope,
     private val peers: PeerClient,
     private val scope: CoroutineScope,
-) : ElectionListener {
+) {
     private val clocks = services.clocks
     private val reportMs = (settings.deployment.reportS * 1000).toLong()
     private val leaseMs = services.timings.leaderLeaseMs
 
-    /** When each peer last answered us as leader. */
-    private val peerHeardMs = HashMap<String, Long>()
     private val peerAddresses = settings.peers.associate { it.member to it.address }
 
-    private var leading: LeaderTerm? = null
-    private var leadingJob: Job? = null
-    private var leader: String? = null
-    private var leaderTerm = 0L
-    private var leaderHeardMs: Long? = null
-    private val leaderFound = CompletableDeferred<Unit>()
     private var types: List<MachineType> = emptyList()
     private val imageCacheHints = HashMap<MachineId, ImageCache>()
-
-    /** The follower through which each machine last reported to us as leader. */
-    private val reportsTo = HashMap<MachineId, String>()
     private val distribution = WorkerDistribution(reportMs)
-    private val elections = services.meters.counter("leader.elections")
-    private val replays = services.meters.counter("leader.replays")
+    private val contacts = FollowerContacts(clocks::steadyMs, reachableMs = leaseMs)
+    private val role = ControllerRole(settings.member, clocks::steadyMs, scope, services.meters, ::newTerm)
+    private val readiness = Readiness(role, contacts, settings.peers.size, leaseMs, clocks::steadyMs)
+    private val announcer = LeaderAnnouncer(settings.member, settings.peers, peers, role, contacts, leaseMs, scope)
     private val batches = LeaderBatcher(
         intervalMs = services.timings.forwardMs,
         unreachableMs = leaseMs,
         nowMs = clocks::steadyMs,
-        leader = ::otherLeader,
+        leader = role::knownLeader,
         send = ::sendBatch,
     )
 
     /** Takes part in the election, and returns once there is a leader, or there seems to be none soon. */
     suspend fun start() {
-        services.meters.gauge("leader.term", this) { (it.leading?.term?.revision ?: 0).toDouble() }
         scope.launch { learnTypes() }
-        scope.launch { tellPeers() }
+        scope.launch { announcer.run() }
         scope.launch { batches.run() }
         if (log.isInfoEnabled) scope.launch { logProcessingTimes() }
-        leaseScope.launch { leadership.run(this@Controller) }
+        leaseScope.launch { leadership.run(role) }
         // Until there is someone to send them to, users and workers only keep us from finding that out.
-        withTimeoutOrNull(leaseMs * FIRST_LEASES) { leaderFound.await() }
+        role.awaitLeader(timeoutMs = leaseMs * FIRST_LEASES)
     }
 
     private suspend fun learnTypes() {
@@ -114,47 +100,28 @@
     private suspend fun logProcessingTimes() {
         while (true) {
             delay(reportMs * WORK_LOG_REPORTS)
-            val role = if (leading != null) "leader" else "follower"
-            log.info("work as {} in {} ms: {}", role, reportMs * WORK_LOG_REPORTS, services.processingTimes.summary())
+            val roleName = if (role.activeTerm != null) "leader" else "follower"
+            log.info("work as {} in {} ms: {}", roleName, reportMs * WORK_LOG_REPORTS, services.processingTimes.summary())
         }
     }
 
-    // ---- leadership
-
-    // The lease has a loop of its own; what follows from it happens on ours.
-    override fun elected(lease: LeaderLease) = post { lead(lease) }
-    override fun deposed(lease: LeaderLease, reason: String) = post { depose(lease.term, reason) }
-    override fun leaderIs(member: String?, term: Long) = post { follow(member, term) }
-
-    private fun post(action: () -> Unit) {
-        scope.launch { action() }
-    }
-
-    private fun lead(lease: LeaderLease) {
+    private fun newTerm(lease: LeaderLease, stepDown: (Effect.StepDown) -> Unit): LeaderTerm {
         val term = lease.term
-        log.info("term {}: elected", term.revision)
-        elections.increment()
-        val store = LogStorage(state, PREFIX, LEADER_KEY, term, services.processingTimes)
-        val mine =
-            LeaderTerm(lease, services, store, types, HashMap(imageCacheHints), {
-                WorkerCommandDelivery(Routes(term), openMs = reportMs, clocks::steadyMs, it)
-            }, ::shareImageCacheHints) {
-                depose(term, it.reason, it.transferLeadership)
-            }
-        leading = mine
-        leader = settings.member
-        leaderTerm = term.revision
-        leadingJob = scope.launch { mine.run(::replayed) }
-    }
-
-    private fun replayed() {
-        replays.increment()
-        leaderFound.complete(Unit)
+        return LeaderTerm(
+            lease,
+            services,
+            LogStorage(state, PREFIX, LEADER_KEY, term, services.processingTimes),
+            types,
+            HashMap(imageCacheHints),
+            { WorkerCommandDelivery(Routes(term), openMs = reportMs, clocks::steadyMs, it) },
+            ::shareImageCacheHints,
+            stepDown,
+        )
     }
 
     private inner class Routes(private val term: Term) : WorkerCommandRoutes {
-        override fun reachableFollowers() = this@Controller.reachableFollowers()
-        override fun followerOf(machine: MachineId) = reportsTo[machine]
+        override fun reachableFollowers() = contacts.reachableFollowers()
+        override fun followerOf(machine: MachineId) = contacts.followerOf(machine)
 
         override suspend fun toFollower(follower: String, commands: List<DeliveryMessage>): Boolean {
             val address = peerAddresses[follower] ?: return false
@@ -164,63 +131,6 @@
         override suspend fun toWorker(command: Effect.ToWorker) = services.workers.send(command)
     }
 
-    private fun reachableFollowers(): List<String> {
-        val now = clocks.steadyMs()
-        return peerHeardMs.filterValues { now - it < leaseMs }.keys.toList()
-    }
-
-    private fun depose(term: Term, reason: String, transferLeadership: Boolean = false) {
-        val mine = leading ?: return
-        if (mine.term != term) return
-        log.info(
-            "term {}: stepping down: {}; {} ms after its election, {}",
-            term.revision,
-            reason,
-            clocks.steadyMs() - mine.electedAtMs,
-            mine.activity,
-        )
-        leading = null
-        if (leader == settings.member) leader = null
-        leadingJob?.cancel()
-        mine.end()
-        mine.lease.resign(reason, transferLeadership)
-    }
-
-    private fun follow(member: String?, term: Long) {
-        if (leading != null || term < leaderTerm) return
-        if (member != leader) {
-            log.info("leader: {}", member ?: "none")
-            // A new leader gets the time of its replay to make itself heard.
-            if (member != null) {
-                leaderHeardMs = clocks.steadyMs()
-            }
-        }
-        leader = member
-        leaderTerm = term
-        if (member != null) leaderFound.complete(Unit)
-    }
-
-    /** A follower whose batch of reports was answered a moment ago has heard from its leader by that. */
-    private fun needsWord(peer: String) = clocks.steadyMs() - (peerHeardMs[peer] ?: Long.MIN_VALUE / 2) >= leaseMs / 6
-
-    /** The leader tells its peers every third of a lease, so that they know it even without the state service. */
-    private suspend fun tellPeers() {
-        while (true) {
-            val mine = leading
-            if (mine != null && mine.isReady) {
-                for (peer in settings.peers.filter { needsWord(it.member) }) {
-                    scope.launch {
-                        val word = PeerRequest.AnnounceLeader(settings.member, settings.member, mine.term.revision)
-                        val reply = peers.ask(peer.address, word, leaseMs / 3).reply ?: return@launch
-                        peerHeardMs[peer.member] = clocks.steadyMs()
-                        if (reply.term > mine.term.revision) depose(mine.term, "${peer.member} knows term ${reply.term}")
-                    }
-                }
-            }
-            delay(leaseMs / 3)
-        }
-    }
-
     /** Part by part, so that other work gets its turn between them. */
     private fun shareImageCacheHints(images: Map<MachineId, ImageCache>) {
         scope.launch {
@@ -231,52 +141,25 @@
         }
     }
 
-    private fun heard(from: String, term: Long) {
-        if (term < leaderTerm) return
-        leading?.let { if (it.term.revision < term) depose(it.term, "$from leads in term $term") }
-        if (leading != null) return
-        if (leader != from) log.info("leader: {} in term {}", from, term)
-        leader = from
-        leaderTerm = term
-        leaderHeardMs = clocks.steadyMs()
-    }
-
     // ---- requests
 
     suspend fun front(method: String, path: String, body: ByteArray): HttpReply = when {
-        path == "/ready" -> if (method == "GET") HttpReply(if (isReady()) 200 else 503) else HttpReply(405)
+        path == "/ready" -> if (method == "GET") HttpReply(if (readiness.isReady()) 200 else 503) else HttpReply(405)
         path == "/agent/beat" -> if (method == "POST") workerReport(body) else HttpReply(405)
         path == "/submissions" || path.startsWith("/submissions/") -> user(method, path, body, forwarded = false)
         else -> HttpReply(404)
     }
 
-    /**
-     * Ready while requests can be served, here or through the leader. The load balancer takes ever longer
-     * to come back to a node that was not ready, so what passes by itself doesn't count: an election, and
-     * an outage of the state service that the peers see, too.
-     */
-    private fun isReady(): Boolean {
-        val now = clocks.steadyMs()
-        leading?.let { mine ->
-            if (!mine.isReady) return now - mine.electedAtMs < leaseMs
-            val peersHeard = peerHeardMs.values.count { now - it < leaseMs }
-            return now < mine.lease.validUntilMs + leaseMs || peersHeard * 2 >= settings.peers.size
-        }
-        val silentMs = now - (leaderHeardMs ?: return false)
-        // A dead leader's key goes with its lease. While it stands, the leader lives: it is slow, or we are cut off from it.
-        return silentMs < leaseMs * if (leader == null) ELECTION_LEASES else SILENT_LEASES
-    }
-
     private suspend fun user(method: String, path: String, body: ByteArray, forwarded: Boolean): HttpReply {
         val call: suspend (LeaderTerm) -> UserReply = try {
             userCall(method, path, body) ?: return HttpReply(if (isUserPath(path)) 405 else 404)
         } catch (e: MalformedMessageException) {
             return HttpReply(400, UserProtocol.error(e.message.orEmpty()))
         }
-        leading?.let { return UserProtocol.reply(call(it)) }
+        role.activeTerm?.let { return UserProtocol.reply(call(it)) }
         val polled = if (method == "GET") UserProtocol.jobId(path.removePrefix("/submissions/")) else null
         if (polled != null) return poll(polled)
-        val address = leader?.let(peerAddresses::get)
+        val address = role.leader?.let(peerAddresses::get)
         if (!forwarded && address != null) {
             val reply = peers.ask(address, PeerRequest.ForwardUserRequest(method, path, body), FORWARD_MS).reply
             if (reply != null) return HttpReply(reply.status, reply.body, reply.retryAfterS)
@@ -286,7 +169,7 @@
 
     /** A poll that came to a follower: its leader is asked together with others. */
     private suspend fun poll(job: JobId): HttpReply {
-        val reply = if (otherLeader() == null || batches.leaderUnreachable) null else batches.status(job)
+        val reply = if (role.knownLeader() == null || batches.leaderUnreachable) null else batches.status(job)
         return reply?.let(UserProtocol::reply) ?: UserProtocol.elsewhere("no way to the leader")
     }
 
@@ -313,15 +196,15 @@
 
     private suspend fun workerReport(body: ByteArray): HttpReply {
         // Right after an election the whole fleet comes at once; what needs no look at the report gets none.
-        if (leading?.isReady == false || leading == null && leader == null) return HttpReply(503)
-        if (leading == null && batches.leaderUnreachable) return HttpReply(421, WorkerProtocol.elsewhere(leader))
+        if (role.activeTerm?.isReady == false || role.activeTerm == null && role.leader == null) return HttpReply(503)
+        if (role.activeTerm == null && batches.leaderUnreachable) return HttpReply(421, WorkerProtocol.elsewhere(role.leader))
         val report = try {
             services.processingTimes.measure(ProcessingStage.HEARTBEAT_DECODING) { WorkerProtocol.report(body) }
         } catch (e: MalformedMessageException) {
             log.error("a garbled report: {}", e.message)
             return HttpReply(400, UserProtocol.error(e.message.orEmpty()))
         }
-        leading?.let { return reportToUs(it, report) }
+        role.activeTerm?.let { return reportToUs(it, report) }
         return when (val outcome = batches.decide(report)) {
             is ForwardOutcome.Answered -> HttpReply(200, WorkerProtocol.answer(outcome.token, outcome.commands))
             ForwardOutcome.Unanswered -> HttpReply(503)
@@ -329,20 +212,19 @@
     }
 
     private suspend fun reportToUs(mine: LeaderTerm, report: Heartbeat): HttpReply {
-        distribution.followerFor(report.machine, reachableFollowers(), clocks.steadyMs())?.let {
+        distribution.followerFor(report.machine, contacts.reachableFollowers(), clocks.steadyMs())?.let {
             return HttpReply(421, WorkerProtocol.elsewhere(it))
         }
         return when (val outcome = mine.requests.heartbeat(report)) {
             is RequestOutcome.Answered -> HttpReply(200, WorkerProtocol.answer(outcome.answer.token, outcome.answer.commands))
-            is RequestOutcome.Unanswered ->
-                if (leading === mine) HttpReply(503) else HttpReply(421, WorkerProtocol.elsewhere(leader.takeIf { it != settings.member }))
+            is RequestOutcome.Unanswered -> if (role.activeTerm === mine) {
+                HttpReply(503)
+            } else {
+                HttpReply(421, WorkerProtocol.elsewhere(role.leader.takeIf { it != settings.member }))
+            }
         }
     }
 
-    /** The leader to whom a follower hands what it can't decide; null while there is none, or it is this node. */
-    private fun otherLeader(): KnownLeader? =
-        leader?.takeIf { leading == null && it != settings.member }?.let { KnownLeader(it, leaderTerm) }
-
     private suspend fun sendBatch(to: KnownLeader, batch: OutgoingBatch, timeoutMs: Long): BatchResult {
         val address = peerAddresses[to.member] ?: return BatchResult.NotLeading
         val encoded = services.processingTimes.measure(ProcessingStage.BATCH_ENCODING) {
@@ -358,7 +240,7 @@
     private fun decisionsOf(to: KnownLeader, batch: OutgoingBatch, reply: PeerReply): BatchResult {
         val decisions = reply.decisions ?: return BatchResult.NotLeading
         val statuses = reply.statuses ?: return BatchResult.NotLeading
-        heard(to.member, to.term)
+        role.onLeaderAnnouncement(to.member, to.term)
         return BatchResult.Answered(
             decisions.map { it.toDecision() },
             batch.polls.zip(statuses) { job, status -> status.toReply(job) },
@@ -366,32 +248,31 @@
     }
 
     private suspend fun decide(request: PeerRequest.FollowerBatch): PeerReply {
-        leading?.let { if (it.term.revision < request.term) depose(it.term, "${request.from} knows term ${request.term}") }
-        val mine = leading?.takeIf { it.term.revision == request.term && it.isReady }
-            ?: return PeerReply(503, leader = leader, term = leaderTerm)
-        peerHeardMs[request.from] = clocks.steadyMs()
+        role.stepDownIfOlderThan(request.term, request.from)
+        val mine = role.activeTerm?.takeIf { it.term.revision == request.term && it.isReady }
+            ?: return PeerReply(503, leader = role.leader, term = role.leaderTerm)
+        contacts.recordContact(request.from)
         mine.recordDeliveryResults(request.directResults)
         val reports = services.processingTimes.measure(ProcessingStage.BATCH_DECODING) { request.toReports() }
-        if (reportsTo.size > MAX_MACHINES_KNOWN) reportsTo.clear()
-        reports.forEach { reportsTo[it.machine] = request.from }
+        contacts.recordHeartbeats(request.from, reports.map { it.machine })
         return when (val outcome = mine.requests.followerBatch(reports, request.polls)) {
             is RequestOutcome.Answered -> PeerReply(
                 status = 200,
-                leader = leader,
-                term = leaderTerm,
+                leader = role.leader,
+                term = role.leaderTerm,
                 decisions = outcome.answer.decisions.map(HeartbeatDecisionMessage::of),
                 statuses = outcome.answer.statuses.map(JobStatusMessage::of),
             )
-            is RequestOutcome.Unanswered -> PeerReply(503, leader = leader, term = leaderTerm)
+            is RequestOutcome.Unanswered -> PeerReply(503, leader = role.leader, term = role.leaderTerm)
         }
     }
 
     /** Carries commands of the leader to workers; what they answer goes back with the next batches. */
     private fun deliver(request: PeerRequest.DeliverCommands): PeerReply {
-        heard(request.from, request.term)
-        val isFromLeader = leading == null && leader == request.from && leaderTerm == request.term
+        role.onLeaderAnnouncement(request.from, request.term)
+        val isFromLeader = role.activeTerm == null && role.leader == request.from && role.leaderTerm == request.term
         if (isFromLeader) request.commands.forEach { command -> scope.launch { deliver(request.term, command) } }
-        return PeerReply(if (isFromLeader) 200 else 503, leader = leader, term = leaderTerm)
+        return PeerReply(if (isFromLeader) 200 else 503, leader = role.leader, term = role.leaderTerm)
     }
 
     private suspend fun deliver(term: Long, command: DeliveryMessage) {
@@ -401,16 +282,16 @@
 
     suspend fun peer(request: PeerRequest): PeerReply = when (request) {
         is PeerRequest.AnnounceLeader -> {
-            heard(request.from, request.term)
-            PeerReply(200, leader = leader, term = leaderTerm)
+            role.onLeaderAnnouncement(request.from, request.term)
+            PeerReply(200, leader = role.leader, term = role.leaderTerm)
         }
         is PeerRequest.ImageCacheHints -> {
             if (imageCacheHints.size > MAX_IMAGES_TOLD) imageCacheHints.clear()
             imageCacheHints += request.held()
-            PeerReply(200, leader = leader, term = leaderTerm)
+            PeerReply(200, leader = role.leader, term = role.leaderTerm)
         }
         is PeerRequest.ForwardUserRequest -> user(request.method, request.path, request.body, forwarded = true)
-            .let { PeerReply(it.status, it.body, it.retryAfterS, leader, leaderTerm) }
+            .let { PeerReply(it.status, it.body, it.retryAfterS, role.leader, role.leaderTerm) }
         is PeerRequest.FollowerBatch -> decide(request)
         is PeerRequest.DeliverCommands -> deliver(request)
     }
@@ -426,17 +307,10 @@
         /** Under what users wait for a poll's answer. */
         private const val FORWARD_MS = 1800L
 
-        /** An election takes one lease, its replay, and the leader's first word to its peers. */
-        private const val ELECTION_LEASES = 3
-
-        /** By then a leader that lives would have been heard, however slow its start. */
-        private const val SILENT_LEASES = 3
-
         /** The work's times are logged once in so many report periods. */
         private const val WORK_LOG_REPORTS = 5
 
         /** Machines come and go; what was told of the present ones comes again soon. */
         private const val MAX_IMAGES_TOLD = 10_000
-        private const val MAX_MACHINES_KNOWN = 10_000
     }
 }
--- /dev/null
+++ b/src/main/kotlin/cleathitch/controller/LeaderAnnouncer.kt
@@ -0,0 +1,55 @@
+package cleathitch.controller
+
+import cleathitch.config.Peer
+import cleathitch.leader.LeaderTerm
+import cleathitch.peers.PeerClient
+import cleathitch.peers.PeerRequest
+import cleathitch.peers.reply
+import kotlinx.coroutines.CoroutineScope
+import kotlinx.coroutines.delay
+import kotlinx.coroutines.launch
+
+/**
+ * Announces this controller to its peers while it leads, so that they know the leader even without the key-value store.
+ * Each call is a coroutine of [scope], so that one slow peer doesn't delay the others.
+ */
+internal class LeaderAnnouncer(
+    private val member: String,
+    private val peers: List<Peer>,
+    private val client: PeerClient,
+    private val role: ControllerRole,
+    private val contacts: FollowerContacts,
+    private val leaseMs: Long,
+    private val scope: CoroutineScope,
+) {
+    private val periodMs = leaseMs / ANNOUNCEMENTS_PER_LEASE
+
+    /** Announces the active term in each period, until it is cancelled. */
+    suspend fun run() {
+        while (true) {
+            role.activeTerm?.takeIf { it.isReady }?.let(::announceLeadership)
+            delay(periodMs)
+        }
+    }
+
+    private fun announceLeadership(term: LeaderTerm) {
+        for (peer in peers.filter { needsAnnouncement(it.member) }) scope.launch { announce(term, peer) }
+    }
+
+    /** A follower whose batch was answered a moment ago knows the leader from that answer. */
+    private fun needsAnnouncement(follower: String) = !contacts.isRecent(follower, withinMs = leaseMs / RECENT_CONTACTS_PER_LEASE)
+
+    private suspend fun announce(term: LeaderTerm, peer: Peer) {
+        val announcement = PeerRequest.AnnounceLeader(member, member, term.term.revision)
+        val reply = client.ask(peer.address, announcement, timeoutMs = periodMs).reply ?: return
+        contacts.recordContact(peer.member)
+        if (reply.term > term.term.revision) role.stepDown(term.term, "${peer.member} knows term ${reply.term}")
+    }
+
+    private companion object {
+        const val ANNOUNCEMENTS_PER_LEASE = 3
+
+        /** A contact within this part of a lease makes an announcement needless. */
+        const val RECENT_CONTACTS_PER_LEASE = 6
+    }
+}
