--- a/.ci/KnownRed.java
+++ b/.ci/KnownRed.java
@@ -9,18 +9,36 @@
 import org.w3c.dom.Element;
 
 /**
- * Judges a test run by KNOWN-RED.txt: passes over just the tests that stand there and prints them. A line is
- * "class#test | cause | issue", and there are three at most. Any other failure, a fourth line, a line of
- * another form and a line that names no test of the run fail.
+ * Decides whether a test run passes, given the tests that KNOWN-RED.txt lists with a known fault. The listed tests may fail and
+ * are printed. The run fails on any other failed test, on more than {@link #MAX_LISTED_TESTS} lines, on a line that is not
+ * "class#test | cause | issue", on a line whose test did not run, and if no test ran at all.
+ *
+ * <p>Usage: java KnownRed.java LIST REPORT_DIRECTORY, the latter with Surefire's XML reports. Exit code 1 if the run fails.
  */
 class KnownRed {
-    private static final int MOST = 3;
+    private static final int MAX_LISTED_TESTS = 3;
 
     public static void main(String[] args) throws Exception {
         List<String> faults = new ArrayList<>();
+        Set<String> listed = readList(Path.of(args[0]), faults);
+        TestRun run = TestRun.read(new File(args[1]));
+
+        if (run.executed.isEmpty()) faults.add("no test ran");
+        for (String test : listed) {
+            if (!run.executed.contains(test)) faults.add("no such test: " + test);
+            else System.out.println("known red, " + (run.failed.contains(test) ? "fails" : "passes now") + ": " + test);
+        }
+        for (String test : run.failed) if (!listed.contains(test)) faults.add("fails and isn't known: " + test);
+
+        faults.forEach(fault -> System.out.println("KNOWN-RED: " + fault));
+        if (!faults.isEmpty()) System.exit(1);
+    }
+
+    /** The tests that the list names; what is wrong with the list itself is added to the faults. */
+    private static Set<String> readList(Path file, List<String> faults) throws Exception {
         Set<String> listed = new HashSet<>();
-        List<String> lines = Files.readAllLines(Path.of(args[0])).stream().filter(line -> !line.isBlank()).toList();
-        if (lines.size() > MOST) faults.add(lines.size() + " lines, " + MOST + " at most");
+        List<String> lines = Files.readAllLines(file).stream().filter(line -> !line.isBlank()).toList();
+        if (lines.size() > MAX_LISTED_TESTS) faults.add(lines.size() + " lines, " + MAX_LISTED_TESTS + " at most");
         for (String line : lines) {
             String[] parts = line.split("\\|");
             if (parts.length != 3 || parts[0].isBlank() || parts[1].isBlank() || parts[2].isBlank()) {
@@ -29,26 +47,26 @@
                 listed.add(parts[0].trim());
             }
         }
+        return listed;
+    }
+
+    /** The tests of one run by their "class#test" names, from Surefire's reports. */
+    private record TestRun(Set<String> executed, Set<String> failed) {
+        static TestRun read(File directory) throws Exception {
+            TestRun run = new TestRun(new HashSet<>(), new HashSet<>());
+            File[] reports = directory.listFiles((parent, name) -> name.startsWith("TEST-") && name.endsWith(".xml"));
+            for (File report : reports == null ? new File[0] : reports) run.add(report);
+            return run;
+        }
 
-        Set<String> ran = new HashSet<>();
-        Set<String> failed = new HashSet<>();
-        File[] reports = new File(args[1]).listFiles((dir, name) -> name.startsWith("TEST-") && name.endsWith(".xml"));
-        for (File report : reports == null ? new File[0] : reports) {
+        private void add(File report) throws Exception {
             var cases = DocumentBuilderFactory.newInstance().newDocumentBuilder().parse(report).getElementsByTagName("testcase");
             for (int i = 0; i < cases.getLength(); i++) {
                 Element test = (Element) cases.item(i);
                 String name = test.getAttribute("classname") + "#" + test.getAttribute("name");
-                ran.add(name);
+                executed.add(name);
                 if (test.getElementsByTagName("failure").getLength() + test.getElementsByTagName("error").getLength() > 0) failed.add(name);
             }
         }
-        if (ran.isEmpty()) faults.add("no test ran");
-        for (String name : listed) {
-            if (!ran.contains(name)) faults.add("no such test: " + name);
-            else System.out.println("known red, " + (failed.contains(name) ? "fails" : "passes now") + ": " + name);
-        }
-        for (String name : failed) if (!listed.contains(name)) faults.add("fails and isn't known: " + name);
-        faults.forEach(fault -> System.out.println("KNOWN-RED: " + fault));
-        if (!faults.isEmpty()) System.exit(1);
     }
 }
