--- /dev/null
+++ b/src/main/kotlin/cleathitch/scheduler/LogWriter.kt
@@ -0,0 +1,98 @@
+package cleathitch.scheduler
+
+import cleathitch.scheduler.api.Effect
+import cleathitch.scheduler.api.SchedulerContext
+import cleathitch.scheduler.api.SchedulerTimings
+import cleathitch.scheduler.jobs.JobTable
+import cleathitch.scheduler.log.DecisionLog
+import cleathitch.scheduler.log.Event
+import cleathitch.scheduler.log.LogIndex
+import cleathitch.scheduler.log.Mutation
+import cleathitch.scheduler.log.WriteBudget
+import cleathitch.scheduler.machines.Inventory
+import cleathitch.scheduler.model.ClockReading
+import cleathitch.scheduler.model.Deployment
+import cleathitch.scheduler.model.Term
+
+/**
+ * Applies events to the state in memory, and paces the commits that make them durable by what the key-value store allows.
+ * Confined to the leader's event loop.
+ */
+internal class LogWriter(
+    private val context: SchedulerContext,
+    private val deployment: Deployment,
+    private val timings: SchedulerTimings,
+    private val term: Term,
+    private val decisionLog: DecisionLog,
+    private val jobTable: JobTable,
+    private val inventory: Inventory,
+    start: ClockReading,
+) {
+    private val budget = WriteBudget(deployment.stateWriteRps * WRITE_SHARE, start.steadyMs)
+
+    /** When the commit in flight was handed out, null while none is. */
+    private var writeSinceMs: Long? = null
+    private var lastWriteMs = 0L
+    private var lastTrimMs = start.steadyMs
+
+    /** A queued event holds up a reply or a command, so its commit doesn't wait for the next round. */
+    private var isUrgent = false
+    private var isTrimming = false
+
+    /** Whether the key-value store leaves a commit without an answer for long. */
+    fun isStalled(): Boolean = writeSinceMs?.let { context.now.steadyMs - it > timings.stallMs } == true
+
+    /** Applies [event] in memory and queues it; returns the index of the record that will hold it. */
+    fun append(event: Event): LogIndex {
+        val seq = decisionLog.append(event)
+        if (event !is Event.TaskCompleted && event !is Event.AttemptTerminated) isUrgent = true
+        when (event) {
+            is Event.JobEvent -> jobTable.apply(event, seq)
+            is Event.InventoryEvent -> inventory.apply(event)
+        }
+        return seq
+    }
+
+    /**
+     * Writes at once what a reply or a command waits for, and the rest once a round, as far as the budget goes.
+     * Half of a second's budget is never spent on trimming, so that a trim doesn't delay a decision.
+     */
+    fun write() {
+        if (!decisionLog.idle) return
+        val nowMs = context.now.steadyMs
+        if (nowMs - lastTrimMs >= timings.trimMs) {
+            lastTrimMs = nowMs
+            isTrimming = true
+        }
+        val allowed = budget.left(nowMs)
+        val trimChanges = if (isTrimming) minOf(deployment.stateTxnOps / 2, allowed - budget.burst / 2) else 0
+        val mayTrim = trimChanges >= MIN_TRIM_CHANGES
+        val isDue = isUrgent || nowMs - lastWriteMs >= timings.roundMs
+        val mayWriteEvents = decisionLog.pending && isDue && allowed >= EVENT_COMMIT_CHANGES
+        if (!mayWriteEvents && !mayTrim) return
+        val commit = decisionLog.next(term, jobTable, inventory::cell, if (mayTrim) trimChanges else 0) ?: return
+        if (mayTrim) isTrimming = decisionLog.trimCutShort
+        budget.take(commit.changes.sumOf { if (it is Mutation.Put) it.parts else 1 })
+        lastWriteMs = nowMs
+        isUrgent = decisionLog.pending
+        writeSinceMs = nowMs
+        context.emit(Effect.Write(commit))
+    }
+
+    /** The commit in flight, up to record [seq], is durable. */
+    fun recordCommit(seq: LogIndex) {
+        decisionLog.committed(seq, jobTable)
+        writeSinceMs = null
+    }
+
+    private companion object {
+        /** The leader's share of the key-value store's write rate; elections need the rest. */
+        const val WRITE_SHARE = 0.8
+
+        /** A trim that could make fewer changes isn't worth a commit. */
+        const val MIN_TRIM_CHANGES = 4
+
+        /** The smallest commit of events: a record and the head. */
+        const val EVENT_COMMIT_CHANGES = 2
+    }
+}
--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -20,9 +20,8 @@
 import cleathitch.scheduler.log.DecisionLog
 import cleathitch.scheduler.log.Event
 import cleathitch.scheduler.log.LogIndex
-import cleathitch.scheduler.log.Mutation
 import cleathitch.scheduler.log.RecoveredState
-import cleathitch.scheduler.log.WriteBudget
+import cleathitch.scheduler.machines.CommandDispatcher
 import cleathitch.scheduler.machines.DirectReachability
 import cleathitch.scheduler.machines.FailureDetector
 import cleathitch.scheduler.machines.Inventory
@@ -33,7 +32,6 @@
 import cleathitch.scheduler.model.ClockReading
 import cleathitch.scheduler.model.Deployment
 import cleathitch.scheduler.model.ExitReason
-import cleathitch.scheduler.model.FencingToken
 import cleathitch.scheduler.model.Heartbeat
 import cleathitch.scheduler.model.ImageCache
 import cleathitch.scheduler.model.JobKind
@@ -48,11 +46,9 @@
 import cleathitch.scheduler.model.TaskState
 import cleathitch.scheduler.model.TaskStatus
 import cleathitch.scheduler.model.Term
-import cleathitch.scheduler.model.WorkerCommand
 import cleathitch.scheduler.placement.Placement
 import cleathitch.scheduler.placement.SchedulingOrder
 import cleathitch.scheduler.requests.JobRequests
-import java.util.TreeMap
 
 /**
  * The leader's mind during one term: takes commands in batches and yields effects. It has no clock,
@@ -81,22 +77,22 @@
     private val completionObjectives = deployment.objectives.filterIsInstance<Objective.Finished>().sortedBy { it.deadlineS }
         .groupBy({ it.className }, { it.deadlineS })
     private val effects = ArrayList<Effect>()
-    private val context = object : SchedulerContext {
+    private val context: SchedulerContext = object : SchedulerContext {
         override val now get() = this@Scheduler.now
-        override val listeningSinceMs get() = this@Scheduler.listeningSinceMs
-        override fun leaseHeld() = this@Scheduler.leaseHeld()
-        override fun stalled() = writeSinceMs?.let { now.steadyMs - it > timings.stallMs } == true
-        override fun append(event: Event) = this@Scheduler.append(event)
-        override fun stopAfter(seq: LogIndex, attempts: Collection<Attempt>) {
-            stopsAwaitingCommit.getOrPut(seq) { ArrayList() } += attempts
-        }
+        override val listeningSinceMs get() = lease.listeningSinceMs
+        override fun leaseHeld() = lease.isHeld()
+        override fun stalled() = logWriter.isStalled()
+        override fun append(event: Event) = logWriter.append(event)
+        override fun stopAfter(seq: LogIndex, attempts: Collection<Attempt>) = dispatcher.stopAfter(seq, attempts)
         override fun emit(effect: Effect) {
             effects += effect
         }
         override fun isLogged(level: LogLevel) = level <= logLevel
     }
+    private val lease = TermLease(context, timings, fleet, start, isFirstTerm = snapshot.head == LogIndex.NONE)
+    private val logWriter = LogWriter(context, deployment, timings, term, decisionLog, jobTable, fleet, start)
     private val jobRequests = JobRequests(context, jobTable, decisionLog, fleet, quota, deployment.teams, timings.intakeMs)
-    private val commands = WorkerReconciler(jobTable, decisionLog)
+    private val workerReconciler = WorkerReconciler(jobTable, decisionLog)
     private val cloudRequests = CloudRequests(
         context,
         deployment,
@@ -109,43 +105,15 @@
     )
     private val failureDetector = FailureDetector(context, fleet, jobTable, timings, start.steadyMs, cloudRequests::retire)
 
-    /** Machines to which new orders go as soon as a record is committed. */
-    private val pushesAwaitingCommit = HashMap<LogIndex, MutableSet<MachineId>>()
-
-    /**
-     * Cancelled attempts whose stops go out once the record is committed, and the machines to which they then go, a
-     * few at a time. Left to each machine's next report, a task that was just fetching its image began after its
-     * user had been told; and where an outage follows at once, only leases would end what runs.
-     */
-    private val stopsAwaitingCommit = TreeMap<LogIndex, MutableList<Attempt>>()
-    private val pendingStops = LinkedHashSet<MachineId>()
+    private val dispatcher = CommandDispatcher(context, term, jobTable, fleet, decisionLog, workerReconciler, failureDetector)
     private val gone = LinkedHashSet<MachineId>()
 
     private var now = start
     private val startedMs = start.steadyMs
 
-    /**
-     * Since when machines' reports are listened to without a break. After an outage of the state service
-     * that outlasted our grace, every machine seems to have been silent for as long; none is to blame.
-     */
-    private var listeningSinceMs = start.steadyMs
-
-    /** Nobody led before: there is nothing of which machines would have to tell first. */
-    private val first = snapshot.head == LogIndex.NONE
-    private var validUntilMs = start.steadyMs
-    private val firstToken = FencingToken.first(term.revision)
-    private var token = firstToken
-    private var writeSinceMs: Long? = null
-    private var lastWriteMs = 0L
-    private val budget = WriteBudget(deployment.stateWriteRps * WRITE_SHARE, start.steadyMs)
-
-    /** Something in the journal's queue is waited for. */
-    private var urgent = false
-    private var trimming = false
     private var lastRoundMs = 0L
     private var lastWatchMs = 0L
     private var lastFleetMs = 0L
-    private var lastTrimMs = start.steadyMs
 
     private val directReachability = DirectReachability(timings.probeMs)
     private var fleetListed = false
@@ -161,27 +129,7 @@
         start.steadyMs + timings.graceMs + (deployment.leaseS * 1000).toLong() + timings.leaseMarginMs
 
     init {
-        snapshot.finals.forEach { jobTable.restore(it.second) }
-        val folded = HashMap<String, LogIndex>()
-        snapshot.jobs.forEach { (cell, parts) ->
-            jobTable.restore(cell)
-            jobTable.job(cell.spec.id)?.partsWritten = parts
-            folded[DecisionLog.JOB_PREFIX + cell.spec.id.text] = LogIndex(cell.upTo)
-        }
-        snapshot.fleet?.let {
-            fleet.restore(it)
-            folded[DecisionLog.FLEET] = LogIndex(it.upTo)
-        }
-        for ((seq, record) in snapshot.records) {
-            for (event in record.events) replay(event, seq, folded)
-        }
-        decisionLog.restore(snapshot.head, snapshot.records, snapshot.finals, folded)
-        jobTable.jobs.forEach { job ->
-            // An older leader's orders may still be on their way, under versions below this term's first.
-            job.live.values.forEach { it.inheritedToken = token }
-            job.live.values.forEach { if (job.done[it.id.task.index]) it.stop = StopCause.STRAY }
-            job.stopIfOver()
-        }
+        StateRecovery(jobTable, fleet, decisionLog).restore(snapshot, dispatcher.firstToken)
     }
 
     val openJobs get() = jobTable.jobs.size
@@ -194,35 +142,25 @@
     fun handle(batch: List<Input>, now: ClockReading): List<Effect> {
         this.now = now
         effects.clear()
-        if (!mayAnswerMachines()) listeningSinceMs = now.steadyMs
+        lease.observeTime()
         for (command in batch) if (!hasSteppedDown) take(command)
         if (!hasSteppedDown) {
             // What looks at every machine is done now and then; a batch costs what its commands change.
             if (now.steadyMs - lastWatchMs >= timings.watchMs) {
                 lastWatchMs = now.steadyMs
                 watchMachines()
-                if (leaseHeld()) sendStops()
+                if (lease.isHeld()) dispatcher.sendPendingStops()
                 cloudRequests.send()
                 shareImageCacheHints()
             }
-            if (mayPlace()) round()
+            if (lease.mayPlace()) round()
             resizeFleet()
             jobRequests.expire()
-            write()
+            logWriter.write()
         }
         return effects.toList()
     }
 
-    private fun replay(event: Event, seq: LogIndex, folded: Map<String, LogIndex>) {
-        when (event) {
-            is Event.JobEvent -> {
-                if (jobTable.finalState(event.job) != null) return
-                if ((folded[DecisionLog.JOB_PREFIX + event.job.text] ?: LogIndex.NONE) < seq) jobTable.apply(event, seq)
-            }
-            is Event.InventoryEvent -> if ((folded[DecisionLog.FLEET] ?: LogIndex.NONE) < seq) fleet.apply(event)
-        }
-    }
-
     private fun take(command: Input) {
         when (command) {
             is Input.Submit -> jobRequests.submit(command)
@@ -232,7 +170,7 @@
             is Input.FollowerBatchReceived -> followerBatch(command)
             is Input.ProbeAnswered -> inspected(command.report)
             is Input.DirectCallUnanswered -> fleet.machines[command.machine]?.let { directReachability.unanswered(it, now.steadyMs) }
-            is Input.LeaseRenewed -> validUntilMs = maxOf(validUntilMs, command.untilMs)
+            is Input.LeaseRenewed -> lease.renew(command.untilMs)
             is Input.CommitSucceeded -> committed(command)
             is Input.MachineTypesListed -> typesListed(command.types)
             is Input.MachinesListed -> {
@@ -246,70 +184,15 @@
         }
     }
 
-    // ---- the journal
-
-    private fun append(event: Event): LogIndex {
-        val seq = decisionLog.append(event)
-        if (event !is Event.TaskCompleted && event !is Event.AttemptTerminated) urgent = true
-        when (event) {
-            is Event.JobEvent -> jobTable.apply(event, seq)
-            is Event.InventoryEvent -> fleet.apply(event)
-        }
-        return seq
-    }
-
-    /**
-     * Writes what somebody waits for at once, and the rest once a round, as far as the state service's
-     * budget of changes goes; half of a second's worth of it is never spent on trimming.
-     */
-    private fun write() {
-        if (!decisionLog.idle) return
-        if (now.steadyMs - lastTrimMs >= timings.trimMs) {
-            lastTrimMs = now.steadyMs
-            trimming = true
-        }
-        val allowed = budget.left(now.steadyMs)
-        val trimChanges = if (trimming) minOf(deployment.stateTxnOps / 2, allowed - budget.burst / 2) else 0
-        val mayTrim = trimChanges >= LEAST_TRIM
-        val due = decisionLog.pending && (urgent || now.steadyMs - lastWriteMs >= timings.roundMs) && allowed >= 2
-        if (!due && !mayTrim) return
-        val commit = decisionLog.next(term, jobTable, fleet::cell, if (mayTrim) trimChanges else 0) ?: return
-        if (mayTrim) trimming = decisionLog.trimCutShort
-        budget.take(commit.changes.sumOf { if (it is Mutation.Put) it.parts else 1 })
-        lastWriteMs = now.steadyMs
-        urgent = decisionLog.pending
-        writeSinceMs = now.steadyMs
-        effects += Effect.Write(commit)
-    }
-
     private fun committed(command: Input.CommitSucceeded) {
-        decisionLog.committed(command.seq, jobTable)
-        writeSinceMs = null
-        token = maxOf(token, FencingToken.first(command.revision))
-        while (stopsAwaitingCommit.isNotEmpty() && stopsAwaitingCommit.firstKey() <= decisionLog.committed) {
-            // What doesn't run yet goes first: its stop can still forestall the start.
-            stopsAwaitingCommit.pollFirstEntry().value.sortedBy { it.seen == TaskState.RUNNING }.mapTo(pendingStops) { it.machine }
-        }
-        sendStops()
+        logWriter.recordCommit(command.seq)
+        dispatcher.recordRevision(command.revision)
+        dispatcher.sendCommittedStops()
         jobRequests.committed()
-        val machines = pushesAwaitingCommit.filterKeys { it <= decisionLog.committed }
-        machines.keys.forEach(pushesAwaitingCommit::remove)
-        machines.values.flatMapTo(LinkedHashSet()) { it }.forEach { id -> fleet.machines[id]?.let(::push) }
+        dispatcher.sendCommittedPushes()
         cloudRequests.send()
     }
 
-    /** What is left over goes with the next round or the machine's next report, whichever is first. */
-    private fun sendStops() {
-        val due = pendingStops.take(FailureDetector.MAX_QUESTIONS)
-        pendingStops.removeAll(due.toSet())
-        due.forEach { id -> fleet.machines[id]?.let { if (it.lastHeardMs == null) failureDetector.probe(it) else push(it) } }
-    }
-
-    // ---- what the term allows
-
-    private fun mayAnswerMachines() = now.steadyMs < validUntilMs + timings.graceMs
-    private fun leaseHeld() = now.steadyMs < validUntilMs
-
     // ---- machines
 
     private fun reported(command: Input.HeartbeatReceived) {
@@ -330,7 +213,7 @@
     }
 
     private fun decideForwarded(forwarded: ForwardedHeartbeat): HeartbeatDecision {
-        if (hasSteppedDown || !mayAnswerMachines()) return HeartbeatDecision.Refuse
+        if (hasSteppedDown || !lease.mayAnswerMachines()) return HeartbeatDecision.Refuse
         val decision = when (forwarded) {
             is ForwardedHeartbeat.Full -> decide(forwarded.report)
             is ForwardedHeartbeat.Unchanged -> decideHeartbeat(forwarded)
@@ -349,17 +232,12 @@
 
     /** Takes a report in and decides about its answer. */
     private fun decide(report: Heartbeat): HeartbeatDecision {
-        if (!mayAnswerMachines() || !observe(report)) return HeartbeatDecision.Refuse
+        if (!lease.mayAnswerMachines() || !observe(report)) return HeartbeatDecision.Refuse
         val machine = fleet.machines.getValue(report.machine)
         machine.lastReportMs = now.steadyMs
         // Its next report shows the version of our last answer, unless that didn't reach it.
         machine.missedReplies = if (report.token < machine.answered) machine.missedReplies + 1 else 0
-        val commands = commandsFor(machine)
-        if (commands.isNotEmpty()) token = token.next()
-        recordSent(machine, commands)
-        pendingStops -= machine.id
-        machine.answered = token
-        return HeartbeatDecision.Answer(token, commands)
+        return dispatcher.replyTo(machine)
     }
 
     /**
@@ -371,8 +249,8 @@
      * and its tasks were started elsewhere.)
      */
     private fun observe(report: Heartbeat): Boolean {
-        if (report.token > token) {
-            stepDown("machine ${report.machine} has seen version ${report.token}, ours is $token")
+        if (report.token > dispatcher.token) {
+            stepDown("machine ${report.machine} has seen version ${report.token}, ours is ${dispatcher.token}")
             return false
         }
         if (report.machine in gone) return false
@@ -387,7 +265,7 @@
         machine.incarnation = report.incarnation
         machine.sequenceNumber = report.sequenceNumber
         machine.token = maxOf(machine.token, report.token)
-        if (report.token >= firstToken) machine.confirmed = true
+        if (report.token >= dispatcher.firstToken) machine.confirmed = true
         machine.lastHeardMs = now.steadyMs
         machine.probes = 0
         machine.leaseEndMs = maxOf(machine.leaseEndMs, leaseEndFromNow())
@@ -411,7 +289,7 @@
         val machine = fleet.machines.getValue(report.machine)
         machine.confirmed = true
         directReachability.answered()
-        if (first) push(machine)
+        if (first) dispatcher.push(machine)
     }
 
     private fun leaseEndFromNow() = now.steadyMs + (deployment.leaseS * 1000).toLong() + timings.leaseMarginMs
@@ -437,12 +315,12 @@
             attempt.seen = null
             // Left to a machine that our answers don't reach, a task would wait there for as long as the way is cut.
             if ((attempt.stop != null || !failureDetector.isReachable(machine)) &&
-                commands.isTerminationConfirmed(attempt, machine)
+                workerReconciler.isTerminationConfirmed(attempt, machine)
             ) {
                 over(attempt)
             }
         }
-        commands.shown(machine.id, shown)
+        workerReconciler.shown(machine.id, shown)
         if (jobTable.attemptsOn(machine.id).isNotEmpty()) machine.idleSinceMs = now.steadyMs
     }
 
@@ -489,7 +367,7 @@
     private fun finish(machine: Machine, job: Job, attempt: AttemptId) {
         if (job.done[attempt.task.index]) return
         logEvent(LogLevel.DEBUG) { "task $attempt is done" }
-        commands.outcome(machine.id, attempt, append(Event.TaskCompleted(job.id, attempt.task.index, attempt.number)))
+        workerReconciler.outcome(machine.id, attempt, context.append(Event.TaskCompleted(job.id, attempt.task.index, attempt.number)))
         job.failures = 0
         job.live[attempt.task.index]?.stop = StopCause.STRAY
         if (jobTable.attemptsOn(machine.id).isEmpty()) machine.idleSinceMs = now.steadyMs
@@ -499,45 +377,15 @@
 
     /** The attempt is surely gone; its task may start again. */
     private fun over(attempt: Attempt) {
-        commands.outcome(
+        workerReconciler.outcome(
             attempt.machine,
             attempt.id,
-            append(Event.AttemptTerminated(attempt.id.task.job, attempt.id.task.index, attempt.id.number)),
+            context.append(Event.AttemptTerminated(attempt.id.task.job, attempt.id.task.index, attempt.id.number)),
         )
         val machine = fleet.machines[attempt.machine] ?: return
         if (jobTable.attemptsOn(machine.id).isEmpty()) machine.idleSinceMs = now.steadyMs
     }
 
-    private fun commandsFor(machine: Machine) = if (token.countLeft == 0L) emptyList() else commands.of(machine)
-
-    private fun recordSent(machine: Machine, commands: List<WorkerCommand>) {
-        for (order in commands) {
-            logEvent(LogLevel.DEBUG) {
-                "$order to machine ${machine.id} session ${machine.incarnation} under version $token; records up to ${decisionLog.committed} are committed"
-            }
-            if (order is WorkerCommand.Start) {
-                jobTable.attempt(order.attempt)?.let {
-                    it.sent = token
-                    it.sentIncarnation = machine.incarnation
-                }
-            }
-        }
-    }
-
-    private fun push(machine: Machine) {
-        val address = machine.address ?: return
-        if (machine.state == MachineState.STARTING) return
-        val commands = commandsFor(machine)
-        if (commands.isEmpty()) return
-        token = token.next()
-        recordSent(machine, commands)
-        effects += Effect.SendCommands(machine.id, address, machine.incarnation, token, commands)
-    }
-
-    private fun pushAfter(seq: LogIndex, machine: MachineId) {
-        pushesAwaitingCommit.getOrPut(seq) { LinkedHashSet() } += machine
-    }
-
     /** A machine about to be taken gets nothing new, and what can be saved is saved in time. */
     private fun drain(machine: Machine) {
         for (attempt in jobTable.attemptsOn(machine.id)) {
@@ -554,14 +402,14 @@
         for (id in jobTable.machinesInUse.toList()) {
             if (id !in fleet.machines && now.steadyMs >= inheritedLeaseEndMs) jobTable.attemptsOn(id).toList().forEach(::over)
         }
-        if (leaseHeld() && now.steadyMs - startedMs < timings.failoverMs) failureDetector.probeUnheard()
-        if (!isSettled()) return
+        if (lease.isHeld() && now.steadyMs - startedMs < timings.failoverMs) failureDetector.probeUnheard()
+        if (!lease.isSettled()) return
         fleet.machines.values.forEach(failureDetector::suspectIfRunning)
         transferLeadershipIfUnreachable()
         if (hasSteppedDown) return
         failureDetector.findSilent()
         failureDetector.findMachinesMissingReplies()
-        fleet.overdueBoots(now.steadyMs, listeningSinceMs).forEach { cloudRequests.retire(it.id, "it never came up") }
+        fleet.overdueBoots(now.steadyMs, lease.listeningSinceMs).forEach { cloudRequests.retire(it.id, "it never came up") }
     }
 
     /**
@@ -580,7 +428,7 @@
     private fun confirmGone(id: MachineId) {
         if (id !in fleet.retired) return
         jobTable.attemptsOn(id).toList().forEach(::over)
-        append(Event.MachineTerminated(id))
+        context.append(Event.MachineTerminated(id))
         cloudRequests.returned(id)
         gone += id
         if (gone.size > GONE_KEPT) gone.remove(gone.first())
@@ -602,22 +450,13 @@
         machine.listedRunning = listed.state == ListedState.RUNNING
         if (machine.address == null) machine.address = listed.address
         failureDetector.suspectIfRunning(machine)
-        if (listed.state == ListedState.FAILED && machine.state != MachineState.RETIRED && isSettled()) {
+        if (listed.state == ListedState.FAILED && machine.state != MachineState.RETIRED && lease.isSettled()) {
             cloudRequests.retire(machine.id, "it has failed")
         }
     }
 
     // ---- decisions
 
-    /**
-     * No decision without a lease. A machine gets tasks as soon as it has reported in this term: its
-     * report and the ledger tell what may run there. Only what depends on machines that may not have
-     * reported yet, as renting and returning, waits for a report period.
-     */
-    private fun mayPlace() = leaseHeld() && fleet.types.isNotEmpty()
-    private fun isSettled() =
-        mayPlace() && (first && listeningSinceMs == startedMs || now.steadyMs - listeningSinceMs >= timings.failoverMs)
-
     private fun round() {
         if (now.steadyMs - lastRoundMs < timings.roundMs || !decisionLog.idle || decisionLog.backlog > MAX_BACKLOG) return
         lastRoundMs = now.steadyMs
@@ -675,7 +514,7 @@
 
     /** Makes room for a job's next tasks by stopping work of lower priority, as the page allows; tells for how many. */
     private fun preempt(job: Job, look: Placement.Look, count: Int): Int {
-        if (job.spec.priority != Priority.PRODUCTION || !isSettled()) return 0
+        if (job.spec.priority != Priority.PRODUCTION || !lease.isSettled()) return 0
         val machines = LinkedHashSet<Machine>()
         val made = look.makeRoom(job, count)
         for (victim in made.victims) {
@@ -683,7 +522,7 @@
             logEvent(LogLevel.DEBUG) { "task ${victim.id} on machine ${victim.machine} makes room for job ${job.id}" }
             fleet.machines[victim.machine]?.let { machines += it }
         }
-        machines.forEach(::push)
+        machines.forEach(dispatcher::push)
         return made.tasks
     }
 
@@ -702,15 +541,15 @@
     }
 
     private fun start(job: Job, index: Int, machine: Machine, number: Long = job.lastNumber + 1) {
-        val seq = append(Event.AttemptStarted(job.id, index, number, machine.id))
+        val seq = context.append(Event.AttemptStarted(job.id, index, number, machine.id))
         machine.idleSinceMs = now.steadyMs
-        pushAfter(seq, machine.id)
+        dispatcher.pushAfter(seq, machine.id)
         logEvent(LogLevel.DEBUG) { "task ${job.id}/$index#${job.lastNumber} goes to machine ${machine.id} with record $seq" }
     }
 
     private fun resizeFleet() {
         // The cloud's list tells as well as reports what there is: what hasn't reported counts as on its way.
-        if (!isSettled() && !(mayPlace() && fleetListed) || now.steadyMs - lastFleetMs < FLEET_ROUND_MS) return
+        if (!lease.isSettled() && !(lease.mayPlace() && fleetListed) || now.steadyMs - lastFleetMs < FLEET_ROUND_MS) return
         lastFleetMs = now.steadyMs
         val room = (deployment.cloudRps / 2).toInt().coerceAtLeast(1) - fleet.rentals.size
         if (room > 0) {
@@ -718,8 +557,8 @@
                 cloudRequests.rent(offer, count)
             }
         }
-        if (!isSettled()) return
-        fleet.idle(now.steadyMs, listeningSinceMs).forEach { cloudRequests.retire(it.id, "it is idle") }
+        if (!lease.isSettled()) return
+        fleet.idle(now.steadyMs, lease.listeningSinceMs).forEach { cloudRequests.retire(it.id, "it is idle") }
     }
 
     private fun shareImageCacheHints() {
@@ -742,12 +581,6 @@
         /** Names of machines that are gone, kept to tell late reports from new machines. */
         const val GONE_KEPT = 4096
 
-        /** What the leader may spend of the state service's changes; elections need a few, too. */
-        const val WRITE_SHARE = 0.8
-
-        /** A trim that could make fewer changes isn't worth a commit. */
-        const val LEAST_TRIM = 4
-
         /** Rounds wait while more records than these wait to be written. */
         const val MAX_BACKLOG = 2
 
