--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -1,8 +1,6 @@
 package cleathitch.scheduler
 
 import cleathitch.scheduler.api.Effect
-import cleathitch.scheduler.api.ForwardedHeartbeat
-import cleathitch.scheduler.api.HeartbeatDecision
 import cleathitch.scheduler.api.Input
 import cleathitch.scheduler.api.LogLevel
 import cleathitch.scheduler.api.SchedulerContext
@@ -24,27 +22,24 @@
 import cleathitch.scheduler.machines.CommandDispatcher
 import cleathitch.scheduler.machines.DirectReachability
 import cleathitch.scheduler.machines.FailureDetector
+import cleathitch.scheduler.machines.HeartbeatIntake
+import cleathitch.scheduler.machines.HeartbeatReconciler
+import cleathitch.scheduler.machines.ImageCacheHints
 import cleathitch.scheduler.machines.Inventory
 import cleathitch.scheduler.machines.Machine
+import cleathitch.scheduler.machines.MachineRegistry
 import cleathitch.scheduler.machines.MachineState
 import cleathitch.scheduler.machines.WorkerReconciler
-import cleathitch.scheduler.model.AttemptId
 import cleathitch.scheduler.model.ClockReading
 import cleathitch.scheduler.model.Deployment
-import cleathitch.scheduler.model.ExitReason
-import cleathitch.scheduler.model.Heartbeat
-import cleathitch.scheduler.model.ImageCache
 import cleathitch.scheduler.model.JobKind
 import cleathitch.scheduler.model.ListedMachine
 import cleathitch.scheduler.model.ListedState
 import cleathitch.scheduler.model.MachineId
 import cleathitch.scheduler.model.MachineType
 import cleathitch.scheduler.model.Objective
-import cleathitch.scheduler.model.Offer
 import cleathitch.scheduler.model.PlacementClass
 import cleathitch.scheduler.model.Priority
-import cleathitch.scheduler.model.TaskState
-import cleathitch.scheduler.model.TaskStatus
 import cleathitch.scheduler.model.Term
 import cleathitch.scheduler.placement.Placement
 import cleathitch.scheduler.placement.SchedulingOrder
@@ -87,12 +82,18 @@
         override fun emit(effect: Effect) {
             effects += effect
         }
+        override val hasSteppedDown get() = this@Scheduler.hasSteppedDown
+        override fun mayAnswerMachines() = lease.mayAnswerMachines()
+        override fun mayPlace() = lease.mayPlace()
+        override fun isSettled() = lease.isSettled()
+        override fun stepDown(reason: String, transferLeadership: Boolean) = this@Scheduler.stepDown(reason, transferLeadership)
         override fun isLogged(level: LogLevel) = level <= logLevel
     }
     private val lease = TermLease(context, timings, fleet, start, isFirstTerm = snapshot.head == LogIndex.NONE)
     private val logWriter = LogWriter(context, deployment, timings, term, decisionLog, jobTable, fleet, start)
     private val jobRequests = JobRequests(context, jobTable, decisionLog, fleet, quota, deployment.teams, timings.intakeMs)
     private val workerReconciler = WorkerReconciler(jobTable, decisionLog)
+    private val registry = MachineRegistry(context, deployment, timings, fleet, start)
     private val cloudRequests = CloudRequests(
         context,
         deployment,
@@ -100,13 +101,18 @@
         fleet,
         decisionLog,
         term,
-        isGone = { it in gone },
-        adopt = { id, offer -> adopt(id, offer, now.steadyMs) },
+        isGone = registry::isTerminated,
+        adopt = { id, offer -> registry.register(id, offer, now.steadyMs) },
     )
     private val failureDetector = FailureDetector(context, fleet, jobTable, timings, start.steadyMs, cloudRequests::retire)
 
     private val dispatcher = CommandDispatcher(context, term, jobTable, fleet, decisionLog, workerReconciler, failureDetector)
-    private val gone = LinkedHashSet<MachineId>()
+    private val reconciler =
+        HeartbeatReconciler(context, deployment, timings, fleet, jobTable, workerReconciler, failureDetector)
+    private val directReachability = DirectReachability(timings.probeMs)
+    private val imageCacheHints = ImageCacheHints(context, timings, fleet, start)
+    private val heartbeats =
+        HeartbeatIntake(context, fleet, jobTable, registry, reconciler, dispatcher, directReachability, imageCacheHints)
 
     private var now = start
     private val startedMs = start.steadyMs
@@ -115,19 +121,11 @@
     private var lastWatchMs = 0L
     private var lastFleetMs = 0L
 
-    private val directReachability = DirectReachability(timings.probeMs)
     private var fleetListed = false
 
-    /** Without it a new leader places blindly, and machines fetch again what their neighbours hold. */
-    private var imageCacheHints: Map<MachineId, ImageCache> = emptyMap()
-    private var lastToldMs = start.steadyMs
     private var demands: List<Inventory.Demand> = emptyList()
     private var hasSteppedDown = false
 
-    /** Until then a machine that this leader never answered may go on under an older leader's lease. */
-    private val inheritedLeaseEndMs =
-        start.steadyMs + timings.graceMs + (deployment.leaseS * 1000).toLong() + timings.leaseMarginMs
-
     init {
         StateRecovery(jobTable, fleet, decisionLog).restore(snapshot, dispatcher.firstToken)
     }
@@ -151,7 +149,7 @@
                 watchMachines()
                 if (lease.isHeld()) dispatcher.sendPendingStops()
                 cloudRequests.send()
-                shareImageCacheHints()
+                imageCacheHints.shareIfDue()
             }
             if (lease.mayPlace()) round()
             resizeFleet()
@@ -166,10 +164,10 @@
             is Input.Submit -> jobRequests.submit(command)
             is Input.Poll -> jobRequests.poll(command)
             is Input.Cancel -> jobRequests.abort(command)
-            is Input.HeartbeatReceived -> reported(command)
+            is Input.HeartbeatReceived -> heartbeats.heartbeatReceived(command)
             is Input.FollowerBatchReceived -> followerBatch(command)
-            is Input.ProbeAnswered -> inspected(command.report)
-            is Input.DirectCallUnanswered -> fleet.machines[command.machine]?.let { directReachability.unanswered(it, now.steadyMs) }
+            is Input.ProbeAnswered -> heartbeats.probeAnswered(command.report)
+            is Input.DirectCallUnanswered -> heartbeats.directCallUnanswered(command.machine)
             is Input.LeaseRenewed -> lease.renew(command.untilMs)
             is Input.CommitSucceeded -> committed(command)
             is Input.MachineTypesListed -> typesListed(command.types)
@@ -179,7 +177,7 @@
             }
             is Input.RentalCompleted -> cloudRequests.rentalAnswered(command)
             is Input.MachinesTerminated -> command.machines.forEach { confirmGone(it) }
-            is Input.ImageCacheHintsReceived -> imageCacheHints = command.images
+            is Input.ImageCacheHintsReceived -> imageCacheHints.receive(command.images)
             Input.Tick -> Unit
         }
     }
@@ -195,212 +193,22 @@
 
     // ---- machines
 
-    private fun reported(command: Input.HeartbeatReceived) {
-        when (val decision = decide(command.report)) {
-            is HeartbeatDecision.Answer -> effects += Effect.AnswerHeartbeat(command.request, decision.token, decision.commands)
-            HeartbeatDecision.Refuse, HeartbeatDecision.RequestFull -> effects += Effect.RefuseHeartbeat(command.request)
-        }
-        // What comes from a machine to this node itself shows that the path between them is whole.
-        directReachability.answered()
-    }
-
     private fun followerBatch(command: Input.FollowerBatchReceived) {
-        val decisions = command.reports.map(::decideForwarded)
+        val decisions = command.reports.map(heartbeats::decideForwarded)
         val statuses = command.polls.map {
             if (hasSteppedDown) UserReply.Unavailable("not the leader any more") else jobRequests.currentStatus(it)
         }
         effects += Effect.AnswerFollower(command.request, decisions, statuses)
     }
 
-    private fun decideForwarded(forwarded: ForwardedHeartbeat): HeartbeatDecision {
-        if (hasSteppedDown || !lease.mayAnswerMachines()) return HeartbeatDecision.Refuse
-        val decision = when (forwarded) {
-            is ForwardedHeartbeat.Full -> decide(forwarded.report)
-            is ForwardedHeartbeat.Unchanged -> decideHeartbeat(forwarded)
-        }
-        if (decision is HeartbeatDecision.Answer) directReachability.reported(fleet.machines.getValue(forwarded.machine))
-        return decision
-    }
-
-    /** A heartbeat stands for its base with a newer sequence number, and is decided like that report. */
-    private fun decideHeartbeat(heartbeat: ForwardedHeartbeat.Unchanged): HeartbeatDecision {
-        if (heartbeat.machine in gone) return HeartbeatDecision.Refuse
-        val machine = fleet.machines[heartbeat.machine] ?: return HeartbeatDecision.RequestFull
-        val report = machine.repeatedBy(heartbeat) ?: return HeartbeatDecision.RequestFull
-        return decide(report)
-    }
-
-    /** Takes a report in and decides about its answer. */
-    private fun decide(report: Heartbeat): HeartbeatDecision {
-        if (!lease.mayAnswerMachines() || !observe(report)) return HeartbeatDecision.Refuse
-        val machine = fleet.machines.getValue(report.machine)
-        machine.lastReportMs = now.steadyMs
-        // Its next report shows the version of our last answer, unless that didn't reach it.
-        machine.missedReplies = if (report.token < machine.answered) machine.missedReplies + 1 else 0
-        return dispatcher.replyTo(machine)
-    }
-
-    /**
-     * Takes in a report; false if it must not be answered, as it is older than one seen before or the
-     * machine is gone.
-     *
-     * Even a report that isn't answered pushes the bound of the machine's lease: its session may just have
-     * begun. (A machine first heard of as it took orders directly was once held to have no lease at all,
-     * and its tasks were started elsewhere.)
-     */
-    private fun observe(report: Heartbeat): Boolean {
-        if (report.token > dispatcher.token) {
-            stepDown("machine ${report.machine} has seen version ${report.token}, ours is ${dispatcher.token}")
-            return false
-        }
-        if (report.machine in gone) return false
-        val machine = fleet.machines[report.machine]
-            ?: adopt(report.machine, Offer(report.type, report.zone, report.spot), now.steadyMs)
-        if (machine.newerThan(report)) return false
-        if (report.incarnation > machine.incarnation) machine.forgetImages()
-        if (machine.lastHeardMs == null) {
-            imageCacheHints[machine.id]?.takeIf { it.incarnation == report.incarnation }?.sizesGb?.forEach(machine::recordImage)
-        }
-        machine.address = report.address
-        machine.incarnation = report.incarnation
-        machine.sequenceNumber = report.sequenceNumber
-        machine.token = maxOf(machine.token, report.token)
-        if (report.token >= dispatcher.firstToken) machine.confirmed = true
-        machine.lastHeardMs = now.steadyMs
-        machine.probes = 0
-        machine.leaseEndMs = maxOf(machine.leaseEndMs, leaseEndFromNow())
-        machine.preemptionAtMs = report.preemptionNoticeS?.let { now.steadyMs + (it * 1000).toLong() }
-        machine.reported = report.tasks
-        if (machine.state == MachineState.STARTING) {
-            machine.state = MachineState.UP
-            machine.missedSinceMs = now.steadyMs
-            machine.idleSinceMs = now.steadyMs
-            logEvent(LogLevel.INFO) { "machine ${machine.id} ${machine.offer} is up" }
-        }
-        reconcile(machine, report)
-        if (machine.preemptionAtMs != null && machine.state == MachineState.UP) drain(machine)
-        return true
-    }
-
-    /** An answer to us, and so no late copy: the machine lives, and what it lacks can be sent at once. */
-    private fun inspected(report: Heartbeat) {
-        val first = fleet.machines[report.machine]?.lastHeardMs == null
-        if (!observe(report)) return
-        val machine = fleet.machines.getValue(report.machine)
-        machine.confirmed = true
-        directReachability.answered()
-        if (first) dispatcher.push(machine)
-    }
-
-    private fun leaseEndFromNow() = now.steadyMs + (deployment.leaseS * 1000).toLong() + timings.leaseMarginMs
-
-    private fun adopt(id: MachineId, offer: Offer, rentedAtMs: Long): Machine = fleet.adopt(id, offer, rentedAtMs).also {
-        it.leaseEndMs = maxOf(it.leaseEndMs, inheritedLeaseEndMs, leaseEndFromNow())
-    }
-
-    private fun reconcile(machine: Machine, report: Heartbeat) {
-        val shown = HashSet<AttemptId>()
-        for (task in report.tasks) {
-            shown += task.attempt
-            val attempt = jobTable.attempt(task.attempt)?.takeIf { it.machine == machine.id }
-            if (attempt != null) {
-                seen(machine, attempt, task)
-            } else if (task.state == TaskState.EXITED && task.exitReason == ExitReason.DONE) {
-                // A result is kept outside the machine, whichever attempt brought it about.
-                jobTable.job(task.attempt.task.job)?.let { finish(machine, it, task.attempt) }
-            }
-        }
-        for (attempt in jobTable.attemptsOn(machine.id).toList()) {
-            if (attempt.id in shown) continue
-            attempt.seen = null
-            // Left to a machine that our answers don't reach, a task would wait there for as long as the way is cut.
-            if ((attempt.stop != null || !failureDetector.isReachable(machine)) &&
-                workerReconciler.isTerminationConfirmed(attempt, machine)
-            ) {
-                over(attempt)
-            }
-        }
-        workerReconciler.shown(machine.id, shown)
-        if (jobTable.attemptsOn(machine.id).isNotEmpty()) machine.idleSinceMs = now.steadyMs
-    }
-
-    private fun seen(machine: Machine, attempt: Attempt, task: TaskStatus) {
-        attempt.seen = task.state
-        val job = attempt.job
-        when (task.state) {
-            TaskState.FETCHING -> Unit
-            TaskState.WAITING, TaskState.RUNNING, TaskState.SAVING -> {
-                machine.recordImage(job.spec.image, job.spec.imageGb)
-                if (attempt.runningSinceMs == null) {
-                    attempt.runningSinceMs = now.steadyMs
-                    logEvent(LogLevel.DEBUG) { "task ${attempt.id} runs on machine ${machine.id}" }
-                }
-            }
-            TaskState.EXITED -> {
-                when (task.exitReason) {
-                    ExitReason.DONE -> if (!job.done[attempt.id.task.index]) return finish(machine, job, attempt.id)
-                    ExitReason.ERROR -> {
-                        machine.faults++
-                        delay(job)
-                        logEvent(LogLevel.INFO) { "task ${attempt.id} failed on machine ${machine.id} (failure ${machine.faults} there)" }
-                    }
-                    ExitReason.UNKNOWN -> delay(job)
-                    ExitReason.NO_ROOM -> machine.fullUntilMs = now.steadyMs + (deployment.reportS * 1000).toLong()
-                    ExitReason.BUSY, ExitReason.STOPPED, ExitReason.PEERS_MISSING, null -> Unit
-                }
-                if (task.exitReason != ExitReason.DONE) {
-                    logEvent(LogLevel.DEBUG) { "task ${attempt.id} ended on machine ${machine.id}: ${task.exitReason}" }
-                }
-                over(attempt)
-            }
-        }
-    }
-
-    /** A job whose tasks fail is tried ever more rarely, up to once in a lease. */
-    private fun delay(job: Job) {
-        job.failures++
-        val most = (deployment.leaseS * 1000).toLong()
-        job.notBeforeMs = now.steadyMs + minOf(most, timings.roundMs shl minOf(job.failures - 1, 20))
-    }
-
-    /** A task's result is there; if the job's live attempt of it brought it about, that is over, too. */
-    private fun finish(machine: Machine, job: Job, attempt: AttemptId) {
-        if (job.done[attempt.task.index]) return
-        logEvent(LogLevel.DEBUG) { "task $attempt is done" }
-        workerReconciler.outcome(machine.id, attempt, context.append(Event.TaskCompleted(job.id, attempt.task.index, attempt.number)))
-        job.failures = 0
-        job.live[attempt.task.index]?.stop = StopCause.STRAY
-        if (jobTable.attemptsOn(machine.id).isEmpty()) machine.idleSinceMs = now.steadyMs
-        job.stopIfOver()
-        if (job.finishedSeq != null) logEvent(LogLevel.DEBUG) { "job ${job.id} is done" }
-    }
-
-    /** The attempt is surely gone; its task may start again. */
-    private fun over(attempt: Attempt) {
-        workerReconciler.outcome(
-            attempt.machine,
-            attempt.id,
-            context.append(Event.AttemptTerminated(attempt.id.task.job, attempt.id.task.index, attempt.id.number)),
-        )
-        val machine = fleet.machines[attempt.machine] ?: return
-        if (jobTable.attemptsOn(machine.id).isEmpty()) machine.idleSinceMs = now.steadyMs
-    }
-
-    /** A machine about to be taken gets nothing new, and what can be saved is saved in time. */
-    private fun drain(machine: Machine) {
-        for (attempt in jobTable.attemptsOn(machine.id)) {
-            if (attempt.stop == null && attempt.job.spec.checkpointS > 0) attempt.stop = StopCause.DRAIN
-        }
-    }
-
     private fun watchMachines() {
         for (machine in fleet.machines.values.toList()) {
             if (now.steadyMs >= machine.leaseEndMs) {
-                jobTable.attemptsOn(machine.id).toList().forEach(::over)
+                reconciler.recordTerminationOfAll(machine.id)
             }
         }
         for (id in jobTable.machinesInUse.toList()) {
-            if (id !in fleet.machines && now.steadyMs >= inheritedLeaseEndMs) jobTable.attemptsOn(id).toList().forEach(::over)
+            if (id !in fleet.machines && now.steadyMs >= registry.inheritedLeaseEndMs) reconciler.recordTerminationOfAll(id)
         }
         if (lease.isHeld() && now.steadyMs - startedMs < timings.failoverMs) failureDetector.probeUnheard()
         if (!lease.isSettled()) return
@@ -427,11 +235,10 @@
 
     private fun confirmGone(id: MachineId) {
         if (id !in fleet.retired) return
-        jobTable.attemptsOn(id).toList().forEach(::over)
+        reconciler.recordTerminationOfAll(id)
         context.append(Event.MachineTerminated(id))
         cloudRequests.returned(id)
-        gone += id
-        if (gone.size > GONE_KEPT) gone.remove(gone.first())
+        registry.recordTerminated(id)
     }
 
     // ---- the cloud
@@ -441,8 +248,8 @@
     }
 
     private fun listed(listed: ListedMachine) {
-        if (listed.machine in gone) return
-        val machine = fleet.machines[listed.machine] ?: adopt(
+        if (registry.isTerminated(listed.machine)) return
+        val machine = fleet.machines[listed.machine] ?: registry.register(
             listed.machine,
             listed.offer,
             now.steadyMs - (listed.ageS * 1000).toLong(),
@@ -561,13 +368,6 @@
         fleet.idle(now.steadyMs, lease.listeningSinceMs).forEach { cloudRequests.retire(it.id, "it is idle") }
     }
 
-    private fun shareImageCacheHints() {
-        if (now.steadyMs - lastToldMs < timings.imageHintPeriodMs) return
-        lastToldMs = now.steadyMs
-        val up = fleet.machines.values.filter { it.state == MachineState.UP && it.lastHeardMs != null }
-        effects += Effect.ShareImageCacheHints(up.associate { it.id to it.imageCache() })
-    }
-
     private fun stepDown(reason: String, transferLeadership: Boolean = false) {
         hasSteppedDown = true
         effects += Effect.StepDown(reason, transferLeadership)
@@ -578,9 +378,6 @@
     }
 
     private companion object {
-        /** Names of machines that are gone, kept to tell late reports from new machines. */
-        const val GONE_KEPT = 4096
-
         /** Rounds wait while more records than these wait to be written. */
         const val MAX_BACKLOG = 2
 
--- /dev/null
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatReconciler.kt
@@ -0,0 +1,136 @@
+package cleathitch.scheduler.machines
+
+import cleathitch.scheduler.api.LogLevel
+import cleathitch.scheduler.api.SchedulerContext
+import cleathitch.scheduler.api.SchedulerTimings
+import cleathitch.scheduler.api.logEvent
+import cleathitch.scheduler.jobs.Attempt
+import cleathitch.scheduler.jobs.Job
+import cleathitch.scheduler.jobs.JobTable
+import cleathitch.scheduler.jobs.StopCause
+import cleathitch.scheduler.log.Event
+import cleathitch.scheduler.model.AttemptId
+import cleathitch.scheduler.model.Deployment
+import cleathitch.scheduler.model.ExitReason
+import cleathitch.scheduler.model.Heartbeat
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.model.TaskState
+import cleathitch.scheduler.model.TaskStatus
+
+/**
+ * Reconciles the job table with what a heartbeat shows: records the attempts that have completed or terminated, and what
+ * failed on the machine. Confined to the leader's event loop.
+ */
+internal class HeartbeatReconciler(
+    private val context: SchedulerContext,
+    private val deployment: Deployment,
+    private val timings: SchedulerTimings,
+    private val inventory: Inventory,
+    private val jobTable: JobTable,
+    private val workerReconciler: WorkerReconciler,
+    private val failureDetector: FailureDetector,
+) {
+    /** Takes over the states of the tasks that [heartbeat] lists, then looks for the attempts that it lacks. */
+    fun reconcile(machine: Machine, heartbeat: Heartbeat) {
+        for (task in heartbeat.tasks) reconcileTask(machine, task)
+        val reported = heartbeat.tasks.mapTo(HashSet()) { it.attempt }
+        for (attempt in jobTable.attemptsOn(machine.id).toList()) {
+            if (attempt.id !in reported) reconcileMissing(machine, attempt)
+        }
+        workerReconciler.shown(machine.id, reported)
+        if (jobTable.attemptsOn(machine.id).isNotEmpty()) machine.idleSinceMs = context.now.steadyMs
+    }
+
+    /** The attempt surely doesn't run any more; its task may start again. */
+    fun recordTermination(attempt: Attempt) {
+        val event = Event.AttemptTerminated(attempt.id.task.job, attempt.id.task.index, attempt.id.number)
+        workerReconciler.outcome(attempt.machine, attempt.id, context.append(event))
+        val machine = inventory.machines[attempt.machine] ?: return
+        if (jobTable.attemptsOn(machine.id).isEmpty()) machine.idleSinceMs = context.now.steadyMs
+    }
+
+    /** Nothing runs on the machine any more. */
+    fun recordTerminationOfAll(machine: MachineId) {
+        jobTable.attemptsOn(machine).toList().forEach(::recordTermination)
+    }
+
+    private fun reconcileTask(machine: Machine, task: TaskStatus) {
+        val attempt = jobTable.attempt(task.attempt)?.takeIf { it.machine == machine.id }
+        if (attempt != null) {
+            recordState(machine, attempt, task)
+        } else if (task.state == TaskState.EXITED && task.exitReason == ExitReason.DONE) {
+            // Results are kept outside the machine, so the result of any attempt completes the task.
+            jobTable.job(task.attempt.task.job)?.let { recordCompletion(machine, it, task.attempt) }
+        }
+    }
+
+    private fun reconcileMissing(machine: Machine, attempt: Attempt) {
+        attempt.seen = null
+        // A machine that misses our replies can't start the attempt; left to it, the task would wait until the partition heals.
+        val isAbandoned = attempt.stop != null || !failureDetector.isReachable(machine)
+        if (isAbandoned && workerReconciler.isTerminationConfirmed(attempt, machine)) recordTermination(attempt)
+    }
+
+    private fun recordState(machine: Machine, attempt: Attempt, task: TaskStatus) {
+        attempt.seen = task.state
+        when (task.state) {
+            TaskState.FETCHING -> Unit
+            TaskState.WAITING, TaskState.RUNNING, TaskState.SAVING -> recordRunning(machine, attempt)
+            TaskState.EXITED -> recordExit(machine, attempt, task)
+        }
+    }
+
+    private fun recordRunning(machine: Machine, attempt: Attempt) {
+        machine.recordImage(attempt.job.spec.image, attempt.job.spec.imageGb)
+        if (attempt.runningSinceMs != null) return
+        attempt.runningSinceMs = context.now.steadyMs
+        context.logEvent(LogLevel.DEBUG) { "task ${attempt.id} runs on machine ${machine.id}" }
+    }
+
+    private fun recordExit(machine: Machine, attempt: Attempt, task: TaskStatus) {
+        val job = attempt.job
+        when (task.exitReason) {
+            ExitReason.DONE -> if (!job.done[attempt.id.task.index]) return recordCompletion(machine, job, attempt.id)
+            ExitReason.ERROR -> {
+                machine.faults++
+                delayRetry(job)
+                context.logEvent(LogLevel.INFO) {
+                    "task ${attempt.id} failed on machine ${machine.id} (failure ${machine.faults} there)"
+                }
+            }
+            ExitReason.UNKNOWN -> delayRetry(job)
+            ExitReason.NO_ROOM -> machine.fullUntilMs = context.now.steadyMs + (deployment.reportS * 1000).toLong()
+            ExitReason.BUSY, ExitReason.STOPPED, ExitReason.PEERS_MISSING, null -> Unit
+        }
+        if (task.exitReason != ExitReason.DONE) {
+            context.logEvent(LogLevel.DEBUG) { "task ${attempt.id} ended on machine ${machine.id}: ${task.exitReason}" }
+        }
+        recordTermination(attempt)
+    }
+
+    /** The task's result is there; if its live attempt is another one, that is stopped. */
+    private fun recordCompletion(machine: Machine, job: Job, attempt: AttemptId) {
+        val index = attempt.task.index
+        if (job.done[index]) return
+        context.logEvent(LogLevel.DEBUG) { "task $attempt is done" }
+        workerReconciler.outcome(machine.id, attempt, context.append(Event.TaskCompleted(job.id, index, attempt.number)))
+        job.failures = 0
+        job.live[index]?.stop = StopCause.STRAY
+        if (jobTable.attemptsOn(machine.id).isEmpty()) machine.idleSinceMs = context.now.steadyMs
+        job.stopIfOver()
+        if (job.finishedSeq != null) context.logEvent(LogLevel.DEBUG) { "job ${job.id} is done" }
+    }
+
+    /** Doubles the time before a failing job is tried again, up to the length of a worker's lease. */
+    private fun delayRetry(job: Job) {
+        job.failures++
+        val limitMs = (deployment.leaseS * 1000).toLong()
+        val backoffMs = timings.roundMs shl minOf(job.failures - 1, MAX_BACKOFF_DOUBLINGS)
+        job.notBeforeMs = context.now.steadyMs + minOf(limitMs, backoffMs)
+    }
+
+    private companion object {
+        /** Keeps the shift far from an overflow; the lease bounds the delay long before. */
+        const val MAX_BACKOFF_DOUBLINGS = 20
+    }
+}
