--- /dev/null
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudInventoryIntake.kt
@@ -0,0 +1,64 @@
+package cleathitch.scheduler.capacity
+
+import cleathitch.scheduler.api.SchedulerContext
+import cleathitch.scheduler.log.Event
+import cleathitch.scheduler.machines.FailureDetector
+import cleathitch.scheduler.machines.HeartbeatReconciler
+import cleathitch.scheduler.machines.Inventory
+import cleathitch.scheduler.machines.MachineRegistry
+import cleathitch.scheduler.machines.MachineState
+import cleathitch.scheduler.model.ListedMachine
+import cleathitch.scheduler.model.ListedState
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.model.MachineType
+
+/** Takes over what the cloud tells: machine types, the list of machines and terminations. Confined to the leader's event loop. */
+internal class CloudInventoryIntake(
+    private val context: SchedulerContext,
+    private val inventory: Inventory,
+    private val registry: MachineRegistry,
+    private val reconciler: HeartbeatReconciler,
+    private val failureDetector: FailureDetector,
+    private val cloudRequests: CloudRequests,
+) {
+    /** Whether the cloud has listed its machines in this term. */
+    var areMachinesListed = false
+        private set
+
+    /** The cloud has listed the machine types and their prices. */
+    fun machineTypesListed(types: List<MachineType>) {
+        inventory.types = types.associateBy { it.name }
+    }
+
+    /** The cloud has listed the machines that it runs for us. */
+    fun machinesListed(machines: List<ListedMachine>) {
+        machines.forEach(::recordListed)
+        areMachinesListed = true
+    }
+
+    /** The cloud has confirmed that these machines are terminated: nothing runs there any more. */
+    fun machinesTerminated(machines: List<MachineId>) {
+        for (id in machines) if (id in inventory.retired) recordTerminated(id)
+    }
+
+    private fun recordListed(listed: ListedMachine) {
+        if (registry.isTerminated(listed.machine)) return
+        val machine = inventory.machines[listed.machine] ?: register(listed)
+        machine.listedRunning = listed.state == ListedState.RUNNING
+        if (machine.address == null) machine.address = listed.address
+        failureDetector.suspectIfRunning(machine)
+        if (listed.state == ListedState.FAILED && machine.state != MachineState.RETIRED && context.isSettled()) {
+            cloudRequests.retire(machine.id, "it has failed")
+        }
+    }
+
+    private fun register(listed: ListedMachine) =
+        registry.register(listed.machine, listed.offer, context.now.steadyMs - (listed.ageS * 1000).toLong())
+
+    private fun recordTerminated(id: MachineId) {
+        reconciler.recordTerminationOfAll(id)
+        context.append(Event.MachineTerminated(id))
+        cloudRequests.returned(id)
+        registry.recordTerminated(id)
+    }
+}
