--- a/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
+++ b/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
@@ -59,7 +59,7 @@
     fun runIfDue() {
         if (context.now.steadyMs - lastRoundMs < timings.roundMs || !decisionLog.idle || decisionLog.backlog > MAX_BACKLOG) return
         lastRoundMs = context.now.steadyMs
-        val waiting = jobTable.jobs.filter { it.waiting > 0 && it.notBeforeMs <= context.now.steadyMs }
+        val waiting = jobTable.jobs.filter { it.waiting > 0 && it.retryNotBeforeMs <= context.now.steadyMs }
         if (waiting.isEmpty()) demands = emptyList() else run(waiting)
     }
 
@@ -78,7 +78,7 @@
     private fun isUsable(machine: Machine) = machine.state == MachineState.UP &&
         machine.preemptionAtMs == null &&
         machine.fullUntilMs <= context.now.steadyMs &&
-        machine.confirmed &&
+        machine.isConfirmed &&
         failureDetector.isReachable(machine) &&
         failureDetector.silentForMs(machine) < timings.probeMs
 
@@ -115,7 +115,7 @@
             val roomMade = candidates.makeRoom(job, count)
             val machines = LinkedHashSet<Machine>()
             for (victim in roomMade.victims) {
-                victim.stop = StopCause.PREEMPTED
+                victim.requestStop(StopCause.PREEMPTED)
                 context.logEvent(LogLevel.DEBUG) { "task ${victim.id} on machine ${victim.machine} makes room for job ${job.id}" }
                 inventory.machines[victim.machine]?.let { machines += it }
             }
@@ -125,7 +125,7 @@
 
         /** Starts the gang once all its tasks find room and nothing is left of an earlier start. */
         private fun placeGang(job: Job) {
-            if (job.live.isNotEmpty() || quota.roomFor(job.spec) < job.waiting) return
+            if (job.liveAttempts.isNotEmpty() || quota.roomFor(job.spec) < job.waiting) return
             val machines = candidates.chooseAll(job)
             if (machines == null) {
                 unplacedTasks += UnplacedTasks(job.spec, job.waiting)
@@ -140,7 +140,7 @@
 
     private fun start(job: Job, index: Int, machine: Machine, number: Long = job.lastNumber + 1) {
         val seq = context.append(Event.AttemptStarted(job.id, index, number, machine.id))
-        machine.idleSinceMs = context.now.steadyMs
+        machine.recordUse(context.now.steadyMs)
         dispatcher.pushAfter(seq, machine.id)
         context.logEvent(LogLevel.DEBUG) { "task ${job.id}/$index#${job.lastNumber} goes to machine ${machine.id} with record $seq" }
     }
--- a/src/main/kotlin/cleathitch/scheduler/StateRecovery.kt
+++ b/src/main/kotlin/cleathitch/scheduler/StateRecovery.kt
@@ -28,7 +28,7 @@
         recovered.finals.forEach { jobTable.restore(it.second) }
         recovered.jobs.forEach { (snapshot, parts) ->
             jobTable.restore(snapshot)
-            jobTable.job(snapshot.spec.id)?.partsWritten = parts
+            jobTable.job(snapshot.spec.id)?.recordPartsWritten(parts)
             foldedUpTo[DecisionLog.JOB_PREFIX + snapshot.spec.id.text] = LogIndex(snapshot.upTo)
         }
         recovered.fleet?.let {
@@ -52,8 +52,8 @@
     private fun inheritAttempts(firstToken: FencingToken) {
         jobTable.jobs.forEach { job ->
             // Commands of an earlier leader may still be in flight, under tokens below this term's first.
-            job.live.values.forEach { it.inheritedToken = firstToken }
-            job.live.values.forEach { if (job.done[it.id.task.index]) it.stop = StopCause.STRAY }
+            job.liveAttempts.values.forEach { it.inherit(firstToken) }
+            job.liveAttempts.values.forEach { if (job.isDone(it.id.task.index)) it.requestStop(StopCause.STRAY) }
             job.stopIfOver()
         }
     }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudInventoryIntake.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudInventoryIntake.kt
@@ -44,10 +44,9 @@
     private fun recordListed(listed: ListedMachine) {
         if (registry.isTerminated(listed.machine)) return
         val machine = inventory.machines[listed.machine] ?: register(listed)
-        machine.listedRunning = listed.state == ListedState.RUNNING
-        if (machine.address == null) machine.address = listed.address
-        failureDetector.suspectIfRunning(machine)
-        if (listed.state == ListedState.FAILED && machine.state != MachineState.RETIRED && context.isSettled()) {
+        machine.recordListing(isRunning = listed.state == ListedState.RUNNING, listed.address)
+        failureDetector.expectIfRunning(machine)
+        if (listed.state == ListedState.FAILED && machine.state != MachineState.TERMINATING && context.isSettled()) {
             cloudRequests.retire(machine.id, "it has failed")
         }
     }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
@@ -65,7 +65,7 @@
         val asked = fleet.rentals[command.request] ?: return
         when (val answer = command.answer) {
             is RentalAnswer.Rented -> {
-                answer.machines.filter { !isGone(it) }.forEach { adopt(it, asked.offer).confirmed = true }
+                answer.machines.filter { !isGone(it) }.forEach { adopt(it, asked.offer).confirm() }
                 if (answer.machines.size < asked.count) fleet.refused(asked.offer, context.now.steadyMs)
                 context.append(Event.RentalResolved(command.request))
                 context.logEvent(LogLevel.INFO) { "rental ${command.request}: ${answer.machines.size} of ${asked.count} ${asked.offer}" }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/DemandForecast.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/DemandForecast.kt
@@ -35,7 +35,7 @@
     fun demands(unplaced: List<UnplacedTasks>): List<Inventory.Demand> {
         if (unplaced.isEmpty()) return emptyList()
         val freed = jobTable.jobs.filter { it.spec.kind == JobKind.ARRAY && it.spec.estimateS > 0 }
-            .sumOf { it.live.size * it.spec.cpus / it.spec.estimateS }
+            .sumOf { it.liveAttempts.size * it.spec.cpus / it.spec.estimateS }
         val wants = LinkedHashMap<PlacementClass, Want>()
         // Processors that are freed, but by then taken by classes before: within half of the slack, and within all.
         var usedSoon = 0.0
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Attempt.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Attempt.kt
@@ -7,26 +7,61 @@
 import cleathitch.scheduler.model.TaskState
 
 /**
- * A start that was decided and of which nobody has shown yet that it is over. While it stands, the
- * task counts in quota, spread and room, and is started nowhere else.
+ * A start of a task that isn't known to be over. While it is live, the task counts in quota, spread and the machine's
+ * load, and is started nowhere else. Owned by [JobTable]; confined to the leader's event loop.
  */
 class Attempt(val id: AttemptId, val job: Job, val machine: MachineId, val startSeq: LogIndex) {
-    /** What the machine's newest report says, null while it shows nothing. */
-    var seen: TaskState? = null
-    var seenAtMs: Long? = null
+    /** The state that the machine's newest heartbeat shows, null if it doesn't list the attempt. */
+    var observedState: TaskState? = null
+        private set
 
-    /** The version of the last message that carried the start, null while none was sent by this leader. */
-    var sent: FencingToken? = null
+    /** Since when the attempt is known to have its image, null before that. */
+    var runningSinceMs: Long? = null
+        private set
+
+    /** Why the attempt is to be stopped, null if it isn't. */
+    var stopCause: StopCause? = null
+        private set
 
     /** The machine's session for which this leader last sent the start. */
-    var sentIncarnation = 0L
+    var lastSentIncarnation = 0L
+        private set
 
-    /** The version up to which an order of an earlier term may still be on its way. */
-    var inheritedToken: FencingToken? = null
-    var stop: StopCause? = null
-    var stopSentAtMs: Long? = null
-    var runningSinceMs: Long? = null
+    /** The token under which this leader last sent the start, null if it didn't. */
+    private var lastSentToken: FencingToken? = null
+
+    /** The token below which a command of an earlier term may still be in flight, null if the attempt began in this term. */
+    private var inheritedToken: FencingToken? = null
+
+    /** Whether an earlier leader began the attempt. */
+    val isInherited: Boolean get() = inheritedToken != null
+
+    /** Any start in flight has this token at most; null if none was ever sent. */
+    val newestStartToken: FencingToken? get() = lastSentToken ?: inheritedToken
+
+    /** The machine's newest heartbeat shows [state], or doesn't list the attempt. */
+    fun observe(state: TaskState?) {
+        observedState = state
+    }
+
+    /** The attempt has its image. */
+    fun recordRunning(nowMs: Long) {
+        runningSinceMs = nowMs
+    }
+
+    /** The start was sent under [token], for the machine's session [incarnation]. */
+    fun recordSent(token: FencingToken, incarnation: Long) {
+        lastSentToken = token
+        lastSentIncarnation = incarnation
+    }
+
+    /** The attempt is to be stopped; a later cause replaces an earlier one. */
+    fun requestStop(cause: StopCause) {
+        stopCause = cause
+    }
 
-    /** Any start on its way bears this version at most; null: surely none was ever sent. */
-    val newestStartToken: FencingToken? get() = sent ?: inheritedToken
+    /** An earlier leader began the attempt, and may have sent starts under tokens below [token]. */
+    fun inherit(token: FencingToken) {
+        inheritedToken = token
+    }
 }
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
@@ -1,69 +1,136 @@
 package cleathitch.scheduler.jobs
 
 import cleathitch.scheduler.log.LogIndex
+import cleathitch.scheduler.model.JobId
 import cleathitch.scheduler.model.JobSpec
 import java.util.BitSet
 import java.util.TreeSet
 
+/**
+ * A job from its acceptance until nothing of it runs any more. Owned by [JobTable], which applies the events to it; confined
+ * to the leader's event loop.
+ */
 class Job(val spec: JobSpec, val wallMs: Long, val acceptedSeq: LogIndex) {
-    val id get() = spec.id
-    val done = BitSet()
+    val id: JobId get() = spec.id
+
+    private val completedTasks = BitSet()
+
+    /** How many tasks are complete. */
     var doneCount = 0
         private set
-    val live = LinkedHashMap<Int, Attempt>()
+
+    private val attemptsByTask = LinkedHashMap<Int, Attempt>()
+
+    /** The attempts that may still be running, by task index, the oldest first. */
+    val liveAttempts: Map<Int, Attempt> get() = attemptsByTask
+
+    /** The highest attempt number given so far. */
     var lastNumber = 0L
+        private set
+
+    /** The record that cancels the job, null while it isn't cancelled. */
     var cancelledSeq: LogIndex? = null
+        private set
+
+    /** The record with the job's last result, null while tasks are missing. */
     var finishedSeq: LogIndex? = null
+        private set
 
-    /** How many parts of the job's cell stand in the state service. */
+    /** How many parts the job's snapshot has in the key-value store. */
     var partsWritten = 0
+        private set
+
+    /** Tasks that have failed by themselves since the last that completed. */
+    private var consecutiveFailures = 0
+
+    /** Until then no task of the job is started again after a failure. */
+    var retryNotBeforeMs = 0L
+        private set
 
-    /** Tasks that failed by themselves since the last that didn't, and when the job may be tried again. */
-    var failures = 0
-    var notBeforeMs = 0L
+    /** No task below this index is waiting for its first attempt. */
+    private var nextFreshIndex = 0
 
-    private var fresh = 0
-    private val again = TreeSet<Int>()
+    /** Tasks that wait for another attempt; they go first. */
+    private val retryIndexes = TreeSet<Int>()
 
-    val cancelled get() = cancelledSeq != null
-    val over get() = cancelled || finishedSeq != null
-    val waiting get() = if (over) 0 else spec.tasks - doneCount - live.size
+    val isCancelled: Boolean get() = cancelledSeq != null
 
+    /** Whether nothing of the job is started any more. */
+    val isOver: Boolean get() = isCancelled || finishedSeq != null
+
+    /** How many tasks wait to be started. */
+    val waiting: Int get() = if (isOver) 0 else spec.tasks - doneCount - attemptsByTask.size
+
+    /** Whether the task's result is there. */
+    fun isDone(index: Int): Boolean = completedTasks[index]
+
+    /** The completed tasks as a bit set, in the form of [restoreProgress]. */
+    fun doneBits(): ByteArray = completedTasks.toByteArray()
+
+    /** The index of the task to start next, null if none waits. */
     fun nextWaiting(): Int? {
-        if (over) return null
-        again.firstOrNull()?.let { return it }
-        while (fresh < spec.tasks && (done[fresh] || fresh in live)) fresh++
-        return fresh.takeIf { it < spec.tasks }
+        if (isOver) return null
+        retryIndexes.firstOrNull()?.let { return it }
+        while (nextFreshIndex < spec.tasks && (completedTasks[nextFreshIndex] || nextFreshIndex in attemptsByTask)) nextFreshIndex++
+        return nextFreshIndex.takeIf { it < spec.tasks }
     }
 
-    /** Of a job that is over nothing goes on. */
+    /** Stops what may still run of a job that is over. */
     fun stopIfOver() {
-        if (over) live.values.forEach { it.stop = StopCause.CANCELLED }
+        if (isOver) attemptsByTask.values.forEach { it.requestStop(StopCause.CANCELLED) }
+    }
+
+    /** A task has failed by itself: the time before the next start doubles with each failure, from [firstDelayMs] to [limitMs]. */
+    fun recordFailure(nowMs: Long, firstDelayMs: Long, limitMs: Long) {
+        consecutiveFailures++
+        val delayMs = firstDelayMs shl minOf(consecutiveFailures - 1, MAX_DELAY_DOUBLINGS)
+        retryNotBeforeMs = nowMs + minOf(limitMs, delayMs)
+    }
+
+    /** A task has completed, so the delay after the next failure is short again. */
+    fun recordSuccess() {
+        consecutiveFailures = 0
+    }
+
+    /** The job's snapshot stands in the key-value store in as many parts. */
+    fun recordPartsWritten(parts: Int) {
+        partsWritten = parts
     }
 
-    internal fun started(attempt: Attempt) {
+    internal fun recordCancellation(seq: LogIndex) {
+        cancelledSeq = seq
+    }
+
+    internal fun recordStart(attempt: Attempt) {
         val index = attempt.id.task.index
-        live[index] = attempt
-        again.remove(index)
+        attemptsByTask[index] = attempt
+        retryIndexes.remove(index)
         lastNumber = maxOf(lastNumber, attempt.id.number)
     }
 
-    internal fun ended(index: Int) {
-        live.remove(index)
-        if (!done[index]) again.add(index)
+    internal fun recordEnd(index: Int) {
+        attemptsByTask.remove(index)
+        if (!completedTasks[index]) retryIndexes.add(index)
     }
 
-    internal fun taskDone(index: Int, seq: LogIndex) {
-        if (done[index]) return
-        done.set(index)
+    internal fun recordCompletion(index: Int, seq: LogIndex) {
+        if (completedTasks[index]) return
+        completedTasks.set(index)
         doneCount++
-        again.remove(index)
-        if (doneCount == spec.tasks && !cancelled) finishedSeq = seq
+        retryIndexes.remove(index)
+        if (doneCount == spec.tasks && !isCancelled) finishedSeq = seq
     }
 
-    internal fun restoreDone(bits: BitSet) {
-        done.or(bits)
-        doneCount = done.cardinality()
+    /** Takes over the progress that a snapshot holds. */
+    internal fun restoreProgress(doneBits: ByteArray, lastNumber: Long) {
+        completedTasks.or(BitSet.valueOf(doneBits))
+        doneCount = completedTasks.cardinality()
         if (doneCount == spec.tasks) finishedSeq = LogIndex.NONE
+        this.lastNumber = lastNumber
+    }
+
+    private companion object {
+        /** Keeps the shift far from an overflow; the limit bounds the delay long before. */
+        const val MAX_DELAY_DOUBLINGS = 20
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/jobs/JobTable.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/JobTable.kt
@@ -10,96 +10,116 @@
 import cleathitch.scheduler.model.JobId
 import cleathitch.scheduler.model.MachineId
 import cleathitch.scheduler.model.TaskId
-import java.util.BitSet
 
-/** All jobs, what is done of them and what may still be running; a function of the events applied. */
+/**
+ * All jobs, their completed tasks and their live attempts: a function of the events applied. Confined to the leader's
+ * event loop.
+ */
 class JobTable {
-    private val open = LinkedHashMap<JobId, Job>()
-    private val finals = HashMap<JobId, FinalState>()
-    private val onMachine = HashMap<MachineId, LinkedHashMap<AttemptId, Attempt>>()
-    private val machineLoad = HashMap<MachineId, ResourceUsage>()
-    private val teamLoad = HashMap<String, ResourceUsage>()
+    private val jobsById = LinkedHashMap<JobId, Job>()
+
+    /** The jobs of which nothing is kept but how they ended. */
+    private val finalStates = HashMap<JobId, FinalState>()
+    private val attemptsByMachine = HashMap<MachineId, LinkedHashMap<AttemptId, Attempt>>()
+    private val usageByMachine = HashMap<MachineId, ResourceUsage>()
+    private val usageByTeam = HashMap<String, ResourceUsage>()
 
     /** Jobs that aren't over, or of which something may still run. */
-    val jobs: Collection<Job> get() = open.values
+    val jobs: Collection<Job> get() = jobsById.values
+
+    /** The job, null if it is unknown or archived. */
+    fun job(id: JobId): Job? = jobsById[id]
+
+    /** How an archived job ended, null if the job isn't archived. */
+    fun finalState(id: JobId): FinalState? = finalStates[id]
+
+    /** The attempts that may still run on the machine; a live view. */
+    fun attemptsOn(machine: MachineId): Collection<Attempt> = attemptsByMachine[machine]?.values.orEmpty()
+
+    /** The attempt, null if it isn't live. */
+    fun attempt(id: AttemptId): Attempt? = jobsById[id.task.job]?.liveAttempts?.get(id.task.index)?.takeIf { it.id == id }
+
+    /** What the live attempts on the machine hold, null if there are none. */
+    fun loadOf(machine: MachineId): ResourceUsage? = usageByMachine[machine]
+
+    /** What the team's live attempts hold, null if there never were any. */
+    fun loadOfTeam(team: String): ResourceUsage? = usageByTeam[team]
 
-    fun job(id: JobId): Job? = open[id]
-    fun finalState(id: JobId): FinalState? = finals[id]
-    fun attemptsOn(machine: MachineId): Collection<Attempt> = onMachine[machine]?.values.orEmpty()
-    fun attempt(id: AttemptId): Attempt? = open[id.task.job]?.live?.get(id.task.index)?.takeIf { it.id == id }
-    fun loadOf(machine: MachineId): ResourceUsage? = machineLoad[machine]
-    fun loadOfTeam(team: String): ResourceUsage? = teamLoad[team]
-    val machinesInUse: Set<MachineId> get() = onMachine.keys
+    /** The machines with live attempts; a live view. */
+    val machinesInUse: Set<MachineId> get() = attemptsByMachine.keys
 
+    /** Applies an event, which is in record [seq]. */
     fun apply(event: Event.JobEvent, seq: LogIndex) {
         when (event) {
-            is Event.JobAccepted -> open.getOrPut(event.job) { Job(event.spec, event.wallMs, seq) }
-            is Event.JobCancelled -> open[event.job]?.let { if (!it.over) it.cancelledSeq = seq }
-            is Event.AttemptStarted -> open[event.job]?.let {
+            is Event.JobAccepted -> jobsById.getOrPut(event.job) { Job(event.spec, event.wallMs, seq) }
+            is Event.JobCancelled -> jobsById[event.job]?.let { if (!it.isOver) it.recordCancellation(seq) }
+            is Event.AttemptStarted -> jobsById[event.job]?.let {
                 addAttempt(Attempt(AttemptId(TaskId(event.job, event.index), event.number), it, event.machine, seq))
             }
-            is Event.AttemptTerminated -> open[event.job]?.live?.get(event.index)
+            is Event.AttemptTerminated -> jobsById[event.job]?.liveAttempts?.get(event.index)
                 ?.takeIf { it.id.number == event.number }?.let(::removeAttempt)
-            is Event.TaskCompleted -> open[event.job]?.let { job ->
-                job.taskDone(event.index, seq)
-                job.live[event.index]?.takeIf { it.id.number == event.number }?.let(::removeAttempt)
+            is Event.TaskCompleted -> jobsById[event.job]?.let { job ->
+                job.recordCompletion(event.index, seq)
+                job.liveAttempts[event.index]?.takeIf { it.id.number == event.number }?.let(::removeAttempt)
             }
         }
     }
 
-    fun restore(cell: JobSnapshot) {
-        val seq = LogIndex(cell.upTo)
-        val job = Job(cell.spec, cell.wallMs, seq)
-        job.restoreDone(BitSet.valueOf(cell.done))
-        if (cell.cancelled) job.cancelledSeq = seq
-        job.lastNumber = cell.lastNumber
-        open[job.id] = job
-        cell.live.forEach {
+    /** Takes over a job's snapshot. */
+    fun restore(snapshot: JobSnapshot) {
+        val seq = LogIndex(snapshot.upTo)
+        val job = Job(snapshot.spec, snapshot.wallMs, seq)
+        job.restoreProgress(snapshot.done, snapshot.lastNumber)
+        if (snapshot.cancelled) job.recordCancellation(seq)
+        jobsById[job.id] = job
+        snapshot.live.forEach {
             addAttempt(Attempt(AttemptId(TaskId(job.id, it.index), it.number), job, it.machine, seq))
         }
     }
 
-    fun restore(cell: FinishedJobsSnapshot) {
-        cell.done.forEach { finals[it] = FinalState.DONE }
-        cell.cancelled.forEach { finals[it] = FinalState.CANCELLED }
+    /** Takes over a snapshot of archived jobs. */
+    fun restore(snapshot: FinishedJobsSnapshot) {
+        snapshot.done.forEach { finalStates[it] = FinalState.DONE }
+        snapshot.cancelled.forEach { finalStates[it] = FinalState.CANCELLED }
     }
 
     /** Forgets everything of a job that is over but its final state. */
     fun archive(job: Job) {
-        check(job.over && job.live.isEmpty()) { "job ${job.id} isn't over" }
-        finals[job.id] = if (job.cancelled) FinalState.CANCELLED else FinalState.DONE
-        open.remove(job.id)
+        check(job.isOver && job.liveAttempts.isEmpty()) { "job ${job.id} isn't over" }
+        finalStates[job.id] = if (job.isCancelled) FinalState.CANCELLED else FinalState.DONE
+        jobsById.remove(job.id)
     }
 
+    /** The job's snapshot, as of record [upTo]. */
     fun cellOf(job: Job, upTo: LogIndex) = JobSnapshot(
         upTo.number,
         job.spec,
         job.wallMs,
-        job.cancelled,
-        job.done.toByteArray(),
-        job.live.values.map { LiveAttempt(it.id.task.index, it.id.number, it.machine) },
+        job.isCancelled,
+        job.doneBits(),
+        job.liveAttempts.values.map { LiveAttempt(it.id.task.index, it.id.number, it.machine) },
         job.lastNumber,
     )
 
     private fun addAttempt(attempt: Attempt) {
         val job = attempt.job
-        check(attempt.id.task.index !in job.live) { "${attempt.id.task} is live already" }
-        job.started(attempt)
-        onMachine.getOrPut(attempt.machine) { LinkedHashMap() }[attempt.id] = attempt
-        machineLoad.getOrPut(attempt.machine) { ResourceUsage() }.add(job.spec, 1)
-        teamLoad.getOrPut(job.spec.team) { ResourceUsage() }.add(job.spec, 1)
+        check(attempt.id.task.index !in job.liveAttempts) { "${attempt.id.task} is live already" }
+        job.recordStart(attempt)
+        attemptsByMachine.getOrPut(attempt.machine) { LinkedHashMap() }[attempt.id] = attempt
+        usageByMachine.getOrPut(attempt.machine) { ResourceUsage() }.add(job.spec)
+        usageByTeam.getOrPut(job.spec.team) { ResourceUsage() }.add(job.spec)
     }
 
     private fun removeAttempt(attempt: Attempt) {
-        attempt.job.ended(attempt.id.task.index)
-        onMachine[attempt.machine]?.let {
+        attempt.job.recordEnd(attempt.id.task.index)
+        attemptsByMachine[attempt.machine]?.let {
             it.remove(attempt.id)
-            if (it.isEmpty()) onMachine.remove(attempt.machine)
+            if (it.isEmpty()) attemptsByMachine.remove(attempt.machine)
         }
-        machineLoad[attempt.machine]?.let {
-            it.add(attempt.job.spec, -1)
-            if (it.tasks == 0) machineLoad.remove(attempt.machine)
+        usageByMachine[attempt.machine]?.let {
+            it.remove(attempt.job.spec)
+            if (it.tasks == 0) usageByMachine.remove(attempt.machine)
         }
-        teamLoad[attempt.job.spec.team]?.add(attempt.job.spec, -1)
+        usageByTeam[attempt.job.spec.team]?.remove(attempt.job.spec)
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/log/CompactionPlan.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/CompactionPlan.kt
@@ -75,7 +75,7 @@
         }
         // A job that isn't known any more was archived by an earlier trim.
         val job = jobTable.job(JobId(cell.removePrefix(DecisionLog.JOB_PREFIX))) ?: return true
-        if (!job.over || job.live.isNotEmpty()) return foldOpen(job)
+        if (!job.isOver || job.liveAttempts.isNotEmpty()) return foldOpen(job)
         archive(job)
         return true
     }
--- a/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
@@ -144,7 +144,7 @@
     private fun applyTrim(trim: CompactionPlan, jobTable: JobTable) {
         trim.deletedRecords.forEach(kept::remove)
         foldedUpTo += trim.folded
-        trim.partsWritten.forEach { (job, parts) -> job.partsWritten = parts }
+        trim.partsWritten.forEach { (job, parts) -> job.recordPartsWritten(parts) }
         finals = trim.finals
         for (job in trim.archived) {
             jobTable.archive(job)
--- a/src/main/kotlin/cleathitch/scheduler/log/FinishedJobsChunk.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/FinishedJobsChunk.kt
@@ -12,7 +12,7 @@
     /** With [jobs] added; a chunk of more than [limitBytes] is left, and a new one begun. */
     fun plus(jobs: List<Job>, limitBytes: Double): FinishedJobsChunk {
         val base = if (bytes > limitBytes) FinishedJobsChunk(number + 1, emptyList(), emptyList()) else this
-        val (newlyCancelled, newlyDone) = jobs.partition { it.cancelled }
+        val (newlyCancelled, newlyDone) = jobs.partition { it.isCancelled }
         return FinishedJobsChunk(base.number, base.done + newlyDone.map { it.id }, base.cancelled + newlyCancelled.map { it.id })
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/log/RetainedRecord.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/RetainedRecord.kt
@@ -14,7 +14,7 @@
 
     /** As the design asks: a start stays on record until a report has shown it. */
     fun hasUnseenStarts(jobTable: JobTable): Boolean {
-        starts.removeIf { id -> jobTable.attempt(id)?.let { it.seen != null } ?: true }
+        starts.removeIf { id -> jobTable.attempt(id)?.let { it.observedState != null } ?: true }
         return starts.isNotEmpty()
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/CommandDispatcher.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/CommandDispatcher.kt
@@ -60,7 +60,7 @@
         if (commands.isNotEmpty()) token = token.next()
         recordSent(machine, commands)
         pendingStops -= machine.id
-        machine.answered = token
+        machine.recordReply(token)
         return HeartbeatDecision.Answer(token, commands)
     }
 
@@ -89,17 +89,17 @@
     fun sendCommittedStops() {
         while (stopsAwaitingCommit.isNotEmpty() && stopsAwaitingCommit.firstKey() <= decisionLog.committed) {
             // Attempts that don't run yet go first: their stops can still forestall the starts.
-            stopsAwaitingCommit.pollFirstEntry().value.sortedBy { it.seen == TaskState.RUNNING }.mapTo(pendingStops) { it.machine }
+            stopsAwaitingCommit.pollFirstEntry().value.sortedBy { it.observedState == TaskState.RUNNING }.mapTo(pendingStops) { it.machine }
         }
         sendPendingStops()
     }
 
     /** Sends some of the stops that are due; the others follow in later rounds or with the machines' heartbeats. */
     fun sendPendingStops() {
-        val due = pendingStops.take(FailureDetector.MAX_QUESTIONS)
+        val due = pendingStops.take(FailureDetector.MAX_PROBES)
         pendingStops.removeAll(due.toSet())
         due.forEach { id ->
-            inventory.machines[id]?.let { if (it.lastHeardMs == null) failureDetector.probe(it) else push(it) }
+            inventory.machines[id]?.let { if (it.lastContactMs == null) failureDetector.probe(it) else push(it) }
         }
     }
 
@@ -111,7 +111,7 @@
     }
 
     /** Nothing is sent when the current range of tokens is used up: a message without a new token couldn't be fenced. */
-    private fun commandsFor(machine: Machine) = if (token.countLeft == 0L) emptyList() else workerReconciler.of(machine)
+    private fun commandsFor(machine: Machine) = if (token.countLeft == 0L) emptyList() else workerReconciler.commandsFor(machine)
 
     private fun recordSent(machine: Machine, commands: List<WorkerCommand>) {
         for (command in commands) {
@@ -120,10 +120,7 @@
                     "records up to ${decisionLog.committed} are committed"
             }
             if (command is WorkerCommand.Start) {
-                jobTable.attempt(command.attempt)?.let {
-                    it.sent = token
-                    it.sentIncarnation = machine.incarnation
-                }
+                jobTable.attempt(command.attempt)?.recordSent(token, machine.incarnation)
             }
         }
     }
--- a/src/main/kotlin/cleathitch/scheduler/machines/DirectReachability.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/DirectReachability.kt
@@ -4,40 +4,42 @@
 import cleathitch.scheduler.model.MachineId
 
 /**
- * Notices that direct commands don't reach machines whose reports, by way of other nodes, still do.
+ * Detects that direct calls don't reach machines whose heartbeats still arrive through followers.
  *
- * A machine is a witness if a direct command to it got no answer, and a report that came after that showed an answer
- * of this leader given since. So the machine runs and hears the leader through a follower: what is cut is the leader's
- * own path to the workers. Any direct command that is answered clears the suspicion.
+ * A machine is a witness if a direct call to it got no answer, and a later heartbeat of it shows a reply that this leader
+ * gave after that. So the machine runs and reaches the leader through a follower: the leader's own path to the workers is
+ * cut. Any direct call that is answered clears the suspicion. Confined to the leader's event loop.
  */
 internal class DirectReachability(private val patienceMs: Long) {
-    private class Unanswered(val sinceMs: Long, val answered: FencingToken)
+    private class UnansweredCall(val sinceMs: Long, val lastReplyToken: FencingToken)
 
-    private val unanswered = HashMap<MachineId, Unanswered>()
+    private val unansweredCalls = HashMap<MachineId, UnansweredCall>()
+
+    /** Since when the direct calls to each witness go unanswered. */
     private val witnesses = HashMap<MachineId, Long>()
 
-    /** A direct command reached its machine. */
-    fun answered() {
-        unanswered.clear()
+    /** A direct call reached its machine, or a machine reached this node directly. */
+    fun recordDirectContact() {
+        unansweredCalls.clear()
         witnesses.clear()
     }
 
-    /** A direct command to [machine] got no answer. */
-    fun unanswered(machine: Machine, nowMs: Long) {
-        unanswered.putIfAbsent(machine.id, Unanswered(nowMs, machine.answered))
+    /** A direct call to [machine] got no answer. */
+    fun recordUnansweredCall(machine: Machine, nowMs: Long) {
+        unansweredCalls.putIfAbsent(machine.id, UnansweredCall(nowMs, machine.lastReplyToken))
     }
 
-    /** A new report of [machine] arrived through a follower. */
-    fun reported(machine: Machine) {
-        val open = unanswered[machine.id] ?: return
-        if (machine.token > open.answered) witnesses[machine.id] = open.sinceMs
+    /** A new heartbeat of [machine] arrived through a follower. */
+    fun recordForwardedHeartbeat(machine: Machine) {
+        val call = unansweredCalls[machine.id] ?: return
+        if (machine.highestSeenToken > call.lastReplyToken) witnesses[machine.id] = call.sinceMs
     }
 
     /** Whether the leader's own path to the workers seems to be cut. */
-    fun isCut(nowMs: Long): Boolean = witnesses.size >= FEW_WITNESSES && witnesses.values.any { nowMs - it >= patienceMs }
+    fun isCut(nowMs: Long): Boolean = witnesses.size >= MIN_WITNESSES && witnesses.values.any { nowMs - it >= patienceMs }
 
     private companion object {
-        /** One or two machines may well lose direct commands by a fault of their own. */
-        const val FEW_WITNESSES = 3
+        /** One or two machines may well miss direct calls by a fault of their own. */
+        const val MIN_WITNESSES = 3
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
@@ -7,104 +7,118 @@
 import cleathitch.scheduler.model.MachineId
 
 /**
- * The failure detector for machines: which of them are silent, hear nothing, or can't report, and which of those are
- * to be returned. It asks machines directly before it gives them up.
+ * Suspects machines that are silent, that don't get our replies, or whose heartbeats don't arrive; probes the silent ones
+ * directly, and terminates those that stay so. A majority of suspects at once is treated as a partition: those machines still
+ * run their tasks, and are kept. Confined to the leader's event loop.
  */
 internal class FailureDetector(
     private val context: SchedulerContext,
-    private val fleet: Inventory,
+    private val inventory: Inventory,
     private val jobTable: JobTable,
     private val timings: SchedulerTimings,
     private val startedMs: Long,
-    private val retire: (MachineId, String) -> Unit,
+    private val terminate: (MachineId, String) -> Unit,
 ) {
-    /** After a take-over machines come by themselves only with their next reports; those that the cloud lists are asked. */
-    fun probeUnheard() {
-        fleet.machines.values.asSequence()
-            .filter { it.lastHeardMs == null && it.listedRunning && context.now.steadyMs - it.probedMs >= timings.probeGapMs }
-            .take(MAX_QUESTIONS).forEach(::probe)
+    private val nowMs get() = context.now.steadyMs
+
+    /** Probes listed machines that haven't shown themselves in this term, so that a failover doesn't wait for their heartbeats. */
+    fun probeUnseen() {
+        inventory.machines.values.asSequence()
+            .filter { it.lastContactMs == null && it.isListedRunning && nowMs - it.lastProbeMs >= timings.probeGapMs }
+            .take(MAX_PROBES).forEach(::probe)
     }
 
-    /** Asks a machine directly for its report. */
+    /** Asks the machine directly for a heartbeat. */
     fun probe(machine: Machine) {
-        machine.probes++
-        machine.probedMs = context.now.steadyMs
+        machine.recordProbe(nowMs)
         machine.address?.let { context.emit(Effect.Probe(machine.id, it)) }
     }
 
     /**
-     * A machine that skips a report is asked directly; one that doesn't answer that either is returned,
-     * since the cloud's word that it is gone frees its tasks long before its lease ends. But where most
-     * are quiet the way to them is cut, and they work on: returning them would end what still runs.
+     * Probes machines that skip a heartbeat, and terminates those that answer neither: the cloud's confirmation frees their
+     * tasks long before their leases end. Partitioned machines are kept, as termination would end what still runs.
      */
-    fun findSilent() {
-        val up = fleet.machines.values.filter { it.state == MachineState.UP }
-        val suspicion = PartitionDetector(up) { silentForMs(it) >= timings.probeMs }
-        fleet.partitionedZones = suspicion.partitionedZones
-        val silent = suspicion.quiet.filter { it.probes >= QUESTIONS_BEFORE_LOSS || it.address == null }.filter {
-            silentForMs(it) >=
-                timings.silentMs
-        }
-        silent.forEach { if (!suspicion.excuses(it)) retire(it.id, "it is silent") }
-        suspicion.quiet.filter { it.state == MachineState.UP && context.now.steadyMs - it.probedMs >= timings.probeGapMs }
-            .take(MAX_QUESTIONS).forEach(::probe)
-        // It answers, but its own reports reach nobody: its lease has run out, and nothing can run there. Most of them
-        // at once are no more to blame than machines that say nothing: a fleet that answered was once returned whole.
-        val mute = PartitionDetector(up) { withoutHeartbeatMs(it) >= timings.silentMs }
-        for (machine in mute.quiet) {
+    fun terminateSilent() {
+        val up = inventory.machines.values.filter { it.state == MachineState.UP }
+        terminateSuspects(up)
+        terminateWithoutHeartbeats(up)
+        terminateUnknown()
+    }
+
+    private fun terminateSuspects(up: List<Machine>) {
+        val partition = PartitionDetector(up) { silentForMs(it) >= timings.probeMs }
+        inventory.partitionedZones = partition.partitionedZones
+        val silent = partition.suspects.filter { hasFailedProbes(it) && silentForMs(it) >= timings.silentMs }
+        silent.forEach { if (!partition.isPartitioned(it)) terminate(it.id, "it is silent") }
+        partition.suspects.filter { it.state == MachineState.UP && nowMs - it.lastProbeMs >= timings.probeGapMs }
+            .take(MAX_PROBES).forEach(::probe)
+    }
+
+    private fun hasFailedProbes(machine: Machine) = machine.unansweredProbes >= PROBES_BEFORE_TERMINATION || machine.address == null
+
+    /**
+     * A machine that answers probes, but whose own heartbeats don't arrive, has lost its lease, and nothing can run there.
+     * Many of these at once are a partition as much as silent machines are, and get twice the time.
+     */
+    private fun terminateWithoutHeartbeats(up: List<Machine>) {
+        val partition = PartitionDetector(up) { withoutHeartbeatMs(it) >= timings.silentMs }
+        for (machine in partition.suspects) {
             if (machine.state != MachineState.UP) continue
-            val patienceMs = if (mute.excuses(machine)) timings.lostMs * 2 else timings.lostMs
-            if (withoutHeartbeatMs(machine) >= patienceMs) retire(machine.id, "its reports don't arrive")
-        }
-        if (context.now.steadyMs - startedMs >= timings.lostMs) {
-            jobTable.machinesInUse.filter { it !in fleet.machines && it !in fleet.retired }
-                .forEach { retire(it, "it hasn't reported since the take-over") }
+            val patienceMs = if (partition.isPartitioned(machine)) timings.lostMs * 2 else timings.lostMs
+            if (withoutHeartbeatMs(machine) >= patienceMs) terminate(machine.id, "its reports don't arrive")
         }
     }
 
-    /** Machines whose reports arrive while our answers don't: their leases run out again and again. */
-    fun findMachinesMissingReplies() {
-        val missing = fleet.machines.values.filter { it.state == MachineState.UP && it.missedReplies > 0 }
-        // Many at once: more likely our answers come too late, and they aren't to blame. Those that missed one
-        // are counted: they call themselves deaf one after the other, and a few at a time all went back.
-        if (missing.size > maxOf(FEW_DEAF, fleet.machines.size / DEAF_SHARE)) return
-        missing.filter { it.missesReplies }.forEach { retire(it.id, "no answer reaches it") }
+    /** Machines that the job table names, and that neither reported nor were listed since the failover. */
+    private fun terminateUnknown() {
+        if (nowMs - startedMs < timings.lostMs) return
+        jobTable.machinesInUse.filter { it !in inventory.machines && it !in inventory.retired }
+            .forEach { terminate(it, "it hasn't reported since the take-over") }
+    }
+
+    /** Terminates machines that don't get our replies: their leases run out again and again, and with them their tasks. */
+    fun terminateMissingReplies() {
+        // Machines that missed a single reply count, too: those of one fault reach the limit one after the other, and the
+        // few at a time would all be terminated.
+        val suspects = inventory.machines.values.filter { it.state == MachineState.UP && it.missedReplies > 0 }
+        // With many at once it is more likely our replies that are late.
+        if (suspects.size > maxOf(FEW_MISSING_REPLIES, inventory.machines.size / MISSING_REPLIES_DIVISOR)) return
+        suspects.filter { it.missesReplies }.forEach { terminate(it.id, "no answer reaches it") }
     }
 
-    /** For how long no report of the machine could be answered, whatever it said to direct questions. */
+    /** For how long no heartbeat of the machine could be answered, whatever it answered to probes. */
     private fun withoutHeartbeatMs(machine: Machine) =
-        context.now.steadyMs - maxOf(machine.lastReportMs ?: machine.missedSinceMs, context.listeningSinceMs)
+        nowMs - maxOf(machine.lastHeartbeatMs ?: machine.expectedSinceMs, context.listeningSinceMs)
 
     /**
-     * Whether reports and answers pass between the machine and us, as far as is known. Where they don't, leases run out
-     * though direct orders arrive, and what is started there dies with the next.
+     * Whether heartbeats and replies pass between the machine and us, as far as is known. Where they don't, the machine's
+     * lease runs out though direct commands arrive, and what is started there ends with it.
      */
-    fun isReachable(machine: Machine) = !machine.missesReplies && withoutHeartbeatMs(machine) < timings.silentMs
+    fun isReachable(machine: Machine): Boolean = !machine.missesReplies && withoutHeartbeatMs(machine) < timings.silentMs
 
-    /** For how long nothing at all was heard of the machine. */
-    fun silentForMs(machine: Machine) = context.now.steadyMs - maxOf(machine.lastHeardMs ?: machine.missedSinceMs, context.listeningSinceMs)
+    /** For how long the machine has shown itself in no way. */
+    fun silentForMs(machine: Machine): Long = nowMs - maxOf(machine.lastContactMs ?: machine.expectedSinceMs, context.listeningSinceMs)
 
     /**
-     * A machine that runs by the cloud's word is missed like any other, though it never reported in this term: at
-     * once if tasks may run there, else when all have had time. This is looked at not only when it is listed: one that
-     * is taken before its first report isn't listed again, and would count as on its way for ever.
+     * Expects heartbeats of a machine that the cloud lists as running, though it hasn't reported in this term: at once if
+     * tasks may run there, else when all machines have had time. This is checked not only when the machine is listed: one
+     * that is taken back before its first heartbeat isn't listed again, and would count as booting forever.
      */
-    fun suspectIfRunning(machine: Machine) {
-        if (machine.state != MachineState.STARTING || !machine.listedRunning) return
-        if (jobTable.attemptsOn(machine.id).isEmpty() && context.now.steadyMs - startedMs < timings.lostMs) return
-        machine.missedSinceMs = context.now.steadyMs
-        machine.state = MachineState.UP
+    fun expectIfRunning(machine: Machine) {
+        if (machine.state != MachineState.STARTING || !machine.isListedRunning) return
+        if (jobTable.attemptsOn(machine.id).isEmpty() && nowMs - startedMs < timings.lostMs) return
+        machine.expectHeartbeats(nowMs)
     }
 
     companion object {
-        /** So many machines are asked directly at a time. */
-        const val MAX_QUESTIONS = 50
+        /** Probes and other direct calls sent at a time. */
+        const val MAX_PROBES = 50
 
-        /** Direct questions to a silent machine before it is given up. */
-        private const val QUESTIONS_BEFORE_LOSS = 2
+        /** Probes that a silent machine must leave unanswered before it is terminated. */
+        private const val PROBES_BEFORE_TERMINATION = 2
 
-        /** Up to one machine in so many may be called deaf. */
-        private const val DEAF_SHARE = 10
-        private const val FEW_DEAF = 2
+        /** Above this part of the fleet, and above [FEW_MISSING_REPLIES], machines aren't blamed for missed replies. */
+        private const val MISSING_REPLIES_DIVISOR = 10
+        private const val FEW_MISSING_REPLIES = 2
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatIntake.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatIntake.kt
@@ -34,7 +34,7 @@
             HeartbeatDecision.Refuse, HeartbeatDecision.RequestFull -> context.emit(Effect.RefuseHeartbeat(input.request))
         }
         // It shows that the path between the workers and this node is whole.
-        directReachability.answered()
+        directReachability.recordDirectContact()
     }
 
     /** Decides about a heartbeat that a follower passes on. */
@@ -44,7 +44,11 @@
             is ForwardedHeartbeat.Full -> decide(forwarded.report)
             is ForwardedHeartbeat.Unchanged -> decideUnchanged(forwarded)
         }
-        if (decision is HeartbeatDecision.Answer) directReachability.reported(inventory.machines.getValue(forwarded.machine))
+        if (decision is HeartbeatDecision.Answer) {
+            directReachability.recordForwardedHeartbeat(
+                inventory.machines.getValue(forwarded.machine),
+            )
+        }
         return decision
     }
 
@@ -53,33 +57,31 @@
      * so the machine is alive, and commands can be sent at once.
      */
     fun probeAnswered(heartbeat: Heartbeat) {
-        val isFirstContact = inventory.machines[heartbeat.machine]?.lastHeardMs == null
+        val isFirstContact = inventory.machines[heartbeat.machine]?.lastContactMs == null
         if (!observe(heartbeat)) return
         val machine = inventory.machines.getValue(heartbeat.machine)
-        machine.confirmed = true
-        directReachability.answered()
+        machine.confirm()
+        directReachability.recordDirectContact()
         if (isFirstContact) dispatcher.push(machine)
     }
 
     /** A direct call to the machine got no answer. */
     fun directCallUnanswered(id: MachineId) {
-        inventory.machines[id]?.let { directReachability.unanswered(it, context.now.steadyMs) }
+        inventory.machines[id]?.let { directReachability.recordUnansweredCall(it, context.now.steadyMs) }
     }
 
     /** An unchanged heartbeat stands for its base with a newer sequence number, and is decided like that. */
     private fun decideUnchanged(forwarded: ForwardedHeartbeat.Unchanged): HeartbeatDecision {
         if (registry.isTerminated(forwarded.machine)) return HeartbeatDecision.Refuse
         val machine = inventory.machines[forwarded.machine] ?: return HeartbeatDecision.RequestFull
-        val heartbeat = machine.repeatedBy(forwarded) ?: return HeartbeatDecision.RequestFull
+        val heartbeat = machine.expand(forwarded) ?: return HeartbeatDecision.RequestFull
         return decide(heartbeat)
     }
 
     private fun decide(heartbeat: Heartbeat): HeartbeatDecision {
         if (!context.mayAnswerMachines() || !observe(heartbeat)) return HeartbeatDecision.Refuse
         val machine = inventory.machines.getValue(heartbeat.machine)
-        machine.lastReportMs = context.now.steadyMs
-        // The heartbeat shows the token of our last reply, unless that didn't reach the machine.
-        machine.missedReplies = if (heartbeat.token < machine.answered) machine.missedReplies + 1 else 0
+        machine.recordAnswerableHeartbeat(heartbeat, context.now.steadyMs)
         return dispatcher.replyTo(machine)
     }
 
@@ -96,9 +98,7 @@
         }
         if (registry.isTerminated(heartbeat.machine)) return false
         val machine = inventory.machines[heartbeat.machine] ?: register(heartbeat)
-        if (machine.newerThan(heartbeat)) return false
-        if (heartbeat.incarnation > machine.incarnation) machine.forgetImages()
-        if (machine.lastHeardMs == null) imageCacheHints.applyTo(machine, heartbeat.incarnation)
+        if (machine.isStale(heartbeat)) return false
         recordHeartbeat(machine, heartbeat)
         if (machine.state == MachineState.STARTING) recordUp(machine)
         reconciler.reconcile(machine, heartbeat)
@@ -110,29 +110,22 @@
         registry.register(heartbeat.machine, Offer(heartbeat.type, heartbeat.zone, heartbeat.spot), context.now.steadyMs)
 
     private fun recordHeartbeat(machine: Machine, heartbeat: Heartbeat) {
-        machine.address = heartbeat.address
-        machine.incarnation = heartbeat.incarnation
-        machine.sequenceNumber = heartbeat.sequenceNumber
-        machine.token = maxOf(machine.token, heartbeat.token)
-        if (heartbeat.token >= dispatcher.firstToken) machine.confirmed = true
-        machine.lastHeardMs = context.now.steadyMs
-        machine.probes = 0
-        machine.leaseEndMs = maxOf(machine.leaseEndMs, registry.leaseEndFromNowMs())
-        machine.preemptionAtMs = heartbeat.preemptionNoticeS?.let { context.now.steadyMs + (it * 1000).toLong() }
-        machine.reported = heartbeat.tasks
+        val isFirstContact = machine.lastContactMs == null
+        machine.recordHeartbeat(heartbeat, context.now.steadyMs)
+        machine.extendLease(registry.leaseEndFromNowMs())
+        if (heartbeat.token >= dispatcher.firstToken) machine.confirm()
+        if (isFirstContact) imageCacheHints.applyTo(machine)
     }
 
     private fun recordUp(machine: Machine) {
-        machine.state = MachineState.UP
-        machine.missedSinceMs = context.now.steadyMs
-        machine.idleSinceMs = context.now.steadyMs
+        machine.recordUp(context.now.steadyMs)
         context.logEvent(LogLevel.INFO) { "machine ${machine.id} ${machine.offer} is up" }
     }
 
     /** Stops what can save its progress on a machine that is about to be preempted, so that it is saved in time. */
     private fun drain(machine: Machine) {
         for (attempt in jobTable.attemptsOn(machine.id)) {
-            if (attempt.stop == null && attempt.job.spec.checkpointS > 0) attempt.stop = StopCause.DRAIN
+            if (attempt.stopCause == null && attempt.job.spec.checkpointS > 0) attempt.requestStop(StopCause.DRAIN)
         }
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatReconciler.kt
@@ -37,16 +37,16 @@
         for (attempt in jobTable.attemptsOn(machine.id).toList()) {
             if (attempt.id !in reported) reconcileMissing(machine, attempt)
         }
-        workerReconciler.shown(machine.id, reported)
-        if (jobTable.attemptsOn(machine.id).isNotEmpty()) machine.idleSinceMs = context.now.steadyMs
+        workerReconciler.dropSettledOutcomes(machine.id, reported)
+        if (jobTable.attemptsOn(machine.id).isNotEmpty()) machine.recordUse(context.now.steadyMs)
     }
 
     /** The attempt surely doesn't run any more; its task may start again. */
     fun recordTermination(attempt: Attempt) {
         val event = Event.AttemptTerminated(attempt.id.task.job, attempt.id.task.index, attempt.id.number)
-        workerReconciler.outcome(attempt.machine, attempt.id, context.append(event))
+        workerReconciler.recordOutcome(attempt.machine, attempt.id, context.append(event))
         val machine = inventory.machines[attempt.machine] ?: return
-        if (jobTable.attemptsOn(machine.id).isEmpty()) machine.idleSinceMs = context.now.steadyMs
+        if (jobTable.attemptsOn(machine.id).isEmpty()) machine.recordUse(context.now.steadyMs)
     }
 
     /** Nothing runs on the machine any more. */
@@ -65,14 +65,14 @@
     }
 
     private fun reconcileMissing(machine: Machine, attempt: Attempt) {
-        attempt.seen = null
+        attempt.observe(null)
         // A machine that misses our replies can't start the attempt; left to it, the task would wait until the partition heals.
-        val isAbandoned = attempt.stop != null || !failureDetector.isReachable(machine)
+        val isAbandoned = attempt.stopCause != null || !failureDetector.isReachable(machine)
         if (isAbandoned && workerReconciler.isTerminationConfirmed(attempt, machine)) recordTermination(attempt)
     }
 
     private fun recordState(machine: Machine, attempt: Attempt, task: TaskStatus) {
-        attempt.seen = task.state
+        attempt.observe(task.state)
         when (task.state) {
             TaskState.FETCHING -> Unit
             TaskState.WAITING, TaskState.RUNNING, TaskState.SAVING -> recordRunning(machine, attempt)
@@ -83,23 +83,23 @@
     private fun recordRunning(machine: Machine, attempt: Attempt) {
         machine.recordImage(attempt.job.spec.image, attempt.job.spec.imageGb)
         if (attempt.runningSinceMs != null) return
-        attempt.runningSinceMs = context.now.steadyMs
+        attempt.recordRunning(context.now.steadyMs)
         context.logEvent(LogLevel.DEBUG) { "task ${attempt.id} runs on machine ${machine.id}" }
     }
 
     private fun recordExit(machine: Machine, attempt: Attempt, task: TaskStatus) {
         val job = attempt.job
         when (task.exitReason) {
-            ExitReason.DONE -> if (!job.done[attempt.id.task.index]) return recordCompletion(machine, job, attempt.id)
+            ExitReason.DONE -> if (!job.isDone(attempt.id.task.index)) return recordCompletion(machine, job, attempt.id)
             ExitReason.ERROR -> {
-                machine.faults++
+                machine.recordTaskFailure()
                 delayRetry(job)
                 context.logEvent(LogLevel.INFO) {
                     "task ${attempt.id} failed on machine ${machine.id} (failure ${machine.faults} there)"
                 }
             }
             ExitReason.UNKNOWN -> delayRetry(job)
-            ExitReason.NO_ROOM -> machine.fullUntilMs = context.now.steadyMs + (deployment.reportS * 1000).toLong()
+            ExitReason.NO_ROOM -> machine.recordFull(context.now.steadyMs + (deployment.reportS * 1000).toLong())
             ExitReason.BUSY, ExitReason.STOPPED, ExitReason.PEERS_MISSING, null -> Unit
         }
         if (task.exitReason != ExitReason.DONE) {
@@ -111,26 +111,18 @@
     /** The task's result is there; if its live attempt is another one, that is stopped. */
     private fun recordCompletion(machine: Machine, job: Job, attempt: AttemptId) {
         val index = attempt.task.index
-        if (job.done[index]) return
+        if (job.isDone(index)) return
         context.logEvent(LogLevel.DEBUG) { "task $attempt is done" }
-        workerReconciler.outcome(machine.id, attempt, context.append(Event.TaskCompleted(job.id, index, attempt.number)))
-        job.failures = 0
-        job.live[index]?.stop = StopCause.STRAY
-        if (jobTable.attemptsOn(machine.id).isEmpty()) machine.idleSinceMs = context.now.steadyMs
+        workerReconciler.recordOutcome(machine.id, attempt, context.append(Event.TaskCompleted(job.id, index, attempt.number)))
+        job.recordSuccess()
+        job.liveAttempts[index]?.requestStop(StopCause.STRAY)
+        if (jobTable.attemptsOn(machine.id).isEmpty()) machine.recordUse(context.now.steadyMs)
         job.stopIfOver()
         if (job.finishedSeq != null) context.logEvent(LogLevel.DEBUG) { "job ${job.id} is done" }
     }
 
-    /** Doubles the time before a failing job is tried again, up to the length of a worker's lease. */
+    /** A failing job is tried ever more rarely, down to once in a worker's lease. */
     private fun delayRetry(job: Job) {
-        job.failures++
-        val limitMs = (deployment.leaseS * 1000).toLong()
-        val backoffMs = timings.roundMs shl minOf(job.failures - 1, MAX_BACKOFF_DOUBLINGS)
-        job.notBeforeMs = context.now.steadyMs + minOf(limitMs, backoffMs)
-    }
-
-    private companion object {
-        /** Keeps the shift far from an overflow; the lease bounds the delay long before. */
-        const val MAX_BACKOFF_DOUBLINGS = 20
+        job.recordFailure(context.now.steadyMs, firstDelayMs = timings.roundMs, limitMs = (deployment.leaseS * 1000).toLong())
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/ImageCacheHints.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/ImageCacheHints.kt
@@ -25,16 +25,16 @@
         received = hints
     }
 
-    /** Applies the hint for a machine whose first heartbeat in this term shows the session [incarnation]. */
-    fun applyTo(machine: Machine, incarnation: Long) {
-        received[machine.id]?.takeIf { it.incarnation == incarnation }?.sizesGb?.forEach(machine::recordImage)
+    /** Applies the hint for a machine that has just shown itself for the first time in this term, if its session is still the same. */
+    fun applyTo(machine: Machine) {
+        received[machine.id]?.takeIf { it.incarnation == machine.incarnation }?.sizesGb?.forEach(machine::recordImage)
     }
 
     /** Shares the image caches with the followers, once a period. */
     fun shareIfDue() {
         if (context.now.steadyMs - lastSharedMs < timings.imageHintPeriodMs) return
         lastSharedMs = context.now.steadyMs
-        val up = inventory.machines.values.filter { it.state == MachineState.UP && it.lastHeardMs != null }
+        val up = inventory.machines.values.filter { it.state == MachineState.UP && it.lastContactMs != null }
         context.emit(Effect.ShareImageCacheHints(up.associate { it.id to it.imageCache() }))
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
@@ -53,7 +53,7 @@
             is Event.RentalResolved -> rentals.remove(event.request)
             is Event.MachineTerminationRequested -> {
                 retired += event.machine
-                machines[event.machine]?.state = MachineState.RETIRED
+                machines[event.machine]?.recordTerminationRequest()
             }
             is Event.MachineTerminated -> {
                 retired -= event.machine
@@ -70,7 +70,7 @@
     }
 
     fun adopt(id: MachineId, offer: Offer, rentedAtMs: Long): Machine = machines.getOrPut(id) {
-        Machine(id, offer, types[offer.type], rentedAtMs).also { if (id in retired) it.state = MachineState.RETIRED }
+        Machine(id, offer, types[offer.type], rentedAtMs).also { if (id in retired) it.recordTerminationRequest() }
     }
 
     fun refused(offer: Offer, nowMs: Long) {
@@ -177,7 +177,7 @@
     /** Machines that should have come up long ago; one that runs and that a new leader hasn't heard yet is none of them. */
     fun overdueBoots(nowMs: Long, listeningSinceMs: Long): List<Machine> = machines.values.filter { machine ->
         machine.state == MachineState.STARTING &&
-            !machine.listedRunning &&
+            !machine.isListedRunning &&
             nowMs - max(machine.rentedAtMs, listeningSinceMs) >= (machine.type?.bootS ?: deployment.leaseS) * 1000 * LATE_BOOTS
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/machines/MachineRegistry.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/MachineRegistry.kt
@@ -34,7 +34,7 @@
 
     /** The machine with this id, entered into the inventory if it isn't there. */
     fun register(id: MachineId, offer: Offer, rentedAtMs: Long): Machine = inventory.adopt(id, offer, rentedAtMs).also {
-        it.leaseEndMs = maxOf(it.leaseEndMs, inheritedLeaseEndMs, leaseEndFromNowMs())
+        it.extendLease(maxOf(inheritedLeaseEndMs, leaseEndFromNowMs()))
     }
 
     /** When a lease that is renewed now has surely run out. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/MachineState.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/MachineState.kt
@@ -1,3 +1,13 @@
 package cleathitch.scheduler.machines
 
-enum class MachineState { STARTING, UP, RETIRED }
+/** The life of a rented machine. */
+enum class MachineState {
+    /** Rented, and neither reported nor listed as running for long enough to be expected. */
+    STARTING,
+
+    /** It has reported, or is expected to. */
+    UP,
+
+    /** Its termination is recorded; the cloud hasn't confirmed it yet. */
+    TERMINATING,
+}
--- a/src/main/kotlin/cleathitch/scheduler/machines/MachineWatch.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/MachineWatch.kt
@@ -27,13 +27,13 @@
     /** Watches every machine once; the caller keeps the period. */
     fun watch() {
         endExpiredLeases()
-        if (context.leaseHeld() && context.now.steadyMs - startedMs < timings.failoverMs) failureDetector.probeUnheard()
+        if (context.leaseHeld() && context.now.steadyMs - startedMs < timings.failoverMs) failureDetector.probeUnseen()
         if (!context.isSettled()) return
-        inventory.machines.values.forEach(failureDetector::suspectIfRunning)
+        inventory.machines.values.forEach(failureDetector::expectIfRunning)
         transferLeadershipIfUnreachable()
         if (context.hasSteppedDown) return
-        failureDetector.findSilent()
-        failureDetector.findMachinesMissingReplies()
+        failureDetector.terminateSilent()
+        failureDetector.terminateMissingReplies()
         inventory.overdueBoots(context.now.steadyMs, context.listeningSinceMs).forEach { terminate(it.id, "it never came up") }
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/machines/PartitionDetector.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/PartitionDetector.kt
@@ -1,31 +1,33 @@
 package cleathitch.scheduler.machines
 
 /**
- * Whose fault it is that machines are [quiet]: their own, or that of the way to them.
+ * Decides whether suspected machines have failed, or are cut off by a network partition.
  *
- * Single machines, also a rack of them, are taken to have stopped. Where more than half of a zone, or of the
- * whole fleet, is quiet at the same time, the way is more likely cut, and what runs there runs on for a
- * lease. Quiet ones are counted, not those long since given up: a fleet doesn't fall silent at one moment
- * but over a report period, and counted by the latter it was once returned piece by piece.
+ * Single machines, also a rack of them, are taken to have failed. Where more than half of a zone, or of the whole fleet, is
+ * suspected at the same time, a partition is more likely, and the machines run on for a lease. All suspects count, not only
+ * those about to be terminated: a fleet falls silent over a heartbeat period, and counted by the latter it would be
+ * terminated piece by piece.
  */
-class PartitionDetector(up: List<Machine>, isQuiet: (Machine) -> Boolean) {
-    val quiet = up.filter(isQuiet)
+class PartitionDetector(up: List<Machine>, isSuspected: (Machine) -> Boolean) {
+    val suspects: List<Machine> = up.filter(isSuspected)
 
-    /** Mostly nothing is quiet, and then there is nothing to count. */
-    private val inZone = if (quiet.isEmpty()) emptyMap() else up.groupingBy { it.offer.zone }.eachCount()
-    private val quietInZone = quiet.groupingBy { it.offer.zone }.eachCount()
-    private val excused = quietInZone.keys.filterTo(HashSet()) { isMajority(quietInZone.getValue(it), inZone.getValue(it)) }
-    private val all = isMajority(quiet.size, up.size)
+    /** Counted only where there are suspects: the detector runs often, and mostly finds none. */
+    private val machinesByZone = if (suspects.isEmpty()) emptyMap() else up.groupingBy { it.offer.zone }.eachCount()
+    private val suspectsByZone = suspects.groupingBy { it.offer.zone }.eachCount()
+    private val zonesWithMajority =
+        suspectsByZone.keys.filterTo(HashSet()) { isMajority(suspectsByZone.getValue(it), machinesByZone.getValue(it)) }
+    private val isFleetMajority = isMajority(suspects.size, up.size)
 
-    /** Zones of which nothing at all is heard: what is rented there wouldn't be heard of either. */
-    val partitionedZones: Set<String> = excused.filterTo(HashSet()) { quietInZone[it] == inZone[it] }
+    /** Zones in which all machines are suspected: a machine rented there couldn't be reached either. */
+    val partitionedZones: Set<String> = zonesWithMajority.filterTo(HashSet()) { suspectsByZone[it] == machinesByZone[it] }
 
-    fun excuses(machine: Machine) = all || machine.offer.zone in excused
+    /** Whether the machine is more likely cut off than failed. */
+    fun isPartitioned(machine: Machine): Boolean = isFleetMajority || machine.offer.zone in zonesWithMajority
 
-    private fun isMajority(part: Int, whole: Int) = part > maxOf(FEW, whole / 2)
+    private fun isMajority(part: Int, whole: Int) = part > maxOf(INDEPENDENT_FAILURES, whole / 2)
 
     private companion object {
         /** Of a handful of machines two may well fail at the same time. */
-        const val FEW = 2
+        const val INDEPENDENT_FAILURES = 2
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
@@ -11,71 +11,93 @@
 import cleathitch.scheduler.model.TaskStatus
 import cleathitch.scheduler.model.WorkerCommand
 
-/** What a machine is to be told: the difference between what is intended and what its newest report shows. */
+/**
+ * Derives the commands for a machine from the difference between the job table and the machine's newest heartbeat.
+ * Confined to the leader's event loop.
+ */
 internal class WorkerReconciler(private val jobTable: JobTable, private val decisionLog: DecisionLog) {
-    /** Outcomes on their way to the journal, by machine; an exited attempt is forgotten there after that. */
-    private val outcomes = HashMap<MachineId, HashMap<AttemptId, LogIndex>>()
+    /**
+     * The records of attempts' outcomes, by machine. A worker may forget an exited attempt only once its outcome is
+     * committed: until then its heartbeat is the only source from which a next leader could learn it.
+     */
+    private val outcomeRecords = HashMap<MachineId, HashMap<AttemptId, LogIndex>>()
 
-    fun outcome(machine: MachineId, attempt: AttemptId, seq: LogIndex) {
-        outcomes.getOrPut(machine) { HashMap() }[attempt] = seq
+    /** The outcome of an attempt on the machine will be in record [seq]. */
+    fun recordOutcome(machine: MachineId, attempt: AttemptId, seq: LogIndex) {
+        outcomeRecords.getOrPut(machine) { HashMap() }[attempt] = seq
     }
 
-    /** Outcomes that are committed needn't be kept once the machine shows their attempts no more. */
-    fun shown(machine: MachineId, attempts: Set<AttemptId>) {
-        val own = outcomes[machine] ?: return
-        own.entries.removeAll { (id, seq) -> id !in attempts && seq <= decisionLog.committed }
-        if (own.isEmpty()) outcomes.remove(machine)
+    /** Drops the committed outcomes of attempts that the machine's newest heartbeat doesn't list any more. */
+    fun dropSettledOutcomes(machine: MachineId, listedAttempts: Set<AttemptId>) {
+        val outcomes = outcomeRecords[machine] ?: return
+        outcomes.entries.removeAll { (id, seq) -> id !in listedAttempts && seq <= decisionLog.committed }
+        if (outcomes.isEmpty()) outcomeRecords.remove(machine)
     }
 
     /**
-     * An attempt that a report lacks may yet be started by an order on its way, unless the machine has
-     * seen a higher version than any such order bears, or its session began after the last was sent: orders
-     * for an earlier session are dropped. Of a machine that hears nothing, only the latter is ever seen.
+     * Whether an attempt that the newest heartbeat doesn't list can't run any more. A start in flight may still begin it,
+     * unless the machine has seen a higher token than any such start has, or its session began after the last was sent:
+     * commands for an earlier session are dropped. A machine that gets no commands can only ever show the latter.
      */
     fun isTerminationConfirmed(attempt: Attempt, machine: Machine): Boolean {
-        val newest = attempt.newestStartToken ?: return true
-        if (machine.token > newest) return true
-        // For which session an older leader sent it isn't known.
-        return attempt.inheritedToken == null && attempt.sentIncarnation < machine.incarnation
+        val newestStartToken = attempt.newestStartToken ?: return true
+        if (machine.highestSeenToken > newestStartToken) return true
+        // For which session an earlier leader sent a start isn't known.
+        return !attempt.isInherited && attempt.lastSentIncarnation < machine.incarnation
     }
 
-    /** The orders that bring the machine from what its newest report shows to what is intended. */
-    fun of(machine: Machine): List<WorkerCommand> {
+    /** The commands that bring the machine from what its newest heartbeat lists to what the job table intends. */
+    fun commandsFor(machine: Machine): List<WorkerCommand> {
         val stops = ArrayList<WorkerCommand>()
         val starts = ArrayList<WorkerCommand>()
         val forgets = ArrayList<WorkerCommand>()
-        val shown = HashMap<AttemptId, TaskStatus>()
-        for (task in machine.reported) {
-            shown[task.attempt] = task
-            val attempt = jobTable.attempt(task.attempt)?.takeIf { it.machine == machine.id }
-            when {
-                task.state == TaskState.EXITED ->
-                    if (attempt == null && (outcomes[machine.id]?.get(task.attempt) ?: LogIndex.NONE) <= decisionLog.committed) {
-                        forgets += WorkerCommand.Forget(task.attempt)
-                    }
-                attempt == null -> stops += WorkerCommand.Stop(task.attempt, 0.0)
-                attempt.stop != null && mayStop(attempt) -> stop(attempt, task.state)?.let { stops += it }
+        for (task in machine.reportedTasks) {
+            when (val command = commandForListed(machine, task)) {
+                is WorkerCommand.Forget -> forgets += command
+                else -> command?.let { stops += it }
             }
         }
+        val listedAttempts = machine.reportedTasks.mapTo(HashSet()) { it.attempt }
         for (attempt in jobTable.attemptsOn(machine.id)) {
-            if (attempt.id in shown) continue
-            if (attempt.stop != null) {
-                // Nothing to stop, but the order's version shuts out a start that is still on its way.
-                if (attempt.newestStartToken != null && mayStop(attempt)) stops += WorkerCommand.Stop(attempt.id, 0.0)
-            } else if (attempt.startSeq <= decisionLog.committed && machine.state == MachineState.UP) {
-                starts += WorkerCommand.Start(attempt.id)
+            if (attempt.id in listedAttempts) continue
+            when (val command = commandForMissing(machine, attempt)) {
+                is WorkerCommand.Start -> starts += command
+                else -> command?.let { stops += it }
             }
         }
         return forgets + stops + starts
     }
 
-    private fun mayStop(attempt: Attempt) = attempt.stop != StopCause.CANCELLED ||
+    private fun commandForListed(machine: Machine, task: TaskStatus): WorkerCommand? {
+        val attempt = jobTable.attempt(task.attempt)?.takeIf { it.machine == machine.id }
+        return when {
+            task.state == TaskState.EXITED ->
+                WorkerCommand.Forget(task.attempt).takeIf { attempt == null && isOutcomeCommitted(machine, task.attempt) }
+            attempt == null -> WorkerCommand.Stop(task.attempt, 0.0)
+            attempt.stopCause != null && mayStop(attempt) -> stopOf(attempt, task.state)
+            else -> null
+        }
+    }
+
+    private fun commandForMissing(machine: Machine, attempt: Attempt): WorkerCommand? = when {
+        // Nothing runs yet, but the stop's token shuts out a start that is still in flight.
+        attempt.stopCause != null ->
+            WorkerCommand.Stop(attempt.id, 0.0).takeIf { attempt.newestStartToken != null && mayStop(attempt) }
+        attempt.startSeq <= decisionLog.committed && machine.state == MachineState.UP -> WorkerCommand.Start(attempt.id)
+        else -> null
+    }
+
+    private fun isOutcomeCommitted(machine: Machine, attempt: AttemptId) =
+        (outcomeRecords[machine.id]?.get(attempt) ?: LogIndex.NONE) <= decisionLog.committed
+
+    /** The stop of a cancelled attempt waits for its record: it couldn't be taken back if the record is never committed. */
+    private fun mayStop(attempt: Attempt) = attempt.stopCause != StopCause.CANCELLED ||
         (attempt.job.cancelledSeq ?: attempt.job.finishedSeq ?: LogIndex.NONE) <= decisionLog.committed
 
-    private fun stop(attempt: Attempt, state: TaskState): WorkerCommand? {
+    private fun stopOf(attempt: Attempt, state: TaskState): WorkerCommand? {
         val spec = attempt.job.spec
-        val saves = attempt.stop != StopCause.CANCELLED && attempt.stop != StopCause.STRAY && spec.checkpointS > 0
-        if (saves && state == TaskState.SAVING) return null
-        return WorkerCommand.Stop(attempt.id, if (saves) spec.saveS else 0.0)
+        val savesProgress = attempt.stopCause != StopCause.CANCELLED && attempt.stopCause != StopCause.STRAY && spec.checkpointS > 0
+        if (savesProgress && state == TaskState.SAVING) return null
+        return WorkerCommand.Stop(attempt.id, if (savesProgress) spec.saveS else 0.0)
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/placement/Placement.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/Placement.kt
@@ -147,14 +147,18 @@
                 candidatesEvaluated += usable.size
                 for (machine in usable) {
                     if (!fleet.allows(shape, machine.offer)) continue
-                    next(machine, jobTable.attemptsOn(machine.id).filter { it.stop != null })
+                    next(machine, jobTable.attemptsOn(machine.id).filter { it.stopCause != null })
                 }
             }
 
             /** Adds what the machine could give next, after what is [gone] from it already. */
             private fun next(machine: Machine, gone: List<Attempt>) {
                 val before = fleet.roomFor(shape, machine, gone)
-                val left = jobTable.attemptsOn(machine.id).filter { it.stop == null && it !in gone && it.job.spec.priority > spec.priority }
+                val left = jobTable.attemptsOn(machine.id).filter {
+                    it.stopCause == null &&
+                        it !in gone &&
+                        it.job.spec.priority > spec.priority
+                }
                 if (before > 0) {
                     choices += Choice(machine, gone, emptyList(), before, 0.0)
                     return
@@ -198,7 +202,7 @@
         val spec = job.spec
         if (!spec.oneZone && !spec.spread) return null
         val byZone = HashMap<String, Int>()
-        for (attempt in job.live.values) {
+        for (attempt in job.liveAttempts.values) {
             val zone = fleet.machines[attempt.machine]?.offer?.zone ?: return emptySet()
             byZone.merge(zone, 1, Int::plus)
         }
--- a/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
@@ -111,7 +111,7 @@
             return UserReply.Status(id, shown(it), 0, 0)
         }
         val job = jobTable.job(id) ?: return UserReply.NotFound
-        val running = job.live.values.count { it.seen == TaskState.RUNNING }
+        val running = job.liveAttempts.values.count { it.observedState == TaskState.RUNNING }
         val state = shownState(job)
         logFinalState(id, state, "record ${job.cancelledSeq ?: job.finishedSeq}")
         return UserReply.Status(id, state, job.doneCount, running)
@@ -122,14 +122,14 @@
         if (!context.leaseHeld()) return answer(request, UserReply.Unavailable("no lease"))
         jobTable.finalState(id)?.let { return answer(request, UserReply.Cancelled(id, shown(it))) }
         val job = jobTable.job(id) ?: return answer(request, UserReply.NotFound)
-        if (!job.over) {
+        if (!job.isOver) {
             if (context.stalled()) return answer(request, UserReply.Unavailable("the state service doesn't answer"))
             val seq = context.append(Event.JobCancelled(id))
             job.stopIfOver()
-            context.stopAfter(seq, job.live.values)
+            context.stopAfter(seq, job.liveAttempts.values)
             context.logEvent(LogLevel.DEBUG) { "job $id cancelled" }
         }
-        val state = if (job.cancelled) JobState.CANCELLED else JobState.DONE
+        val state = if (job.isCancelled) JobState.CANCELLED else JobState.DONE
         val record = job.cancelledSeq ?: job.finishedSeq!!
         logFinalState(id, state, "once record $record is committed")
         gate(record, Effect.Answer(request, UserReply.Cancelled(id, state)))
@@ -144,6 +144,6 @@
     private fun shownState(job: Job): JobState {
         job.cancelledSeq?.let { if (it <= decisionLog.committed) return JobState.CANCELLED }
         job.finishedSeq?.let { if (it <= decisionLog.committed) return JobState.DONE }
-        return if (job.live.values.any { it.seen == TaskState.RUNNING }) JobState.RUNNING else JobState.QUEUED
+        return if (job.liveAttempts.values.any { it.observedState == TaskState.RUNNING }) JobState.RUNNING else JobState.QUEUED
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/placement/SchedulingOrderTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/placement/SchedulingOrderTest.kt
@@ -53,7 +53,7 @@
         val waiting = job(1, submittedS = 0, tasks = 5)
         assertFalse(SchedulingOrder.overdue(waiting, 119_000))
         assertTrue(SchedulingOrder.overdue(waiting, 120_000))
-        waiting.lastNumber = 1
+        waiting.restoreProgress(ByteArray(0), lastNumber = 1)
         assertFalse(SchedulingOrder.overdue(waiting, 120_000))
     }
 }
