--- a/src/test/kotlin/cleathitch/election/LeaderElectionTest.kt
+++ b/src/test/kotlin/cleathitch/election/LeaderElectionTest.kt
@@ -25,7 +25,7 @@
     fun stop() {
         scope.cancel()
         vertx.close()
-        platform.stop()
+        platform.close()
     }
 
     private fun compete() {
@@ -56,7 +56,7 @@
     fun `a term that was given up isn't led again`() {
         compete()
         val first = next()
-        platform.losesReleases = true
+        platform.store.rejectsReleases = true
         first.resign("for the test", transferLeadership = false)
         val second = next()
         assertTrue(second.term.revision > first.term.revision) { "${second.term} after ${first.term}" }
--- a/src/test/kotlin/cleathitch/loopback/ConnectionLeakTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/ConnectionLeakTest.kt
@@ -27,25 +27,27 @@
 import kotlin.random.Random
 
 /**
- * Every client of a node through thousands of calls that time out or are cancelled while they wait for a connection, for
- * the answer or for its end. Afterwards no connection is lent, and calls are answered again.
+ * Each client of a node, through thousands of calls that time out or are cancelled while they wait for a connection, for
+ * the answer's head or for its body. Afterwards no connection is lent, and calls are answered again.
  */
 class ConnectionLeakTest {
     private val random = Random(SEED)
     private val serverRandom = Random(SEED + 1)
 
     @Volatile
-    private var troubled = true
-    private val server = StubServer { if (troubled) StubServer.TREATMENTS.random(serverRandom) else StubServer.AT_ONCE }
+    private var isFaulty = true
+    private val server = StubServer { if (isFaulty) StubServer.TREATMENTS.random(serverRandom) else StubServer.AT_ONCE }
     private val vertx = Vertx.vertx()
     private val scope = CoroutineScope(vertx.dispatcher() + SupervisorJob())
     private val meters = SimpleMeterRegistry()
 
     private val state = KeyValueStoreClient(vertx, server.address, TIMEOUT_MS, meters = meters)
     private val peers = PeerClient(vertx, meters)
-    private val workers = WorkerClient(vertx, TIMEOUT_MS, TIMEOUT_MS, atOnce = CALLS_AT_ONCE / 2, meters)
-    private val cloud = CloudClient(vertx, server.address, CallPacer(CLOUD_RPS, ::steadyMs), TIMEOUT_MS, ProcessingTimes(meters), meters)
+    private val workers = WorkerClient(vertx, TIMEOUT_MS, TIMEOUT_MS, atOnce = CONCURRENT_CALLS / 2, meters)
+    private val cloud =
+        CloudClient(vertx, server.address, CallPacer(CLOUD_CALLS_PER_S, ::steadyMs), TIMEOUT_MS, ProcessingTimes(meters), meters)
 
+    /** One call of each client, by the client's name in the metrics. */
     private val calls: Map<String, suspend () -> Any?> = mapOf(
         "state" to { state.extend(lease = 1) },
         "state-watch" to { state.follow("x", since = 1, waitMs = 0) },
@@ -61,32 +63,32 @@
     }
 
     @TestFactory
-    fun `no connection is lost by calls that give up`() = calls.map { (client, call) ->
-        DynamicTest.dynamicTest(client) { runBlocking { giveUpAndRecover(client, call) } }
+    fun `calls that time out or are cancelled give their connections back`() = calls.map { (client, call) ->
+        DynamicTest.dynamicTest(client) { runBlocking { abandonCallsAndRecover(client, call) } }
     }
 
-    private suspend fun giveUpAndRecover(client: String, call: suspend () -> Any?) {
-        troubled = true
-        repeat(CALLS / CALLS_AT_ONCE) {
-            val burst = List(CALLS_AT_ONCE) { scope.launch { call() } }
-            burst.filter { random.nextInt(3) == 0 }.forEach { cancelSoon(it) }
+    private suspend fun abandonCallsAndRecover(client: String, call: suspend () -> Any?) {
+        isFaulty = true
+        repeat(CALLS / CONCURRENT_CALLS) {
+            val burst = List(CONCURRENT_CALLS) { scope.launch { call() } }
+            burst.filter { random.nextInt(3) == 0 }.forEach { cancelLater(it) }
             delay(random.nextLong(TIMEOUT_MS))
             server.release()
             burst.joinAll()
         }
-        troubled = false
+        isFaulty = false
         server.release()
-        until("$client: all connections free") { gauge(client, "lent") == 0 && gauge(client, "waiting") == 0 }
+        await("$client: all connections free") { connectionsFree(client) }
         val answeredBefore = answered(client)
         // On a busy machine an answer may take longer than such a call waits, so there may be more than one try.
-        until("$client: calls are answered") {
+        await("$client: calls are answered") {
             scope.launch { call() }
             answered(client) > answeredBefore
         }
-        until("$client: all connections free again") { gauge(client, "lent") == 0 && gauge(client, "waiting") == 0 }
+        await("$client: all connections free again") { connectionsFree(client) }
     }
 
-    private fun cancelSoon(call: Job) {
+    private fun cancelLater(call: Job) {
         val afterMs = random.nextLong(TIMEOUT_MS)
         scope.launch {
             delay(afterMs)
@@ -94,26 +96,30 @@
         }
     }
 
+    private fun connectionsFree(client: String) = gauge(client, "lent") == 0 && gauge(client, "waiting") == 0
+
     private fun gauge(client: String, name: String) = meters.get("http.client.$name").tag("client", client).gauge().value().toInt()
 
+    /** Calls that were answered: the server's status counts as refused. */
     private fun answered(client: String) = meters.find("http.client.calls").tag("client", client).tag("outcome", "refused").counter()
         ?.count()?.toInt() ?: 0
 
-    private suspend fun until(what: String, condition: () -> Boolean) {
-        val endMs = steadyMs() + PATIENCE_MS
+    private suspend fun await(what: String, condition: () -> Boolean) {
+        val endMs = steadyMs() + AWAIT_TIMEOUT_MS
         while (!condition()) {
-            if (steadyMs() > endMs) throw AssertionError("$what: not within $PATIENCE_MS ms\n${MetricsText.text(meters)}")
-            delay(10)
+            if (steadyMs() > endMs) throw AssertionError("$what: not within $AWAIT_TIMEOUT_MS ms\n${MetricsText.text(meters)}")
+            delay(POLL_MS)
         }
     }
 
     private companion object {
         const val SEED = 23L
         const val CALLS = 2400
-        const val CALLS_AT_ONCE = 24
+        const val CONCURRENT_CALLS = 24
         const val TIMEOUT_MS = 20L
-        const val CLOUD_RPS = 100_000.0
-        const val PATIENCE_MS = 10_000L
+        const val CLOUD_CALLS_PER_S = 100_000.0
+        const val AWAIT_TIMEOUT_MS = 10_000L
+        const val POLL_MS = 10L
 
         fun steadyMs() = TimeUnit.NANOSECONDS.toMillis(System.nanoTime())
     }
--- a/src/test/kotlin/cleathitch/loopback/FaultyProxy.kt
+++ b/src/test/kotlin/cleathitch/loopback/FaultyProxy.kt
@@ -10,26 +10,31 @@
 import kotlin.concurrent.thread
 import kotlin.random.Random
 
-/** A TCP proxy on loopback between one node and a service, for troubles that a test switches on and off. */
+/**
+ * A TCP proxy on 127.0.0.1 between one node and a service, with faults that a test switches on and off by [fault]. Its threads and
+ * sockets end with [close].
+ */
 class FaultyProxy(private val targetPort: Int, seed: Int) : AutoCloseable {
     private val random = Random(seed)
     private val listener = ServerSocket(0, 4, InetAddress.getLoopbackAddress())
     private val sockets = ConcurrentHashMap.newKeySet<Socket>()
 
     @Volatile
-    var trouble = NetworkFault.NONE
+    var fault = NetworkFault.NONE
 
     @Volatile
     private var isOpen = true
-    val port get() = listener.localPort
+
+    /** Where the node connects to. */
+    val port: Int get() = listener.localPort
 
     init {
-        thread(isDaemon = true) { acceptAll() }
+        thread(isDaemon = true) { acceptConnections() }
     }
 
-    private fun acceptAll() {
+    private fun acceptConnections() {
         while (isOpen) {
-            waitWhile { trouble == NetworkFault.HOLD }
+            blockWhile { fault == NetworkFault.HOLD }
             val near = try {
                 listener.accept()
             } catch (_: IOException) {
@@ -56,7 +61,7 @@
             while (true) {
                 val count = from.getInputStream().read(buffer)
                 if (count < 0) break
-                if (!pass(buffer, count, from, to.getOutputStream(), isRequest)) break
+                if (!forward(buffer, count, from, to.getOutputStream(), isRequest)) break
             }
         } catch (_: IOException) {
             // The other side's pump, or the end of the proxy, has closed the sockets.
@@ -65,10 +70,10 @@
         close(to)
     }
 
-    /** False if the connection ends with this. */
-    private fun pass(buffer: ByteArray, count: Int, from: Socket, to: OutputStream, isRequest: Boolean): Boolean {
-        waitWhile { trouble == NetworkFault.HOLD || trouble == NetworkFault.HOLD_DATA }
-        when (trouble) {
+    /** Passes [count] bytes on, as the fault has it. False if the connection ends with them. */
+    private fun forward(buffer: ByteArray, count: Int, from: Socket, to: OutputStream, isRequest: Boolean): Boolean {
+        blockWhile { fault == NetworkFault.HOLD || fault == NetworkFault.HOLD_DATA }
+        when (fault) {
             NetworkFault.RESET -> {
                 from.setSoLinger(true, 0)
                 return false
@@ -86,13 +91,13 @@
 
     /** Lets the client read the refusal before the connection ends. */
     private fun drainAndClose(input: InputStream): Boolean {
-        Thread.sleep(REFUSAL_MS)
+        Thread.sleep(REFUSAL_READ_MS)
         input.skip(input.available().toLong())
         return false
     }
 
-    private fun waitWhile(condition: () -> Boolean) {
-        while (isOpen && condition()) Thread.sleep(STEP_MS)
+    private fun blockWhile(condition: () -> Boolean) {
+        while (isOpen && condition()) Thread.sleep(POLL_MS)
     }
 
     private fun close(socket: Socket) {
@@ -108,9 +113,9 @@
 
     private companion object {
         const val BUFFER_BYTES = 65_536
-        const val STEP_MS = 5L
+        const val POLL_MS = 5L
         const val MAX_DELAY_MS = 1000L
-        const val REFUSAL_MS = 20L
+        const val REFUSAL_READ_MS = 20L
         val REFUSAL = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n".toByteArray()
     }
 }
--- a/src/test/kotlin/cleathitch/loopback/LoopbackTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/LoopbackTest.kt
@@ -5,11 +5,9 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.io.TempDir
-import java.net.ServerSocket
 import java.nio.file.Path
-import kotlin.concurrent.thread
 
-/** Three real processes on loopback, against HTTP stand-ins. */
+/** Failover of three real processes on 127.0.0.1, with simulated platform, worker and user. */
 class LoopbackTest {
     @TempDir
     lateinit var dir: Path
@@ -19,30 +17,34 @@
     @AfterEach
     fun stop() {
         cluster.close()
-        platform.stop()
+        platform.close()
     }
 
-    /** The process that led is back at once, under its predecessor's lease and in the middle of the election. */
+    /** The process starts again under the lease of its predecessor, in the middle of the election. */
     @Test
-    fun `what was accepted runs once and stays known when the leader is killed and back at once`() {
-        val direct = ServerSocket(0).also { it.close() }.localPort
-        platform.workerAddr = "127.0.0.1:$direct"
-        val worker = StandInWorker(cluster.addresses, platform.workerAddr)
+    fun `accepted jobs run once and stay known when the leader is killed and starts again at once`() {
+        val address = "127.0.0.1:${LoopbackHttp.freePorts(1).single()}"
+        platform.addMachine("vm-000001", address)
         cluster.startAll()
-        val reporting = thread(isDaemon = true) { worker.live() }
-        cluster.submit(0, "j-000001")
-        cluster.doneAt(1, "j-000001")
-        assertEquals(404, cluster.until("answer") { ask(cluster.port(2), "GET", "/submissions/j-000099") }.status)
-        cluster.submit(2, "j-000002")
-        val killed = platform.leader()!!.removePrefix("n").toInt()
-        cluster.kill(killed)
-        cluster.start(killed)
-        cluster.submit((killed + 1) % 3, "j-000003")
-        for (node in 0..2) for (id in listOf("j-000001", "j-000002", "j-000003")) cluster.doneAt(node, id)
-        assertEquals(200, cluster.submit(killed, "j-000001").status)
-        worker.on = false
-        reporting.join()
-        assertEquals(9, worker.runs.size)
-        assertTrue(worker.runs.values.all { it == 1 }) { "${worker.runs}" }
+        val worker = SimulatedWorker("vm-000001", address, cluster.addresses)
+        worker.use {
+            cluster.submit(0, "j-000001")
+            cluster.awaitDone(1, "j-000001")
+            val unknown = cluster.await("answer") { LoopbackHttp.callOrNull(cluster.port(2), "GET", "/submissions/j-000099") }
+            assertEquals(404, unknown.status)
+            cluster.submit(2, "j-000002")
+
+            val killed = platform.leader()!!.removePrefix("n").toInt()
+            cluster.kill(killed)
+            cluster.start(killed)
+
+            cluster.submit((killed + 1) % LoopbackCluster.NODES, "j-000003")
+            for (node in 0 until LoopbackCluster.NODES) {
+                for (id in listOf("j-000001", "j-000002", "j-000003")) cluster.awaitDone(node, id)
+            }
+            assertEquals(200, cluster.submit(killed, "j-000001").status)
+        }
+        assertEquals(9, worker.starts.size)
+        assertTrue(worker.starts.values.all { it == 1 }) { "${worker.starts}" }
     }
 }
--- a/src/test/kotlin/cleathitch/loopback/NetworkFault.kt
+++ b/src/test/kotlin/cleathitch/loopback/NetworkFault.kt
@@ -1,21 +1,21 @@
 package cleathitch.loopback
 
-/** What happens to connections through a [FaultyProxy]. */
+/** What a [FaultyProxy] does to the connections through it. */
 enum class NetworkFault {
     NONE,
 
-    /** Connections stay open and new ones wait for acceptance, but nothing gets through until it is over. */
+    /** Open connections stall and new ones aren't accepted, until the fault is over. */
     HOLD,
 
-    /** As [HOLD] for what is sent, while new connections are accepted at once. */
+    /** Open connections stall until the fault is over; new ones are accepted at once, and stall as well. */
     HOLD_DATA,
 
-    /** Whatever is sent arrives up to a second late. */
+    /** Data arrives up to a second late. */
     SLOW,
 
-    /** Connections are reset as soon as something is sent. */
+    /** Connections are reset as soon as data is sent. */
     RESET,
 
-    /** Each request is answered with 503. */
+    /** Each request is answered with 503, and its connection is closed. */
     REFUSE,
 }
--- /dev/null
+++ b/src/test/kotlin/cleathitch/loopback/SimulatedUser.kt
@@ -0,0 +1,66 @@
+package cleathitch.loopback
+
+import com.fasterxml.jackson.databind.JsonNode
+import java.util.concurrent.ConcurrentHashMap
+import kotlin.concurrent.thread
+import kotlin.random.Random
+
+/**
+ * A user that submits jobs of one task and polls those that were accepted, at a random controller each time, until [close].
+ * The ids are numbered from [firstJob]; after [maxJobs] of them the same submissions are repeated.
+ *
+ * Compares each reply with the earlier ones: a job that was accepted must stay known, and a job that was done must stay done.
+ */
+class SimulatedUser(
+    private val cluster: LoopbackCluster,
+    private val random: Random,
+    private val firstJob: Int = 0,
+    private val maxJobs: Int = 400,
+    private val pauseMs: Long = 100,
+) : AutoCloseable {
+    private val acceptedJobs = ConcurrentHashMap.newKeySet<String>()
+    private val doneJobs = ConcurrentHashMap.newKeySet<String>()
+    private val foundViolations = ConcurrentHashMap.newKeySet<String>()
+
+    @Volatile
+    private var isOpen = true
+    private val requests = thread(isDaemon = true) { runRequests() }
+
+    /** Jobs whose submission was confirmed. */
+    val accepted: Set<String> get() = acceptedJobs
+
+    /** Replies that took back an earlier one. */
+    val violations: Set<String> get() = foundViolations
+
+    private fun runRequests() {
+        var submitted = 0
+        while (isOpen) {
+            val id = "j-%06d".format(firstJob + submitted % maxJobs)
+            if (request(randomNode(), "POST", "/submissions", id, cluster.job(id, tasks = 1)) != null) submitted++
+            acceptedJobs.randomOrNull(random)?.let { pollOrNull(randomNode(), it) }
+            Thread.sleep(pauseMs)
+        }
+    }
+
+    private fun randomNode() = random.nextInt(LoopbackCluster.NODES)
+
+    /** The reply of [node] about the accepted job [id], or null if it gave none. */
+    fun pollOrNull(node: Int, id: String) = request(node, "GET", "/submissions/$id", id)
+
+    private fun request(node: Int, method: String, path: String, id: String, body: JsonNode? = null): ControllerReply? {
+        // Read before the call: a poll that overlaps the first confirmation may rightly give the earlier state.
+        val wasDone = id in doneJobs
+        val reply = LoopbackHttp.callOrNull(cluster.port(node), method, path, body) ?: return null
+        if (reply.status == 404) foundViolations += "forgotten: $id"
+        if (!reply.isSuccess) return null
+        if (wasDone && reply.jobState != "done") foundViolations += "went_back: $id was done, now ${reply.jobState}"
+        if (reply.jobState == "done") doneJobs += id
+        acceptedJobs += id
+        return reply
+    }
+
+    override fun close() {
+        isOpen = false
+        requests.join()
+    }
+}
