--- /dev/null
+++ b/src/test/kotlin/cleathitch/loopback/UpgradeTest.kt
@@ -0,0 +1,123 @@
+package cleathitch.loopback
+
+import org.junit.jupiter.api.AfterEach
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Test
+import org.junit.jupiter.api.io.TempDir
+import java.nio.file.Path
+import java.util.concurrent.ConcurrentHashMap
+import kotlin.random.Random
+
+/**
+ * A rolling upgrade from a previous build to the present one and the rollback, of three real processes on 127.0.0.1 with
+ * the same members and the same stored state, while users submit and poll and workers report. The leader is replaced last, so
+ * each build leads followers of the other and takes over the log that the other has written.
+ *
+ * `mvn -Dtest=UpgradeTest -Dprevious.jar=/path/to/cleathitch.jar test`; without the property the previous build is the present one.
+ */
+class UpgradeTest {
+    @TempDir
+    lateinit var dir: Path
+    private val previous = ControllerBuild.previous()
+    private val platform = SimulatedPlatform()
+    private val cluster by lazy { LoopbackCluster(dir, platform) { platform.port } }
+    private val random = Random(SEED)
+
+    /** Jobs whose tasks run until their job is removed from here. */
+    private val heldJobs = ConcurrentHashMap.newKeySet<String>()
+    private val submitted = ArrayList<String>()
+
+    @AfterEach
+    fun stop() {
+        cluster.close()
+        platform.close()
+    }
+
+    @Test
+    fun `accepted jobs finish and confirmed results stand through a rolling upgrade and its rollback`() {
+        val startMs = nowMs()
+        val machines = LoopbackHttp.freePorts(2).mapIndexed { i, port -> "vm-00000${i + 1}" to "127.0.0.1:$port" }
+        machines.forEach { (machine, address) -> platform.addMachine(machine, address) }
+        cluster.startAll(previous)
+        val workers = machines.map { (machine, address) ->
+            SimulatedWorker(machine, address, cluster.addresses) { task -> task.substringBefore('/') in heldJobs }
+        }
+        val users = List(2) {
+            SimulatedUser(cluster, Random(SEED + it), firstJob = (it + 1) * USER_JOBS, maxJobs = USER_JOBS, USER_PAUSE_MS)
+        }
+        try {
+            submitHeld(UPGRADED_JOB, workers)
+            replaceAll(ControllerBuild.Present)
+            releaseHeld(UPGRADED_JOB)
+
+            submitHeld(ROLLED_BACK_JOB, workers)
+            replaceAll(previous)
+            releaseHeld(ROLLED_BACK_JOB)
+
+            for (id in submitted + users.flatMap { it.accepted }) cluster.awaitDone(random.nextInt(LoopbackCluster.NODES), id)
+        } finally {
+            (users + workers).forEach { it.close() }
+        }
+        println("upgrade from $previous: ${submitted.size} jobs and ${users.map { it.accepted.size }} by users, ${nowMs() - startMs} ms")
+        assertEquals(emptySet<String>(), users.flatMap { it.violations }.toSet()) { cluster.logs() }
+        assertTasksStartedOnce(workers)
+    }
+
+    /** Submits a job of one task and waits until a worker runs it; it goes on until [releaseHeld]. */
+    private fun submitHeld(id: String, workers: List<SimulatedWorker>) {
+        heldJobs += id
+        cluster.submit(0, id, tasks = 1)
+        submitted += id
+        cluster.await("start of $id") { workers.firstOrNull { "$id/0" in it.starts } }
+    }
+
+    private fun releaseHeld(id: String) {
+        for (node in 0 until LoopbackCluster.NODES) assertEquals("running", cluster.awaitAnswer(node, id).jobState)
+        heldJobs -= id
+        for (node in 0 until LoopbackCluster.NODES) cluster.awaitDone(node, id)
+    }
+
+    /** Ends the processes one after the other, the leader's last, and starts [build] in their place. */
+    private fun replaceAll(build: ControllerBuild) {
+        val pending = (0 until LoopbackCluster.NODES).toMutableSet()
+        while (pending.isNotEmpty()) {
+            val leader = cluster.awaitLeader()
+            val node = pending.firstOrNull { it != leader } ?: leader
+            val endedMs = nowMs()
+            cluster.kill(node)
+            cluster.start(node, build)
+            cluster.awaitReady(node)
+            pending -= node
+            val readyMs = nowMs()
+            assertEachNodeServes()
+            println("upgrade: n$node runs $build, ready in ${readyMs - endedMs} ms, served after ${nowMs() - readyMs} ms")
+        }
+    }
+
+    /** A job that one node accepts is done at the next one. */
+    private fun assertEachNodeServes() {
+        val ids = (0 until LoopbackCluster.NODES).associateWith { "j-%06d".format(submitted.size + it) }
+        ids.forEach { (node, id) -> cluster.submit(node, id, tasks = 1) }
+        submitted += ids.values
+        ids.forEach { (node, id) -> cluster.awaitDone((node + 1) % LoopbackCluster.NODES, id) }
+    }
+
+    private fun assertTasksStartedOnce(workers: List<SimulatedWorker>) {
+        val starts = workers.flatMap { it.starts.entries }.groupingBy { it.key }.fold(0) { sum, entry -> sum + entry.value }
+        assertEquals(emptyMap<String, Int>(), starts.filterValues { it != 1 }) { cluster.logs() }
+    }
+
+    private fun nowMs() = System.nanoTime() / 1_000_000
+
+    private companion object {
+        const val SEED = 23
+        const val USER_JOBS = 100_000
+        const val USER_PAUSE_MS = 400L
+
+        /** Accepted under the previous build, finished under the present one. */
+        const val UPGRADED_JOB = "j-090001"
+
+        /** Accepted under the present build, finished under the previous one. */
+        const val ROLLED_BACK_JOB = "j-090002"
+    }
+}
