--- a/src/test/kotlin/cleathitch/election/LeaderElectionTest.kt
+++ b/src/test/kotlin/cleathitch/election/LeaderElectionTest.kt
@@ -25,7 +25,7 @@
     fun stop() {
         scope.cancel()
         vertx.close()
-        platform.stop()
+        platform.close()
     }
 
     private fun campaign() {
@@ -57,7 +57,7 @@
     fun `a term that was resigned is not led again`() {
         campaign()
         val first = awaitElection()
-        platform.losesReleases = true
+        platform.store.rejectsReleases = true
         first.resign("for the test", transferLeadership = false)
         val second = awaitElection()
         assertTrue(second.term.revision > first.term.revision) { "${second.term} after ${first.term}" }
