--- a/src/main/kotlin/cleathitch/cli/Application.kt
+++ b/src/main/kotlin/cleathitch/cli/Application.kt
@@ -89,7 +89,7 @@
                 internal(node, method, path, body)
             }.listen(settings.internalAddr)
             node.start()
-            HttpEndpoint(vertx, scope, MessageCodec.MAX_BODY, idleS, room, node::front).listen(settings.bind)
+            HttpEndpoint(vertx, scope, MessageCodec.MAX_BODY, idleS, room, node.requests::handle).listen(settings.bind)
             log.info("node {} listens on {} and {}", settings.member, settings.bind, settings.internalAddr)
         }
     }
@@ -98,7 +98,7 @@
 
     private suspend fun internal(node: Controller, method: String, path: String, body: ByteArray): HttpReply = when {
         path == PeerClient.PATH && method == "POST" -> try {
-            HttpReply(200, PeerCodec.encode(node.peer(PeerCodec.decodeRequest(body))))
+            HttpReply(200, PeerCodec.encode(node.peerRequests.handle(PeerCodec.decodeRequest(body))))
         } catch (e: SerializationException) {
             log.error("a garbled request from a peer: {}", e.message)
             HttpReply(400)
--- /dev/null
+++ b/src/main/kotlin/cleathitch/controller/HeartbeatRouter.kt
@@ -0,0 +1,66 @@
+package cleathitch.controller
+
+import cleathitch.http.HttpReply
+import cleathitch.leader.LeaderTerm
+import cleathitch.leader.RequestOutcome
+import cleathitch.metrics.ProcessingStage
+import cleathitch.metrics.ProcessingTimes
+import cleathitch.peers.LeaderBatcher
+import cleathitch.protocol.MalformedMessageException
+import cleathitch.protocol.UserProtocol
+import cleathitch.protocol.WorkerProtocol
+import cleathitch.scheduler.model.Heartbeat
+import cleathitch.workers.ForwardOutcome
+import cleathitch.workers.WorkerDistribution
+import org.slf4j.LoggerFactory
+
+/**
+ * Answers workers' heartbeats: by the active term, through the leader, or with the name of a controller that the worker
+ * should report to instead. Confined to the controller's event loop.
+ */
+internal class HeartbeatRouter(
+    private val member: String,
+    private val role: ControllerRole,
+    private val contacts: FollowerContacts,
+    private val batches: LeaderBatcher,
+    private val distribution: WorkerDistribution,
+    private val processingTimes: ProcessingTimes,
+    private val steadyMs: () -> Long,
+) {
+    suspend fun handle(body: ByteArray): HttpReply {
+        // Right after an election the whole fleet reports at once: a heartbeat that can't be answered isn't even decoded.
+        if (role.activeTerm?.isReady == false || role.activeTerm == null && role.leader == null) return HttpReply(503)
+        if (role.activeTerm == null && batches.leaderUnreachable) return reportTo(role.leader)
+        val heartbeat = try {
+            processingTimes.measure(ProcessingStage.HEARTBEAT_DECODING) { WorkerProtocol.report(body) }
+        } catch (e: MalformedMessageException) {
+            log.error("a garbled report: {}", e.message)
+            return HttpReply(400, UserProtocol.error(e.message.orEmpty()))
+        }
+        return role.activeTerm?.let { answer(it, heartbeat) } ?: forward(heartbeat)
+    }
+
+    private suspend fun answer(term: LeaderTerm, heartbeat: Heartbeat): HttpReply {
+        val follower = distribution.followerFor(heartbeat.machine, contacts.reachableFollowers(), steadyMs())
+        if (follower != null) return reportTo(follower)
+        return when (val outcome = term.requests.heartbeat(heartbeat)) {
+            is RequestOutcome.Answered -> HttpReply(200, WorkerProtocol.answer(outcome.answer.token, outcome.answer.commands))
+            is RequestOutcome.Unanswered -> if (role.activeTerm === term) {
+                HttpReply(503)
+            } else {
+                reportTo(role.leader.takeIf { it != member })
+            }
+        }
+    }
+
+    private suspend fun forward(heartbeat: Heartbeat): HttpReply = when (val outcome = batches.decide(heartbeat)) {
+        is ForwardOutcome.Answered -> HttpReply(200, WorkerProtocol.answer(outcome.token, outcome.commands))
+        ForwardOutcome.Unanswered -> HttpReply(503)
+    }
+
+    private fun reportTo(controller: String?) = HttpReply(421, WorkerProtocol.elsewhere(controller))
+
+    private companion object {
+        val log = LoggerFactory.getLogger("cleathitch.node")
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/cleathitch/controller/ProcessingTimesLog.kt
@@ -0,0 +1,27 @@
+package cleathitch.controller
+
+import cleathitch.metrics.ProcessingTimes
+import kotlinx.coroutines.delay
+import org.slf4j.LoggerFactory
+
+/** Writes the times of the processing stages to the log, periodically. */
+internal class ProcessingTimesLog(
+    private val role: ControllerRole,
+    private val processingTimes: ProcessingTimes,
+    private val periodMs: Long,
+) {
+    val isEnabled get() = log.isInfoEnabled
+
+    /** Logs until it is cancelled. */
+    suspend fun run() {
+        while (true) {
+            delay(periodMs)
+            val roleName = if (role.activeTerm != null) "leader" else "follower"
+            log.info("work as {} in {} ms: {}", roleName, periodMs, processingTimes.summary())
+        }
+    }
+
+    private companion object {
+        val log = LoggerFactory.getLogger("cleathitch.node")
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/cleathitch/controller/UserRequestRouter.kt
@@ -0,0 +1,64 @@
+package cleathitch.controller
+
+import cleathitch.http.Address
+import cleathitch.http.HttpReply
+import cleathitch.leader.TermRequests
+import cleathitch.peers.LeaderBatcher
+import cleathitch.peers.PeerClient
+import cleathitch.peers.PeerRequest
+import cleathitch.peers.reply
+import cleathitch.protocol.UserProtocol
+import cleathitch.scheduler.api.UserReply
+import cleathitch.scheduler.model.JobId
+
+/** Answers users' requests: by the active term, or through the leader. Confined to the controller's event loop. */
+internal class UserRequestRouter(
+    private val role: ControllerRole,
+    private val batches: LeaderBatcher,
+    private val client: PeerClient,
+    private val peerAddresses: Map<String, Address>,
+) {
+    /** A request that a peer has [forwarded] isn't forwarded again: the peers would pass it round between two terms. */
+    suspend fun handle(method: String, path: String, body: ByteArray, forwarded: Boolean): HttpReply =
+        when (val request = UserRequest.parse(method, path, body)) {
+            UserRequest.MethodNotAllowed -> HttpReply(405)
+            UserRequest.UnknownPath -> HttpReply(404)
+            is UserRequest.Malformed -> HttpReply(400, UserProtocol.error(request.reason))
+            is UserRequest.ForLeader -> {
+                val activeTerm = role.activeTerm
+                when {
+                    activeTerm != null -> UserProtocol.reply(answer(request, activeTerm.requests))
+                    request is UserRequest.Poll -> poll(request.job)
+                    forwarded -> unreachableLeader()
+                    else -> forward(method, path, body)
+                }
+            }
+        }
+
+    private suspend fun answer(request: UserRequest.ForLeader, requests: TermRequests): UserReply = when (request) {
+        is UserRequest.Submit -> requests.submit(request.spec)
+        is UserRequest.Poll -> requests.poll(request.job)
+        is UserRequest.Cancel -> requests.cancel(request.job)
+        UserRequest.UnknownJob -> UserReply.NotFound
+    }
+
+    /** Polls go to the leader in batches. */
+    private suspend fun poll(job: JobId): HttpReply {
+        if (role.knownLeader() == null || batches.leaderUnreachable) return unreachableLeader()
+        return batches.status(job)?.let(UserProtocol::reply) ?: unreachableLeader()
+    }
+
+    private suspend fun forward(method: String, path: String, body: ByteArray): HttpReply {
+        val address = role.leader?.let(peerAddresses::get) ?: return unreachableLeader()
+        val request = PeerRequest.ForwardUserRequest(method, path, body)
+        val reply = client.ask(address, request, FORWARD_TIMEOUT_MS).reply ?: return unreachableLeader()
+        return HttpReply(reply.status, reply.body, reply.retryAfterS)
+    }
+
+    private fun unreachableLeader() = UserProtocol.elsewhere("no way to the leader")
+
+    private companion object {
+        /** Users wait 2 s for an answer; the rest of that is for the way to this controller and back. */
+        const val FORWARD_TIMEOUT_MS = 1800L
+    }
+}
--- a/src/main/kotlin/cleathitch/leader/TermRequests.kt
+++ b/src/main/kotlin/cleathitch/leader/TermRequests.kt
@@ -15,11 +15,7 @@
  *
  * [wakeUp] has the term's loop look at the queue; [steadyMs] is the steady clock.
  */
-class TermRequests internal constructor(
-    private val queue: InputQueue,
-    private val steadyMs: () -> Long,
-    private val wakeUp: () -> Unit,
-) {
+class TermRequests internal constructor(private val queue: InputQueue, private val steadyMs: () -> Long, private val wakeUp: () -> Unit) {
     internal val userRequests = PendingRequests<UserReply>(steadyMs)
     internal val heartbeats = PendingRequests<Effect.AnswerHeartbeat>(steadyMs)
     internal val followerBatches = PendingRequests<Effect.AnswerFollower>(steadyMs)
@@ -79,11 +75,10 @@
         lastBatchMsPerInput = durationMs / inputs
     }
 
-    private suspend fun awaitUserReply(input: (RequestId) -> Input): UserReply =
-        when (val outcome = await(userRequests, input)) {
-            is RequestOutcome.Answered -> outcome.answer
-            is RequestOutcome.Unanswered -> unavailable(outcome.reason)
-        }
+    private suspend fun awaitUserReply(input: (RequestId) -> Input): UserReply = when (val outcome = await(userRequests, input)) {
+        is RequestOutcome.Answered -> outcome.answer
+        is RequestOutcome.Unanswered -> unavailable(outcome.reason)
+    }
 
     private suspend fun <T> await(pending: PendingRequests<T>, input: (RequestId) -> Input): RequestOutcome<T> {
         if (!isOpen) return RequestOutcome.Unanswered(UnansweredReason.RECOVERING)
