--- a/src/main/kotlin/cleathitch/cli/Application.kt
+++ b/src/main/kotlin/cleathitch/cli/Application.kt
@@ -13,6 +13,7 @@
 import cleathitch.leader.LeaderDependencies
 import cleathitch.metrics.MetricsText
 import cleathitch.metrics.ProcessingTimes
+import cleathitch.metrics.logValue
 import cleathitch.peers.PeerClient
 import cleathitch.peers.PeerCodec
 import cleathitch.protocol.MessageCodec
@@ -90,7 +91,7 @@
             }.listen(settings.internalAddr)
             node.start()
             HttpEndpoint(vertx, scope, MessageCodec.MAX_BODY, idleS, room, node.requests::handle).listen(settings.bind)
-            log.info("node {} listens on {} and {}", settings.member, settings.bind, settings.internalAddr)
+            log.info("event=listening member={} address={} internal_address={}", settings.member, settings.bind, settings.internalAddr)
         }
     }
 
@@ -100,7 +101,7 @@
         path == PeerClient.PATH && method == "POST" -> try {
             HttpReply(200, PeerCodec.encode(node.peerRequests.handle(PeerCodec.decodeRequest(body))))
         } catch (e: SerializationException) {
-            log.error("a garbled request from a peer: {}", e.message)
+            log.error("event=malformed_peer_request error={}", logValue(e.message.orEmpty()))
             HttpReply(400)
         }
         path == "/metrics" && method == "GET" -> HttpReply(200, MetricsText.text(meters).toByteArray())
@@ -108,7 +109,7 @@
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("cleathitch.app")
+        val log = LoggerFactory.getLogger("cleathitch.cli")
 
         /** What the leader may take of the cloud's calls; the rest is for the others' start. */
         const val CLOUD_SHARE = 0.8
--- a/src/main/kotlin/cleathitch/controller/ControllerRole.kt
+++ b/src/main/kotlin/cleathitch/controller/ControllerRole.kt
@@ -3,6 +3,7 @@
 import cleathitch.election.ElectionListener
 import cleathitch.election.LeaderLease
 import cleathitch.leader.LeaderTerm
+import cleathitch.metrics.logValue
 import cleathitch.peers.KnownLeader
 import cleathitch.scheduler.api.Effect
 import cleathitch.scheduler.model.Term
@@ -69,7 +70,7 @@
 
     private fun lead(lease: LeaderLease) {
         val term = lease.term
-        log.info("term {}: elected", term.revision)
+        log.info("term={} event=elected holder={}", term.revision, member)
         elections.increment()
         val elected = newTerm(lease) { stepDown(term, it.reason, it.transferLeadership) }
         activeTerm = elected
@@ -88,9 +89,9 @@
         val ended = activeTerm ?: return
         if (ended.term != term) return
         log.info(
-            "term {}: stepping down: {}; {} ms after its election, {}",
+            "term={} event=stepped_down reason={} after_ms={} {}",
             term.revision,
-            reason,
+            logValue(reason),
             steadyMs() - ended.electedAtMs,
             ended.activity,
         )
@@ -104,14 +105,14 @@
     /** Ends the active term if [from] knows a newer one. */
     fun stepDownIfOlderThan(term: Long, from: String) {
         val active = activeTerm ?: return
-        if (active.term.revision < term) stepDown(active.term, "$from knows term $term")
+        if (active.term.revision < term) stepDown(active.term, "newer_term: $from knows $term")
     }
 
     /** Follows the member that holds the leader's key, or nobody. */
     private fun follow(member: String?, term: Long) {
         if (activeTerm != null || term < leaderTerm) return
         if (member != leader) {
-            log.info("leader: {}", member ?: "none")
+            log.info("event=leader_changed leader={} term={} source=key", member ?: "none", term)
             // A new leader announces itself only after its replay; until then it counts as alive.
             if (member != null) leaderContactMs = steadyMs()
         }
@@ -123,15 +124,15 @@
     /** The member [from] showed that it leads in [term]: by an announcement, a command, or its answer to a batch. */
     fun onLeaderAnnouncement(from: String, term: Long) {
         if (term < leaderTerm) return
-        activeTerm?.let { if (it.term.revision < term) stepDown(it.term, "$from leads in term $term") }
+        activeTerm?.let { if (it.term.revision < term) stepDown(it.term, "newer_term: $from leads $term") }
         if (activeTerm != null) return
-        if (leader != from) log.info("leader: {} in term {}", from, term)
+        if (leader != from) log.info("event=leader_changed leader={} term={} source=announcement", from, term)
         leader = from
         leaderTerm = term
         leaderContactMs = steadyMs()
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("cleathitch.node")
+        val log = LoggerFactory.getLogger("cleathitch.controller")
     }
 }
--- a/src/main/kotlin/cleathitch/controller/HeartbeatRouter.kt
+++ b/src/main/kotlin/cleathitch/controller/HeartbeatRouter.kt
@@ -5,6 +5,7 @@
 import cleathitch.leader.RequestOutcome
 import cleathitch.metrics.ProcessingStage
 import cleathitch.metrics.ProcessingTimes
+import cleathitch.metrics.logValue
 import cleathitch.peers.LeaderBatcher
 import cleathitch.protocol.MalformedMessageException
 import cleathitch.protocol.UserProtocol
@@ -34,7 +35,7 @@
         val heartbeat = try {
             processingTimes.measure(ProcessingStage.HEARTBEAT_DECODING) { WorkerProtocol.report(body) }
         } catch (e: MalformedMessageException) {
-            log.error("a garbled report: {}", e.message)
+            log.error("event=malformed_heartbeat error={}", logValue(e.message.orEmpty()))
             return HttpReply(400, UserProtocol.error(e.message.orEmpty()))
         }
         return role.activeTerm?.let { answer(it, heartbeat) } ?: forward(heartbeat)
@@ -61,6 +62,6 @@
     private fun reportTo(controller: String?) = HttpReply(421, WorkerProtocol.elsewhere(controller))
 
     private companion object {
-        val log = LoggerFactory.getLogger("cleathitch.node")
+        val log = LoggerFactory.getLogger("cleathitch.controller")
     }
 }
--- a/src/main/kotlin/cleathitch/controller/LeaderAnnouncer.kt
+++ b/src/main/kotlin/cleathitch/controller/LeaderAnnouncer.kt
@@ -43,7 +43,7 @@
         val announcement = PeerRequest.AnnounceLeader(member, member, term.term.revision)
         val reply = client.ask(peer.address, announcement, timeoutMs = periodMs).reply ?: return
         contacts.recordContact(peer.member)
-        if (reply.term > term.term.revision) role.stepDown(term.term, "${peer.member} knows term ${reply.term}")
+        if (reply.term > term.term.revision) role.stepDown(term.term, "newer_term: ${peer.member} knows ${reply.term}")
     }
 
     private companion object {
--- a/src/main/kotlin/cleathitch/controller/ProcessingTimesLog.kt
+++ b/src/main/kotlin/cleathitch/controller/ProcessingTimesLog.kt
@@ -17,11 +17,11 @@
         while (true) {
             delay(periodMs)
             val roleName = if (role.activeTerm != null) "leader" else "follower"
-            log.info("work as {} in {} ms: {}", roleName, periodMs, processingTimes.summary())
+            log.info("event=processing_times role={} period_ms={} {}", roleName, periodMs, processingTimes.summary())
         }
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("cleathitch.node")
+        val log = LoggerFactory.getLogger("cleathitch.controller")
     }
 }
--- a/src/main/kotlin/cleathitch/leader/EffectExecutor.kt
+++ b/src/main/kotlin/cleathitch/leader/EffectExecutor.kt
@@ -66,7 +66,7 @@
     private fun commit(effect: Effect.Write) = scope.launch {
         when (val result = storage.commit(effect.commit)) {
             is CommitResult.Done -> enqueue(Input.CommitSucceeded(effect.commit.seq, result.revision))
-            is CommitResult.Refused -> stepDown(Effect.StepDown("a transaction was refused: ${result.failedKeys} changed"))
+            is CommitResult.Refused -> stepDown(Effect.StepDown("compare_and_swap_refused: ${result.failedKeys} changed"))
         }
     }
 
@@ -80,9 +80,9 @@
     }
 
     private fun write(effect: Effect.Log) = when (effect.level) {
-        LogLevel.ERROR -> log.error("term {}: {}", lease.term.revision, effect.text)
-        LogLevel.INFO -> log.info("term {}: {}", lease.term.revision, effect.text)
-        LogLevel.DEBUG -> log.debug("term {}: {}", lease.term.revision, effect.text)
+        LogLevel.ERROR -> log.error("term={} {}", lease.term.revision, effect.text)
+        LogLevel.INFO -> log.info("term={} {}", lease.term.revision, effect.text)
+        LogLevel.DEBUG -> log.debug("term={} {}", lease.term.revision, effect.text)
     }
 
     private companion object {
--- a/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
+++ b/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
@@ -2,6 +2,7 @@
 
 import cleathitch.election.LeaderLease
 import cleathitch.metrics.ProcessingStage
+import cleathitch.metrics.logValue
 import cleathitch.peers.DeliveryResultMessage
 import cleathitch.peers.WorkerCommandDelivery
 import cleathitch.scheduler.Scheduler
@@ -53,9 +54,9 @@
     /** Whether the log is replayed and the term goes on, so that requests are answered. */
     val isReady get() = requests.isOpen
 
-    /** What this term is doing, for the log. */
+    /** What this term is doing, as keys and values for the log. */
     val activity
-        get() = if (isReady) "leading with ${queue.queuedRequests} requests waiting" else "replaying: ${storage.activity}"
+        get() = if (isReady) "phase=leading queued_requests=${queue.queuedRequests}" else "phase=recovering storage=${logValue(storage.activity)}"
 
     /** Takes in what workers answered to commands that a follower delivered. */
     fun recordDeliveryResults(results: List<DeliveryResultMessage>) = delivery.answered(results)
@@ -80,7 +81,7 @@
             shareImageCacheHints,
             stepDown,
         )
-        val batchSizes = dependencies.meters.summary("engine.batch")
+        val batchSizes = dependencies.meters.summary("scheduler.batch")
         while (true) {
             wakeUp.receive()
             while (!queue.isEmpty) {
@@ -102,7 +103,7 @@
         requests.open()
         onRecovered()
         log.info(
-            "term {}: leading after {} ms of replay; {} jobs open, {} records",
+            "term={} event=recovered duration_ms={} jobs_open={} records={}",
             term.revision,
             clocks.steadyMs() - startMs,
             scheduler.openJobs,
--- a/src/main/kotlin/cleathitch/leader/TermRequests.kt
+++ b/src/main/kotlin/cleathitch/leader/TermRequests.kt
@@ -15,7 +15,7 @@
  *
  * [wakeUp] has the term's loop look at the queue; [steadyMs] is the steady clock.
  */
-class TermRequests internal constructor(private val queue: InputQueue, private val steadyMs: () -> Long, private val wakeUp: () -> Unit) {
+class TermRequests internal constructor(private val queue: InputQueue, steadyMs: () -> Long, private val wakeUp: () -> Unit) {
     internal val userRequests = PendingRequests<UserReply>(steadyMs)
     internal val heartbeats = PendingRequests<Effect.AnswerHeartbeat>(steadyMs)
     internal val followerBatches = PendingRequests<Effect.AnswerFollower>(steadyMs)
