--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -9,8 +9,11 @@
 import cleathitch.scheduler.api.SchedulerTimings
 import cleathitch.scheduler.api.UserReply
 import cleathitch.scheduler.api.logEvent
+import cleathitch.scheduler.capacity.CapacityPlanner
 import cleathitch.scheduler.capacity.CloudRequests
 import cleathitch.scheduler.capacity.DemandForecast
+import cleathitch.scheduler.capacity.MachineDemand
+import cleathitch.scheduler.capacity.ScaleInCandidates
 import cleathitch.scheduler.capacity.UnplacedTasks
 import cleathitch.scheduler.jobs.Attempt
 import cleathitch.scheduler.jobs.Job
@@ -72,7 +75,8 @@
     private val logLevel: LogLevel = LogLevel.DEBUG,
 ) {
     private val jobTable = JobTable()
-    private val fleet = Inventory(deployment, jobTable)
+    private val fleet = Inventory(deployment)
+    private val scaleInCandidates = ScaleInCandidates(deployment, fleet, jobTable)
     private val quota = Quota(deployment.teams, jobTable)
     private val decisionLog = DecisionLog(deployment, sizes)
     private val placement = Placement(fleet, jobTable)
@@ -107,7 +111,7 @@
         isGone = { it in gone },
         adopt = { id, offer -> adopt(id, offer, now.steadyMs) },
     )
-    private val failureDetector = FailureDetector(context, fleet, jobTable, timings, start.steadyMs, cloudRequests::retire)
+    private val failureDetector = FailureDetector(context, fleet, jobTable, timings, start.steadyMs, cloudRequests::requestTermination)
 
     /** Machines to which new orders go as soon as a record is committed. */
     private val pushesAwaitingCommit = HashMap<LogIndex, MutableSet<MachineId>>()
@@ -153,7 +157,7 @@
     /** Without it a new leader places blindly, and machines fetch again what their neighbours hold. */
     private var imageCacheHints: Map<MachineId, ImageCache> = emptyMap()
     private var lastToldMs = start.steadyMs
-    private var demands: List<Inventory.Demand> = emptyList()
+    private var demands: List<MachineDemand> = emptyList()
     private var hasSteppedDown = false
 
     /** Until then a machine that this leader never answered may go on under an older leader's lease. */
@@ -202,7 +206,7 @@
                 lastWatchMs = now.steadyMs
                 watchMachines()
                 if (leaseHeld()) sendStops()
-                cloudRequests.send()
+                cloudRequests.sendDue()
                 shareImageCacheHints()
             }
             if (mayPlace()) round()
@@ -239,7 +243,7 @@
                 command.machines.forEach(::listed)
                 fleetListed = true
             }
-            is Input.RentalCompleted -> cloudRequests.rentalAnswered(command)
+            is Input.RentalCompleted -> cloudRequests.onRentalAnswer(command)
             is Input.MachinesTerminated -> command.machines.forEach { confirmGone(it) }
             is Input.ImageCacheHintsReceived -> imageCacheHints = command.images
             Input.Tick -> Unit
@@ -273,7 +277,7 @@
         val mayTrim = trimChanges >= LEAST_TRIM
         val due = decisionLog.pending && (urgent || now.steadyMs - lastWriteMs >= timings.roundMs) && allowed >= 2
         if (!due && !mayTrim) return
-        val commit = decisionLog.next(term, jobTable, fleet::cell, if (mayTrim) trimChanges else 0) ?: return
+        val commit = decisionLog.next(term, jobTable, fleet::snapshot, if (mayTrim) trimChanges else 0) ?: return
         if (mayTrim) trimming = decisionLog.trimCutShort
         budget.take(commit.changes.sumOf { if (it is Mutation.Put) it.parts else 1 })
         lastWriteMs = now.steadyMs
@@ -295,7 +299,7 @@
         val machines = pushesAwaitingCommit.filterKeys { it <= decisionLog.committed }
         machines.keys.forEach(pushesAwaitingCommit::remove)
         machines.values.flatMapTo(LinkedHashSet()) { it }.forEach { id -> fleet.machines[id]?.let(::push) }
-        cloudRequests.send()
+        cloudRequests.sendDue()
     }
 
     /** What is left over goes with the next round or the machine's next report, whichever is first. */
@@ -561,7 +565,7 @@
         if (hasSteppedDown) return
         failureDetector.findSilent()
         failureDetector.findMachinesMissingReplies()
-        fleet.overdueBoots(now.steadyMs, listeningSinceMs).forEach { cloudRequests.retire(it.id, "it never came up") }
+        scaleInCandidates.overdueBoots(now.steadyMs, listeningSinceMs).forEach { cloudRequests.requestTermination(it.id, "it never came up") }
     }
 
     /**
@@ -581,7 +585,7 @@
         if (id !in fleet.retired) return
         jobTable.attemptsOn(id).toList().forEach(::over)
         append(Event.MachineTerminated(id))
-        cloudRequests.returned(id)
+        cloudRequests.recordTermination(id)
         gone += id
         if (gone.size > GONE_KEPT) gone.remove(gone.first())
     }
@@ -589,7 +593,7 @@
     // ---- the cloud
 
     private fun typesListed(types: List<MachineType>) {
-        fleet.types = types.associateBy { it.name }
+        fleet.updateTypes(types)
     }
 
     private fun listed(listed: ListedMachine) {
@@ -603,7 +607,7 @@
         if (machine.address == null) machine.address = listed.address
         failureDetector.suspectIfRunning(machine)
         if (listed.state == ListedState.FAILED && machine.state != MachineState.RETIRED && isSettled()) {
-            cloudRequests.retire(machine.id, "it has failed")
+            cloudRequests.requestTermination(machine.id, "it has failed")
         }
     }
 
@@ -712,14 +716,14 @@
         // The cloud's list tells as well as reports what there is: what hasn't reported counts as on its way.
         if (!isSettled() && !(mayPlace() && fleetListed) || now.steadyMs - lastFleetMs < FLEET_ROUND_MS) return
         lastFleetMs = now.steadyMs
-        val room = (deployment.cloudRps / 2).toInt().coerceAtLeast(1) - fleet.rentals.size
+        val room = (deployment.cloudRps / 2).toInt().coerceAtLeast(1) - fleet.pendingRentals.size
         if (room > 0) {
-            for ((offer, count) in fleet.wanted(demands, now.steadyMs, room)) {
-                cloudRequests.rent(offer, count)
+            for ((offer, count) in CapacityPlanner(deployment, fleet).plan(demands, now.steadyMs, room)) {
+                cloudRequests.requestRental(offer, count)
             }
         }
         if (!isSettled()) return
-        fleet.idle(now.steadyMs, listeningSinceMs).forEach { cloudRequests.retire(it.id, "it is idle") }
+        scaleInCandidates.idle(now.steadyMs, listeningSinceMs).forEach { cloudRequests.requestTermination(it.id, "it is idle") }
     }
 
     private fun shareImageCacheHints() {
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
@@ -18,99 +18,116 @@
 import cleathitch.scheduler.model.Term
 
 /**
- * What the leader asks of the cloud: rentals and returns. Each is recorded before it is sent, and sent again under the
- * same name until it is answered.
+ * The rentals and terminations that the leader asks of the cloud. Each is recorded before it is sent, so that the next leader
+ * knows of it, and sent again under the same name until it is answered, so that a lost answer costs no second machine.
  */
 internal class CloudRequests(
     private val context: SchedulerContext,
     private val deployment: Deployment,
     private val timings: SchedulerTimings,
-    private val fleet: Inventory,
+    private val inventory: Inventory,
     private val decisionLog: DecisionLog,
     term: Term,
     private val isGone: (MachineId) -> Boolean,
     private val adopt: (MachineId, Offer) -> Machine,
 ) {
     private val rentalSentMs = HashMap<String, Long>()
-    private val returnSentMs = HashMap<MachineId, Long>()
+    private val terminationSentMs = HashMap<MachineId, Long>()
 
-    /** The records of this term's rentals and returns, by name: nothing is sent before its record stands. */
-    private val recordOf = HashMap<String, LogIndex>()
+    /** The records of this term's rentals (by request) and terminations (by machine): nothing is sent before its record is committed. */
+    private val recordByName = HashMap<String, LogIndex>()
     private val requestPrefix = "r-${term.revision}-"
-    private var rentals = 0L
-    private var lastReturnMs = 0L
-
-    /** Asks for [count] machines like [offer]. */
-    fun rent(offer: Offer, count: Int) {
-        val asked = Event.RentalRequested("$requestPrefix${rentals++}", offer, count)
-        recordOf[asked.request] = context.append(asked)
-        context.logEvent(LogLevel.INFO) { "rental ${asked.request}: asking for $count $offer" }
-    }
+    private var rentalsRequested = 0L
+    private var lastTerminationCallMs = 0L
 
-    /** The cloud has confirmed that the machine is gone. */
-    fun returned(id: MachineId) {
-        recordOf.remove(id.text)
+    /** Decides to rent [count] machines of [offer]; the call goes out once the record is committed. */
+    fun requestRental(offer: Offer, count: Int) {
+        val rental = Event.RentalRequested("$requestPrefix${rentalsRequested++}", offer, count)
+        recordByName[rental.request] = context.append(rental)
+        context.logEvent(LogLevel.INFO) { "rental ${rental.request}: asking for $count $offer" }
     }
 
-    fun retire(id: MachineId, reason: String) {
-        // What isn't settled yet has to fit into one value.
-        if (fleet.retired.size >= deployment.stateValueBytes / RETIRED_BYTES) return
-        recordOf[id.text] = context.append(Event.MachineTerminationRequested(id))
+    /** Decides to give the machine back; the call goes out once the record is committed. */
+    fun requestTermination(id: MachineId, reason: String) {
+        // Terminations that aren't confirmed have to fit into one stored value; the next round tries again.
+        if (inventory.retired.size >= deployment.stateValueBytes / BYTES_PER_TERMINATION) return
+        recordByName[id.text] = context.append(Event.MachineTerminationRequested(id))
         context.logEvent(LogLevel.INFO) { "machine $id is returned: $reason" }
     }
 
-    fun rentalAnswered(command: Input.RentalCompleted) {
-        rentalSentMs.remove(command.request)
-        recordOf.remove(command.request)
-        val asked = fleet.rentals[command.request] ?: return
-        when (val answer = command.answer) {
-            is RentalAnswer.Rented -> {
-                answer.machines.filter { !isGone(it) }.forEach { adopt(it, asked.offer).confirmed = true }
-                if (answer.machines.size < asked.count) fleet.refused(asked.offer, context.now.steadyMs)
-                context.append(Event.RentalResolved(command.request))
-                context.logEvent(LogLevel.INFO) { "rental ${command.request}: ${answer.machines.size} of ${asked.count} ${asked.offer}" }
-            }
-            RentalAnswer.NoCapacity, RentalAnswer.Rejected -> {
-                fleet.refused(asked.offer, context.now.steadyMs)
-                context.append(Event.RentalResolved(command.request))
-                context.logEvent(LogLevel.INFO) { "rental ${command.request}: refused ${asked.offer}" }
-            }
-            RentalAnswer.Unknown -> rentalSentMs[command.request] = context.now.steadyMs
+    /** The cloud has confirmed that the machine is gone. */
+    fun recordTermination(id: MachineId) {
+        recordByName.remove(id.text)
+    }
+
+    fun onRentalAnswer(answered: Input.RentalCompleted) {
+        val request = answered.request
+        rentalSentMs.remove(request)
+        recordByName.remove(request)
+        val rental = inventory.pendingRentals[request] ?: return
+        when (val answer = answered.answer) {
+            is RentalAnswer.Rented -> recordRented(rental, answer.machines)
+            RentalAnswer.NoCapacity, RentalAnswer.Rejected -> recordRefused(rental)
+            RentalAnswer.Unknown -> rentalSentMs[request] = context.now.steadyMs
         }
     }
 
-    /** Rentals and returns whose answer is lost are sent again under the same names. */
-    fun send() {
-        val againMs = (deployment.reportS * 1000).toLong()
-        for (asked in fleet.rentals.values) {
-            val sent = rentalSentMs[asked.request]
-            if (recorded(asked.request) && (sent == null || context.now.steadyMs - sent >= againMs)) {
-                rentalSentMs[asked.request] = context.now.steadyMs
-                context.emit(Effect.Rent(asked))
-            }
+    /** The cloud may give fewer machines than asked for; what is missing isn't asked for again under this name. */
+    private fun recordRented(rental: Event.RentalRequested, rented: List<MachineId>) {
+        rented.filter { !isGone(it) }.forEach { adopt(it, rental.offer).confirmed = true }
+        if (rented.size < rental.count) inventory.recordRefusal(rental.offer, context.now.steadyMs)
+        context.append(Event.RentalResolved(rental.request))
+        context.logEvent(LogLevel.INFO) { "rental ${rental.request}: ${rented.size} of ${rental.count} ${rental.offer}" }
+    }
+
+    private fun recordRefused(rental: Event.RentalRequested) {
+        inventory.recordRefusal(rental.offer, context.now.steadyMs)
+        context.append(Event.RentalResolved(rental.request))
+        context.logEvent(LogLevel.INFO) { "rental ${rental.request}: refused ${rental.offer}" }
+    }
+
+    /** Sends what is recorded and wasn't sent yet, and again what is without an answer for a heartbeat period. */
+    fun sendDue() {
+        sendRentals()
+        sendTerminations()
+    }
+
+    private fun sendRentals() {
+        for (rental in inventory.pendingRentals.values) {
+            if (!isRecorded(rental.request) || !isDue(rentalSentMs[rental.request])) continue
+            rentalSentMs[rental.request] = context.now.steadyMs
+            context.emit(Effect.Rent(rental))
         }
-        // Returns go many to a call; the gap gathers them.
-        if (fleet.retired.isNotEmpty() && context.now.steadyMs - lastReturnMs >= timings.returnGapMs) {
-            val due = fleet.retired.filter { id ->
-                val sent = returnSentMs[id]
-                recorded(id.text) && (sent == null || context.now.steadyMs - sent >= againMs)
-            }.take(RETURNS_PER_CALL)
+    }
+
+    /** Terminations go many to a call; the gap between calls gathers them. */
+    private fun sendTerminations() {
+        if (inventory.retired.isNotEmpty() && context.now.steadyMs - lastTerminationCallMs >= timings.returnGapMs) {
+            val due = inventory.retired.filter { isRecorded(it.text) && isDue(terminationSentMs[it]) }.take(MAX_TERMINATIONS_PER_CALL)
             if (due.isNotEmpty()) {
-                lastReturnMs = context.now.steadyMs
-                due.forEach { returnSentMs[it] = context.now.steadyMs }
+                lastTerminationCallMs = context.now.steadyMs
+                due.forEach { terminationSentMs[it] = context.now.steadyMs }
                 context.emit(Effect.TerminateMachines(due))
             }
         }
-        if (returnSentMs.size > fleet.retired.size) returnSentMs.keys.retainAll(fleet.retired)
+        if (terminationSentMs.size > inventory.retired.size) terminationSentMs.keys.retainAll(inventory.retired)
+    }
+
+    private fun isDue(sentMs: Long?): Boolean {
+        val retryAfterMs = (deployment.reportS * MS_PER_S).toLong()
+        return sentMs == null || context.now.steadyMs - sentMs >= retryAfterMs
     }
 
-    private fun recorded(name: String) = (recordOf[name] ?: LogIndex.NONE) <= decisionLog.committed
+    /** What an earlier leader recorded has no entry here, and is committed. */
+    private fun isRecorded(name: String) = (recordByName[name] ?: LogIndex.NONE) <= decisionLog.committed
 
     private companion object {
-        /** The page's limit for one call. */
-        const val RETURNS_PER_CALL = 100
+        const val MS_PER_S = 1000
+
+        /** The cloud's limit for one termination call. */
+        const val MAX_TERMINATIONS_PER_CALL = 100
 
-        /** Returns that aren't confirmed yet stand in one value with the rentals; a name takes about half as much there. */
-        const val RETIRED_BYTES = 27
+        /** Unconfirmed terminations share one stored value with the rentals; a machine's name takes about half as much there. */
+        const val BYTES_PER_TERMINATION = 27
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/DemandForecast.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/DemandForecast.kt
@@ -9,65 +9,80 @@
 import kotlin.math.ceil
 
 /**
- * How many of the tasks without room need new machines. Running tasks end and make room, often sooner
- * than a machine boots; as long as a class can wait for that and still meet its aim, nothing is rented.
+ * How many of the unplaced tasks need new machines. Running tasks end and make room, often sooner than a machine boots;
+ * as long as a class can wait for that and still meet its objective, nothing is rented.
  */
 class DemandForecast(
-    private val fleet: Inventory,
+    private val inventory: Inventory,
     private val jobTable: JobTable,
+    /** For each job class the seconds within which its jobs are to be finished, the shortest first. */
     private val completionObjectives: Map<String, List<Double>>,
 ) {
-    /** What a class lacks, after what running tasks leave within half of their slack, and within all of it. */
-    private class Want {
-        var tasks = 0
-        var soon = 0.0
-        var late = 0.0
-        var slackS = 0.0
-        var runS = 0.0
-
-        /** Jobs of a class have estimates of their own; their mean stands for the class. */
-        fun add(count: Int, slack: Double, run: Double) {
-            slackS += (slack - slackS) * count / (tasks + count)
-            runS += (run - runS) * count / (tasks + count)
-            tasks += count
-        }
-    }
-
-    fun demands(unplaced: List<UnplacedTasks>): List<Inventory.Demand> {
+    /** The demands of [unplaced], class by class, in the order in which the classes first appear there. */
+    fun demands(unplaced: List<UnplacedTasks>): List<MachineDemand> {
         if (unplaced.isEmpty()) return emptyList()
-        val freed = jobTable.jobs.filter { it.spec.kind == JobKind.ARRAY && it.spec.estimateS > 0 }
-            .sumOf { it.live.size * it.spec.cpus / it.spec.estimateS }
-        val wants = LinkedHashMap<PlacementClass, Want>()
-        // Processors that are freed, but by then taken by classes before: within half of the slack, and within all.
-        var usedSoon = 0.0
-        var usedLate = 0.0
-        for (lack in unplaced) {
-            val cpus = lack.spec.cpus
-            val slackS = slackS(lack.spec)
-            val soon = minOf(lack.count * cpus, (freed * slackS / 2 - usedSoon).coerceAtLeast(0.0))
-            val late = minOf(lack.count * cpus, (freed * slackS - usedLate).coerceAtLeast(0.0))
-            usedSoon += soon
-            usedLate += late
-            val want = wants.getOrPut(lack.spec.placementClass) { Want() }
-            want.add(lack.count, slackS, lack.spec.estimateS)
-            want.soon += lack.count - soon / cpus
-            want.late += lack.count - late / cpus
-        }
-        return wants.mapNotNull { (shape, want) ->
-            val count = ceil(want.soon - RESOURCE_TOLERANCE).toInt()
-            Inventory.Demand(shape, count, ceil(want.late - RESOURCE_TOLERANCE).toInt(), want.slackS, want.runS).takeIf { count > 0 }
+        val freedCpusPerS = freedCpusPerS()
+        val shortages = LinkedHashMap<PlacementClass, Shortage>()
+        // Processors that running tasks free, but that classes served before take: within half of the slack, and within all of it.
+        var takenInHalfSlack = 0.0
+        var takenInSlack = 0.0
+        for (tasks in unplaced) {
+            val cpus = tasks.spec.cpus
+            val slackS = slackS(tasks.spec)
+            val inHalfSlack = minOf(tasks.count * cpus, (freedCpusPerS * slackS / 2 - takenInHalfSlack).coerceAtLeast(0.0))
+            val inSlack = minOf(tasks.count * cpus, (freedCpusPerS * slackS - takenInSlack).coerceAtLeast(0.0))
+            takenInHalfSlack += inHalfSlack
+            takenInSlack += inSlack
+            val shortage = shortages.getOrPut(tasks.spec.placementClass) { Shortage() }
+            shortage.add(tasks.count, slackS, tasks.spec.estimateS)
+            shortage.afterHalfSlack += tasks.count - inHalfSlack / cpus
+            shortage.afterSlack += tasks.count - inSlack / cpus
         }
+        return shortages.mapNotNull { (placementClass, shortage) -> shortage.toDemand(placementClass) }
     }
 
+    /** At what rate running array tasks free processors, by their estimates. */
+    private fun freedCpusPerS(): Double = jobTable.jobs
+        .filter { it.spec.kind == JobKind.ARRAY && it.spec.estimateS > 0 }
+        .sumOf { it.live.size * it.spec.cpus / it.spec.estimateS }
+
     /**
-     * For how long a task may wait in the queue: what its run and its image leave of its class's first aim
-     * that it can meet. One that meets none has all the time of the last: a machine more wouldn't help it.
+     * For how long a task may wait in the queue: what its run and its image leave of the first objective of its class that
+     * it can meet. One that meets none has all the time of the last: a machine more wouldn't help it.
      */
     private fun slackS(spec: JobSpec): Double {
         if (spec.kind != JobKind.ARRAY) return 0.0
-        val fetchS = spec.imageGb / (fleet.types.values.maxOfOrNull { it.fetchGbPerS } ?: return 0.0)
-        val completionObjectives = completionObjectives[spec.className] ?: listOf(spec.deadlineS ?: return 0.0)
-        return completionObjectives.firstOrNull { it > spec.estimateS + fetchS }?.let { it - spec.estimateS - fetchS }
-            ?: completionObjectives.last()
+        val fastestFetchGbPerS = inventory.types.values.maxOfOrNull { it.fetchGbPerS } ?: return 0.0
+        val fetchS = spec.imageGb / fastestFetchGbPerS
+        val objectivesS = completionObjectives[spec.className] ?: listOf(spec.deadlineS ?: return 0.0)
+        val reachableS = objectivesS.firstOrNull { it > spec.estimateS + fetchS }
+        return if (reachableS != null) reachableS - spec.estimateS - fetchS else objectivesS.last()
+    }
+
+    /** The tasks of a class for which running tasks leave no room in time. */
+    private class Shortage {
+        private var tasks = 0
+        private var meanSlackS = 0.0
+        private var meanRunS = 0.0
+
+        /** Tasks without room after half of their slack; a machine rented later than that may boot too late. */
+        var afterHalfSlack = 0.0
+
+        /** Tasks without room after all of their slack. */
+        var afterSlack = 0.0
+
+        /** Jobs of a class have estimates of their own; their mean stands for the class. */
+        fun add(count: Int, slackS: Double, runS: Double) {
+            meanSlackS += (slackS - meanSlackS) * count / (tasks + count)
+            meanRunS += (runS - meanRunS) * count / (tasks + count)
+            tasks += count
+        }
+
+        fun toDemand(placementClass: PlacementClass): MachineDemand? {
+            val wantedTasks = ceil(afterHalfSlack - RESOURCE_TOLERANCE).toInt()
+            if (wantedTasks <= 0) return null
+            val urgentTasks = ceil(afterSlack - RESOURCE_TOLERANCE).toInt()
+            return MachineDemand(placementClass, wantedTasks, urgentTasks, meanSlackS, meanRunS)
+        }
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
@@ -1,7 +1,5 @@
 package cleathitch.scheduler.machines
 
-import cleathitch.scheduler.jobs.Attempt
-import cleathitch.scheduler.jobs.JobTable
 import cleathitch.scheduler.log.Event
 import cleathitch.scheduler.log.InventorySnapshot
 import cleathitch.scheduler.log.LogIndex
@@ -9,22 +7,30 @@
 import cleathitch.scheduler.model.MachineId
 import cleathitch.scheduler.model.MachineType
 import cleathitch.scheduler.model.Offer
-import cleathitch.scheduler.model.PlacementClass
-import kotlin.math.ceil
-import kotlin.math.max
-import kotlin.math.min
 
-/** Which machines there are, and which to rent and return. */
-class Inventory(private val deployment: Deployment, private val jobTable: JobTable) {
-    val machines = LinkedHashMap<MachineId, Machine>()
+/**
+ * Which machines there are: those rented, the rentals and terminations that the cloud hasn't confirmed, and the machine types
+ * on offer. Rentals and terminations are a function of the recorded events; the machines themselves are learned anew in each
+ * term, from heartbeats and the cloud's list. Confined to the leader's event loop.
+ */
+class Inventory(private val deployment: Deployment) {
+    private val machinesById = LinkedHashMap<MachineId, Machine>()
+    private val rentalsByRequest = LinkedHashMap<String, Event.RentalRequested>()
+    private val terminating = LinkedHashSet<MachineId>()
+    private val refusedUntilMs = HashMap<Offer, Long>()
+
+    /** The machines that this leader knows of, in the order in which it learned of them. */
+    val machines: Map<MachineId, Machine> get() = machinesById
+
+    /** Rentals that are recorded and not answered yet, by the name of their request. */
+    val pendingRentals: Map<String, Event.RentalRequested> get() = rentalsByRequest
 
-    /** Prices move, and machines that reported before the first answer wait for their type. */
+    /** Machines whose termination is recorded and not confirmed by the cloud yet. */
+    val retired: Set<MachineId> get() = terminating
+
+    /** The machine types on offer, by name; empty until the cloud has listed them in this term. */
     var types: Map<String, MachineType> = emptyMap()
-        set(value) {
-            field = value
-            zones = value.values.flatMapTo(LinkedHashSet()) { it.zones }
-            machines.values.forEach { machine -> value[machine.offer.type]?.let { machine.type = it } }
-        }
+        private set
 
     /** All zones in which there are machines to rent. */
     var zones: Set<String> = emptySet()
@@ -33,205 +39,53 @@
     /** Zones that seem cut off: nothing is rented there. */
     var partitionedZones: Set<String> = emptySet()
 
-    /** Asked for and recorded, and not answered yet. */
-    val rentals = LinkedHashMap<String, Event.RentalRequested>()
-    val retired = LinkedHashSet<MachineId>()
-    private val refusedUntilMs = HashMap<Offer, Long>()
-
-    /**
-     * The class of tasks that want machines, how many of them, and for how many of these running tasks
-     * leave no room in time either. Within [slackS] as many may run one after the other as it holds [runS].
-     */
-    data class Demand(val shape: PlacementClass, val count: Int, val late: Int, val slackS: Double = 0.0, val runS: Double = 0.0) {
-        fun turns(type: MachineType): Double = if (runS <= 0) 1.0 else ((slackS - type.bootS) / runS).coerceAtLeast(1.0)
+    /** Prices change, and machines whose heartbeats came before the first list get their type only now. */
+    fun updateTypes(listedTypes: List<MachineType>) {
+        types = listedTypes.associateBy { it.name }
+        zones = types.values.flatMapTo(LinkedHashSet()) { it.zones }
+        machinesById.values.forEach { machine -> types[machine.offer.type]?.let { machine.type = it } }
     }
 
     fun apply(event: Event.InventoryEvent) {
         when (event) {
-            is Event.RentalRequested -> rentals[event.request] = event
-            is Event.RentalResolved -> rentals.remove(event.request)
+            is Event.RentalRequested -> rentalsByRequest[event.request] = event
+            is Event.RentalResolved -> rentalsByRequest.remove(event.request)
             is Event.MachineTerminationRequested -> {
-                retired += event.machine
-                machines[event.machine]?.state = MachineState.RETIRED
+                terminating += event.machine
+                machinesById[event.machine]?.state = MachineState.RETIRED
             }
             is Event.MachineTerminated -> {
-                retired -= event.machine
-                machines.remove(event.machine)
+                terminating -= event.machine
+                machinesById.remove(event.machine)
             }
         }
     }
 
-    fun cell(upTo: LogIndex) = InventorySnapshot(upTo.number, rentals.values.toList(), retired.toList())
-
-    fun restore(cell: InventorySnapshot) {
-        cell.rentals.forEach { rentals[it.request] = it }
-        retired += cell.retired
-    }
+    /** The part of the inventory that the log keeps, after the record [upTo]. */
+    fun snapshot(upTo: LogIndex) = InventorySnapshot(upTo.number, rentalsByRequest.values.toList(), terminating.toList())
 
-    fun adopt(id: MachineId, offer: Offer, rentedAtMs: Long): Machine = machines.getOrPut(id) {
-        Machine(id, offer, types[offer.type], rentedAtMs).also { if (id in retired) it.state = MachineState.RETIRED }
+    fun restore(snapshot: InventorySnapshot) {
+        snapshot.rentals.forEach { rentalsByRequest[it.request] = it }
+        terminating += snapshot.retired
     }
 
-    fun refused(offer: Offer, nowMs: Long) {
-        refusedUntilMs[offer] = nowMs + (deployment.reportS * REFUSAL_REPORTS * 1000).toLong()
+    /** The machine of this id; one that isn't known yet is added as starting, or as retired if its termination is recorded. */
+    fun adopt(id: MachineId, offer: Offer, rentedAtMs: Long): Machine = machinesById.getOrPut(id) {
+        Machine(id, offer, types[offer.type], rentedAtMs).also { if (id in terminating) it.state = MachineState.RETIRED }
     }
 
-    /** How many tasks of [shape] fit into what is free of [machine]. */
-    fun roomFor(shape: PlacementClass, machine: Machine, without: List<Attempt> = emptyList()): Int {
-        val type = machine.type ?: return 0
-        val load = jobTable.loadOf(machine.id)
-        return shape.fittingTasks(
-            type.cpus - (load?.cpus ?: 0.0) + without.sumOf { it.job.spec.cpus },
-            type.gpus - (load?.gpus ?: 0.0) + without.sumOf { it.job.spec.gpus },
-            type.memoryGb - (load?.memoryGb ?: 0.0) + without.sumOf { it.job.spec.memoryGb },
-        )
+    /** The cloud had less than was asked for of [offer]: it isn't asked for again for some heartbeat periods. */
+    fun recordRefusal(offer: Offer, nowMs: Long) {
+        refusedUntilMs[offer] = nowMs + (deployment.reportS * REFUSAL_BACKOFF_PERIODS * MS_PER_S).toLong()
     }
 
-    /**
-     * What to rent for the tasks that fit nowhere, after those machines that are on their way; each pair
-     * is one call, [maxCalls] at most.
-     */
-    fun wanted(demands: List<Demand>, nowMs: Long, maxCalls: Int): List<Pair<Offer, Int>> {
-        val spaces = machines.values.filter { it.state == MachineState.STARTING }
-            .mapNotNullTo(ArrayList()) { m -> m.type?.let { Space(m.offer, it) } }
-        rentals.values.forEach { asked ->
-            types[asked.offer.type]?.let { type -> repeat(asked.count) { spaces += Space(asked.offer, type) } }
-        }
-        val plan = Plan(maxCalls)
-        val unserved = ArrayList<Demand>()
-        for (demand in demands.flatMap(::byZone)) {
-            var left = demand.count
-            for (space in spaces) {
-                if (left == 0) break
-                if (demand.shape.permits(space.offer)) left -= space.take(demand, left)
-            }
-            rent(demand, left, nowMs, plan, spotOnly = demand.shape.spotAllowed) { space ->
-                left -= space.take(demand, left)
-                spaces += space
-            }
-            if (demand.shape.spotAllowed) unserved += demand.copy(count = min(left, demand.late))
-        }
-        // What may run on spot machines gets others only if it can neither have those nor wait.
-        for (demand in unserved) rent(demand, demand.count, nowMs, plan, spotOnly = false) {}
-        return plan.calls()
-    }
-
-    /** Plans machines for [count] tasks of the demand, as far as offers and calls go. */
-    private fun rent(demand: Demand, count: Int, nowMs: Long, plan: Plan, spotOnly: Boolean, planned: (Space) -> Unit) {
-        var left = count
-        while (left > 0) {
-            val offer = best(demand, left, nowMs, plan, spotOnly) ?: return
-            val type = types.getValue(offer.type)
-            val each = (demand.shape.fittingTasks(type) * demand.turns(type)).toInt()
-            val machines = min(plan.room(offer), max(1, left / each))
-            plan.add(offer, machines)
-            repeat(machines) { planned(Space(offer, type)) }
-            left -= machines * each
-        }
-    }
-
-    /** A spread job's tasks need room in more than one zone. */
-    private fun byZone(demand: Demand): List<Demand> {
-        if (!demand.shape.spread || demand.shape.zone != null || zones.size < 2) return listOf(demand)
-        return zones.mapIndexed { i, zone ->
-            fun part(count: Int) = count / zones.size + if (i < count % zones.size) 1 else 0
-            demand.copy(shape = demand.shape.copy(zone = zone), count = part(demand.count), late = part(demand.late))
-        }
-    }
-
-    /** Rentals put together, as many machines to a call as the page allows. */
-    private class Plan(private val maxCalls: Int) {
-        private val counts = LinkedHashMap<Offer, Int>()
-
-        fun room(offer: Offer): Int {
-            val others = counts.entries.sumOf { (other, count) -> if (other == offer) 0 else callsFor(count) }
-            return (maxCalls - others) * MAX_PER_CALL - (counts[offer] ?: 0)
-        }
-
-        fun add(offer: Offer, count: Int) {
-            counts.merge(offer, count, Int::plus)
-        }
-
-        fun calls(): List<Pair<Offer, Int>> = counts.flatMap { (offer, count) ->
-            List(callsFor(count)) { call -> offer to min(MAX_PER_CALL, count - call * MAX_PER_CALL) }
-        }
-
-        private fun callsFor(count: Int) = (count + MAX_PER_CALL - 1) / MAX_PER_CALL
-    }
-
-    /**
-     * Machines that have been idle for longer than it pays to keep them. Only time in which they were listened to counts: behind
-     * an outage that ended all leases most of a fleet was once returned, moments before its tasks were to start again.
-     */
-    fun idle(nowMs: Long, listeningSinceMs: Long): List<Machine> = machines.values.filter { machine ->
-        val type = machine.type
-        type != null &&
-            machine.state == MachineState.UP &&
-            jobTable.attemptsOn(machine.id).isEmpty() &&
-            nowMs - machine.rentedAtMs >= MIN_CHARGE_MS &&
-            nowMs - max(machine.idleSinceMs, listeningSinceMs) >= type.bootS * 1000 * IDLE_BOOTS
-    }
-
-    /** Machines that should have come up long ago; one that runs and that a new leader hasn't heard yet is none of them. */
-    fun overdueBoots(nowMs: Long, listeningSinceMs: Long): List<Machine> = machines.values.filter { machine ->
-        machine.state == MachineState.STARTING &&
-            !machine.listedRunning &&
-            nowMs - max(machine.rentedAtMs, listeningSinceMs) >= (machine.type?.bootS ?: deployment.leaseS) * 1000 * LATE_BOOTS
-    }
-
-    /**
-     * The cheapest offer for each processor that the demand uses, its boot time spread over the time for
-     * which it is likely kept.
-     */
-    private fun best(demand: Demand, count: Int, nowMs: Long, plan: Plan, spotOnly: Boolean): Offer? {
-        val shape = demand.shape
-        return types.values.asSequence().filter { it.holds(shape) }
-            .flatMap { type ->
-                type.zones.asSequence().flatMap { zone -> sequenceOf(Offer(type.name, zone, true), Offer(type.name, zone, false)) }
-            }
-            .filter { shape.permits(it) && (it.spot || !spotOnly) && it.zone !in partitionedZones }
-            .filter { nowMs >= (refusedUntilMs[it] ?: 0) && plan.room(it) > 0 }
-            .minByOrNull { offer ->
-                val type = types.getValue(offer.type)
-                val used = min(count, shape.fittingTasks(type))
-                type.priceOf(offer.spot) / used * (1 + type.bootS / (deployment.leaseS * KEPT_LEASES))
-            }
-    }
-
-    private class Space(val offer: Offer, private val type: MachineType) {
-        private var cpus = type.cpus
-        private var gpus = type.gpus
-        private var memoryGb = type.memoryGb
-
-        /** Takes up to [most] tasks, which may run here one after the other. */
-        fun take(demand: Demand, most: Int): Int {
-            val turns = demand.turns(type)
-            val shape = demand.shape
-            val used = min(ceil(most / turns).toInt(), shape.fittingTasks(cpus, gpus, memoryGb))
-            cpus -= used * shape.cpus
-            gpus -= used * shape.gpus
-            memoryGb -= used * shape.memoryGb
-            return min(most, (used * turns).toInt())
-        }
-    }
-
-    companion object {
-        /** The page's limit for one rental. */
-        private const val MAX_PER_CALL = 50
-
-        /** A machine that is deleted costs a minute at least. */
-        private const val MIN_CHARGE_MS = 60_000L
-
-        /** Idle machines are kept for as many boot times: part of what a new one would make its tasks wait. */
-        private const val IDLE_BOOTS = 0.5
-
-        /** Boots take up to 1.5 times their nominal time, except those of a few: given up on after so many. */
-        private const val LATE_BOOTS = 2.5
+    /** Whether the cloud refused [offer] so recently that it isn't worth asking for. */
+    fun isRefused(offer: Offer, nowMs: Long): Boolean = nowMs < (refusedUntilMs[offer] ?: 0)
 
-        /** A machine is kept for about so many leases; its boot is paid for out of that. */
-        private const val KEPT_LEASES = 6.0
+    private companion object {
+        const val MS_PER_S = 1000
 
-        /** After a refusal the same offer is asked for again after as many report periods. */
-        private const val REFUSAL_REPORTS = 3.0
+        /** After a refusal the same offer is asked for again after as many heartbeat periods; asked more often it uses up calls. */
+        const val REFUSAL_BACKOFF_PERIODS = 3.0
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/placement/Placement.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/Placement.kt
@@ -154,7 +154,7 @@
 
             /** Adds what the machine could give next, after what is [gone] from it already. */
             private fun next(machine: Machine, gone: List<Attempt>) {
-                val before = fleet.roomFor(shape, machine, gone)
+                val before = roomFor(shape, machine, gone)
                 val left = jobTable.attemptsOn(machine.id).filter { it.stop == null && it !in gone && it.job.spec.priority > spec.priority }
                 if (before > 0) {
                     choices += Choice(machine, gone, emptyList(), before, 0.0)
@@ -163,7 +163,7 @@
                 val more = ArrayList<Attempt>()
                 for (attempt in left.sortedBy { loss(it, nowMs) }) {
                     more += attempt
-                    val slots = fleet.roomFor(shape, machine, gone + more)
+                    val slots = roomFor(shape, machine, gone + more)
                     if (slots == 0) continue
                     val fetch = if (machine.hasImage(shape.image)) 0.0 else spec.imageGb / (machine.type?.fetchGbPerS ?: 1.0)
                     choices += Choice(machine, gone + more, more, slots, (fetch * shape.cpus + more.sumOf { loss(it, nowMs) }) / slots)
@@ -208,6 +208,17 @@
         return fleet.zones.filterTo(HashSet()) { (byZone[it] ?: 0) < spec.maxPerZone }
     }
 
+    /** How many tasks of [shape] fit into what is free of [machine] once the attempts [without] have left it. */
+    private fun roomFor(shape: PlacementClass, machine: Machine, without: List<Attempt>): Int {
+        val type = machine.type ?: return 0
+        val load = jobTable.loadOf(machine.id)
+        return shape.fittingTasks(
+            type.cpus - (load?.cpus ?: 0.0) + without.sumOf { it.job.spec.cpus },
+            type.gpus - (load?.gpus ?: 0.0) + without.sumOf { it.job.spec.gpus },
+            type.memoryGb - (load?.memoryGb ?: 0.0) + without.sumOf { it.job.spec.memoryGb },
+        )
+    }
+
     /**
      * Smaller is better: the image there or on its way, the kind of machine meant for the work, then the
      * tightest fit. Images that are fetched together share the machine's rate, so each one on its way
--- a/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
@@ -84,7 +84,7 @@
         if (spec.team !in teams) return "unknown team"
         val shape = spec.placementClass
         val fits = fleet.types.values.any { type ->
-            type.holds(shape) && type.zones.any { shape.permits(Offer(type.name, it, spot = false)) }
+            type.canHold(shape) && type.zones.any { shape.permits(Offer(type.name, it, spot = false)) }
         }
         if (!fits) return "no allowed machine type holds a task"
         if (!quota.everAllows(spec)) return "more than the team's limit"
