--- a/src/main/kotlin/cleathitch/scheduler/capacity/MachineDemand.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/MachineDemand.kt
@@ -16,6 +16,5 @@
     val runS: Double = 0.0,
 ) {
     /** How many tasks may run on a new machine of [type] one after the other, within the slack; 1 at least. */
-    fun consecutiveTasks(type: MachineType): Double =
-        if (runS <= 0) 1.0 else ((slackS - type.bootS) / runS).coerceAtLeast(1.0)
+    fun consecutiveTasks(type: MachineType): Double = if (runS <= 0) 1.0 else ((slackS - type.bootS) / runS).coerceAtLeast(1.0)
 }
--- /dev/null
+++ b/src/test/kotlin/cleathitch/scheduler/capacity/CapacityPlannerTest.kt
@@ -0,0 +1,96 @@
+package cleathitch.scheduler.capacity
+
+import cleathitch.scheduler.log.Event
+import cleathitch.scheduler.machines.Inventory
+import cleathitch.scheduler.model.Deployment
+import cleathitch.scheduler.model.JobKind
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.model.MachineType
+import cleathitch.scheduler.model.Offer
+import cleathitch.scheduler.model.PlacementClass
+import cleathitch.scheduler.model.Priority
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Test
+
+/** Which machines are rented for which demands. A machine of the only type fits two of the tasks asked for here. */
+class CapacityPlannerTest {
+    private val deployment = Deployment(
+        zones = listOf("a", "b"), teams = emptyMap(), objectives = emptyList(),
+        reportS = 3.0, leaseS = 34.0, cancelS = 64.0,
+        stateRps = 100.0, stateWriteRps = 40.0, stateValueBytes = 16_384, stateTxnOps = 32,
+        cloudRps = 4.0, listLagS = 4.0, nodes = 3,
+    )
+    private val type = MachineType("m4", 4.0, 0.0, 16.0, 50.0, 1.0, price = 1.0, spotPrice = 0.4, bootS = 5.0, zones = listOf("a", "b"))
+    private val inventory = Inventory(deployment).also { it.updateTypes(listOf(type)) }
+    private val planner = CapacityPlanner(deployment, inventory)
+
+    private fun demand(
+        tasks: Int,
+        urgentTasks: Int = tasks,
+        spotAllowed: Boolean = false,
+        spread: Boolean = false,
+        slackS: Double = 0.0,
+        runS: Double = 0.0,
+    ) = MachineDemand(
+        PlacementClass(
+            team = "red", kind = JobKind.ARRAY, priority = Priority.NORMAL, cpus = 2.0, gpus = 0.0, memoryGb = 2.0,
+            image = "image", types = null, zone = null, oneZone = false, spread = spread, spotAllowed = spotAllowed,
+        ),
+        tasks,
+        urgentTasks,
+        slackS,
+        runS,
+    )
+
+    private fun plan(vararg demands: MachineDemand, nowMs: Long = 0, maxCalls: Int = 10) = planner.plan(demands.toList(), nowMs, maxCalls)
+
+    private fun offer(zone: String, spot: Boolean = false) = Offer("m4", zone, spot)
+
+    @Test
+    fun `tasks are packed side by side, on spot machines where they may run there`() {
+        assertEquals(listOf(PlannedRental(offer("a"), 3)), plan(demand(6)))
+        assertEquals(listOf(PlannedRental(offer("a", spot = true), 3)), plan(demand(6, spotAllowed = true)))
+    }
+
+    @Test
+    fun `tasks with slack run one after the other on fewer machines`() {
+        assertEquals(listOf(PlannedRental(offer("a"), 1)), plan(demand(6, slackS = 35.0, runS = 10.0)))
+    }
+
+    @Test
+    fun `machines that boot and rentals without an answer serve demands first`() {
+        inventory.adopt(MachineId("m-1"), offer("b"), 0)
+        assertEquals(listOf(PlannedRental(offer("a"), 2)), plan(demand(6)))
+        inventory.apply(Event.RentalRequested("r-1", offer("a"), 2))
+        assertEquals(emptyList<PlannedRental>(), plan(demand(6)))
+    }
+
+    @Test
+    fun `a spread demand is divided among the zones`() {
+        assertEquals(listOf(PlannedRental(offer("a"), 1), PlannedRental(offer("b"), 1)), plan(demand(4, spread = true)))
+    }
+
+    @Test
+    fun `neither partitioned zones nor offers refused a moment ago are rented`() {
+        inventory.recordRefusal(offer("a"), nowMs = 0)
+        assertEquals(listOf(PlannedRental(offer("b"), 1)), plan(demand(2), nowMs = 8_999))
+        assertEquals(listOf(PlannedRental(offer("a"), 1)), plan(demand(2), nowMs = 9_000))
+        inventory.partitionedZones = setOf("a", "b")
+        assertEquals(emptyList<PlannedRental>(), plan(demand(2), nowMs = 9_000))
+    }
+
+    @Test
+    fun `tasks that can't have spot machines get others only if they can't wait`() {
+        inventory.recordRefusal(offer("a", spot = true), nowMs = 0)
+        inventory.recordRefusal(offer("b", spot = true), nowMs = 0)
+        assertEquals(emptyList<PlannedRental>(), plan(demand(4, urgentTasks = 0, spotAllowed = true)))
+        assertEquals(listOf(PlannedRental(offer("a"), 1)), plan(demand(4, urgentTasks = 2, spotAllowed = true)))
+    }
+
+    @Test
+    fun `a call rents fifty machines at most, and the calls are limited`() {
+        val calls = listOf(PlannedRental(offer("a"), 50), PlannedRental(offer("a"), 10))
+        assertEquals(calls, plan(demand(120)))
+        assertEquals(calls.take(1), plan(demand(120), maxCalls = 1))
+    }
+}
