--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -52,7 +52,7 @@
 import cleathitch.scheduler.model.TaskStatus
 import cleathitch.scheduler.model.Term
 import cleathitch.scheduler.model.WorkerCommand
-import cleathitch.scheduler.placement.Placement
+import cleathitch.scheduler.placement.PlacementRound
 import cleathitch.scheduler.placement.SchedulingOrder
 import cleathitch.scheduler.requests.JobRequests
 import java.util.TreeMap
@@ -79,7 +79,6 @@
     private val scaleInCandidates = ScaleInCandidates(deployment, fleet, jobTable)
     private val quota = Quota(deployment.teams, jobTable)
     private val decisionLog = DecisionLog(deployment, sizes)
-    private val placement = Placement(fleet, jobTable)
 
     /** For each class, within how many seconds its jobs should be finished, the first aim first. */
     private val completionObjectives = deployment.objectives.filterIsInstance<Objective.Finished>().sortedBy { it.deadlineS }
@@ -565,7 +564,9 @@
         if (hasSteppedDown) return
         failureDetector.findSilent()
         failureDetector.findMachinesMissingReplies()
-        scaleInCandidates.overdueBoots(now.steadyMs, listeningSinceMs).forEach { cloudRequests.requestTermination(it.id, "it never came up") }
+        scaleInCandidates.overdueBoots(now.steadyMs, listeningSinceMs).forEach {
+            cloudRequests.requestTermination(it.id, "it never came up")
+        }
     }
 
     /**
@@ -631,7 +632,7 @@
             return
         }
         val usable = fleet.machines.values.filter(::usable)
-        val look = placement.Look(usable, now.steadyMs)
+        val look = PlacementRound(fleet, jobTable, usable, now.steadyMs)
         val unplaceableClasses = HashSet<PlacementClass>()
         val unplaced = ArrayList<UnplacedTasks>()
         val jobs = SchedulingOrder(completionObjectives, quota, now.wallMs).order(waiting)
@@ -652,7 +653,7 @@
 
     private fun place(
         job: Job,
-        look: Placement.Look,
+        look: PlacementRound,
         unplaceableClasses: MutableSet<PlacementClass>,
         unplaced: MutableList<UnplacedTasks>,
         most: Int = Int.MAX_VALUE,
@@ -663,7 +664,7 @@
         while (placed < most) {
             val index = job.nextWaiting() ?: return
             if (!quota.allows(job.spec)) return
-            val machine = if (shape in unplaceableClasses) null else look.choose(job)
+            val machine = if (shape in unplaceableClasses) null else look.chooseMachine(job)
             if (machine == null) {
                 // What fits nowhere for one job fits nowhere for its like, unless other tasks of the job decide.
                 if (!job.spec.oneZone && !job.spec.spread) unplaceableClasses += shape
@@ -678,10 +679,10 @@
     }
 
     /** Makes room for a job's next tasks by stopping work of lower priority, as the page allows; tells for how many. */
-    private fun preempt(job: Job, look: Placement.Look, count: Int): Int {
+    private fun preempt(job: Job, look: PlacementRound, count: Int): Int {
         if (job.spec.priority != Priority.PRODUCTION || !isSettled()) return 0
         val machines = LinkedHashSet<Machine>()
-        val made = look.makeRoom(job, count)
+        val made = look.planPreemption(job, count)
         for (victim in made.victims) {
             victim.stop = StopCause.PREEMPTED
             logEvent(LogLevel.DEBUG) { "task ${victim.id} on machine ${victim.machine} makes room for job ${job.id}" }
@@ -692,9 +693,9 @@
     }
 
     /** A gang is started whole, and again only when nothing of an earlier start is left. */
-    private fun placeGang(job: Job, look: Placement.Look, unplaced: MutableList<UnplacedTasks>) {
+    private fun placeGang(job: Job, look: PlacementRound, unplaced: MutableList<UnplacedTasks>) {
         if (job.live.isNotEmpty() || quota.roomFor(job.spec) < job.waiting) return
-        val machines = look.chooseAll(job)
+        val machines = look.chooseGangMachines(job)
         if (machines == null) {
             unplaced += UnplacedTasks(job.spec, job.waiting)
             return
--- /dev/null
+++ b/src/test/kotlin/cleathitch/scheduler/placement/PlacementRoundTest.kt
@@ -0,0 +1,126 @@
+package cleathitch.scheduler.placement
+
+import cleathitch.scheduler.jobs.JobTable
+import cleathitch.scheduler.jobs.StopCause
+import cleathitch.scheduler.log.Event
+import cleathitch.scheduler.log.LogIndex
+import cleathitch.scheduler.machines.Inventory
+import cleathitch.scheduler.machines.Machine
+import cleathitch.scheduler.model.Deployment
+import cleathitch.scheduler.model.JobId
+import cleathitch.scheduler.model.JobKind
+import cleathitch.scheduler.model.JobSpec
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.model.MachineType
+import cleathitch.scheduler.model.Offer
+import cleathitch.scheduler.model.Priority
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Test
+
+/** Where tasks go in one round. A machine fits two of the tasks asked for here, unless a test says otherwise. */
+class PlacementRoundTest {
+    private val deployment = Deployment(
+        zones = listOf("a", "b"), teams = emptyMap(), objectives = emptyList(),
+        reportS = 3.0, leaseS = 34.0, cancelS = 64.0,
+        stateRps = 100.0, stateWriteRps = 40.0, stateValueBytes = 16_384, stateTxnOps = 32,
+        cloudRps = 4.0, listLagS = 4.0, nodes = 3,
+    )
+    private val type = MachineType("m4", 4.0, 0.0, 16.0, 50.0, 1.0, 1.0, 0.4, 5.0, deployment.zones)
+    private val jobTable = JobTable()
+    private val inventory = Inventory(deployment).also { it.updateTypes(listOf(type)) }
+    private var lastRecord = LogIndex.NONE
+
+    private fun machine(name: String, zone: String = "a"): Machine = inventory.adopt(MachineId(name), Offer("m4", zone, spot = false), 0)
+
+    private fun spec(
+        name: String,
+        kind: JobKind = JobKind.ARRAY,
+        priority: Priority = Priority.NORMAL,
+        tasks: Int = 10,
+        cpus: Double = 2.0,
+        oneZone: Boolean = false,
+        spread: Boolean = false,
+        image: String = "image",
+    ) = JobSpec(
+        id = JobId(name), className = "class", team = "red", kind = kind, priority = priority, tasks = tasks,
+        cpus = cpus, gpus = 0.0, memoryGb = 2.0, image = image, imageGb = 1.0, oneZone = oneZone, spread = spread,
+    )
+
+    private fun accept(spec: JobSpec) = run {
+        record(Event.JobAccepted(spec, 0))
+        checkNotNull(jobTable.job(spec.id))
+    }
+
+    private fun start(job: String, index: Int, machine: Machine) = record(Event.AttemptStarted(JobId(job), index, index + 1L, machine.id))
+
+    private fun record(event: Event.JobEvent) {
+        lastRecord = lastRecord.next()
+        jobTable.apply(event, lastRecord)
+    }
+
+    private fun round() = PlacementRound(inventory, jobTable, inventory.machines.values.toList(), nowMs = 0)
+
+    @Test
+    fun `tasks go to the machine that has their image, then to others, then nowhere`() {
+        machine("m-1")
+        machine("m-2").recordImage("image", 1.0)
+        val job = accept(spec("j-1"))
+        val round = round()
+        assertEquals(listOf("m-2", "m-2", "m-1", "m-1", null), List(5) { round.chooseMachine(job)?.id?.text })
+    }
+
+    @Test
+    fun `a class is weighed against the machines once, however many tasks it has`() {
+        repeat(5) { machine("m-$it") }
+        val job = accept(spec("j-1"))
+        val round = round()
+        repeat(10) { round.chooseMachine(job) }
+        assertEquals(5L, round.candidatesEvaluated)
+    }
+
+    @Test
+    fun `a gang gets machines for all of its tasks or none`() {
+        machine("m-1", zone = "a")
+        machine("m-2", zone = "b")
+        assertNull(round().chooseGangMachines(accept(spec("j-1", JobKind.GANG, tasks = 5))))
+        assertNull(round().chooseGangMachines(accept(spec("j-2", JobKind.GANG, tasks = 4, oneZone = true))))
+        val round = round()
+        assertEquals(
+            listOf("m-1", "m-1", "m-2", "m-2"),
+            round.chooseGangMachines(accept(spec("j-3", JobKind.GANG, tasks = 4)))?.map {
+                it.id.text
+            },
+        )
+        assertNull(round.chooseMachine(accept(spec("j-4"))))
+    }
+
+    @Test
+    fun `a spread job's tasks that may be running count in their zone`() {
+        val inA = machine("m-1", zone = "a")
+        machine("m-2", zone = "b")
+        val job = accept(spec("j-1", tasks = 2, cpus = 1.0, spread = true))
+        start("j-1", 0, inA)
+        assertEquals("m-2", round().chooseMachine(job)?.id?.text)
+    }
+
+    @Test
+    fun `preemption stops tasks of lower priority only, and counts on what is stopping already`() {
+        val machine = machine("m-1")
+        val low = accept(spec("j-1", priority = Priority.LOW))
+        val equal = accept(spec("j-2", priority = Priority.PRODUCTION))
+        start("j-1", 0, machine)
+        start("j-2", 0, machine)
+        val urgent = accept(spec("j-3", priority = Priority.PRODUCTION))
+
+        val plan = round().planPreemption(urgent, maxTasks = 2)
+        assertEquals(low.live.values.toList(), plan.victims)
+        assertEquals(1, plan.tasks)
+        assertEquals(null, equal.live.getValue(0).stop)
+
+        plan.victims.forEach { it.stop = StopCause.PREEMPTED }
+        val next = round().planPreemption(urgent, maxTasks = 2)
+        assertEquals(emptyList<Any>(), next.victims)
+        assertEquals(1, next.tasks)
+    }
+}
