--- a/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
+++ b/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
@@ -56,7 +56,7 @@
 
     /** What this term is doing, as keys and values for the log. */
     val activity
-        get() = if (isReady) "phase=leading queued_requests=${queue.queuedRequests}" else "phase=recovering storage=${logValue(storage.loadProgress)}"
+        get() = if (isReady) "phase=leading queued_requests=${queue.queuedRequests}" else "phase=recovering storage=${logValue(storage.loadProgress.toString())}"
 
     /** Takes in what workers answered to commands that a follower delivered. */
     fun recordDeliveryResults(results: List<DeliveryResultMessage>) = delivery.answered(results)
--- a/src/main/kotlin/cleathitch/scheduler/LogWriter.kt
+++ b/src/main/kotlin/cleathitch/scheduler/LogWriter.kt
@@ -70,7 +70,7 @@
         val isDue = isUrgent || nowMs - lastWriteMs >= timings.roundMs
         val mayWriteEvents = decisionLog.pending && isDue && allowed >= EVENT_COMMIT_CHANGES
         if (!mayWriteEvents && !mayTrim) return
-        val commit = decisionLog.next(term, jobTable, inventory::cell, if (mayTrim) trimChanges else 0) ?: return
+        val commit = decisionLog.next(term, jobTable, inventory::snapshot, if (mayTrim) trimChanges else 0) ?: return
         if (mayTrim) isTrimming = decisionLog.trimCutShort
         budget.take(commit.changes.sumOf { if (it is Mutation.Put) it.parts else 1 })
         lastWriteMs = nowMs
--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -9,6 +9,7 @@
 import cleathitch.scheduler.capacity.CloudInventoryIntake
 import cleathitch.scheduler.capacity.CloudRequests
 import cleathitch.scheduler.capacity.FleetScaling
+import cleathitch.scheduler.capacity.ScaleInCandidates
 import cleathitch.scheduler.jobs.Attempt
 import cleathitch.scheduler.jobs.JobTable
 import cleathitch.scheduler.jobs.Quota
@@ -57,7 +58,8 @@
     private val context: SchedulerContext = Context()
 
     private val jobTable = JobTable()
-    private val inventory = Inventory(deployment, jobTable)
+    private val inventory = Inventory(deployment)
+    private val scaleInCandidates = ScaleInCandidates(deployment, inventory, jobTable)
     private val quota = Quota(deployment.teams, jobTable)
     private val decisionLog = DecisionLog(deployment, sizes)
     private val lease = TermLease(context, timings, inventory, start, isFirstTerm = recovered.head == LogIndex.NONE)
@@ -75,7 +77,7 @@
         isGone = registry::isTerminated,
         adopt = { id, offer -> registry.register(id, offer, now.steadyMs) },
     )
-    private val failureDetector = FailureDetector(context, inventory, jobTable, timings, start.steadyMs, cloudRequests::retire)
+    private val failureDetector = FailureDetector(context, inventory, jobTable, timings, start.steadyMs, cloudRequests::requestTermination)
     private val workerReconciler = WorkerReconciler(jobTable, decisionLog)
     private val dispatcher = CommandDispatcher(context, term, jobTable, inventory, decisionLog, workerReconciler, failureDetector)
     private val reconciler =
@@ -94,11 +96,12 @@
         failureDetector,
         directReachability,
         start,
-        terminate = cloudRequests::retire,
+        findOverdueBoots = { scaleInCandidates.overdueBoots(this.now.steadyMs, lease.listeningSinceMs) },
+        terminate = cloudRequests::requestTermination,
     )
 
     private val cloudInventory = CloudInventoryIntake(context, inventory, registry, reconciler, failureDetector, cloudRequests)
-    private val fleetScaling = FleetScaling(context, deployment, inventory, cloudInventory, cloudRequests)
+    private val fleetScaling = FleetScaling(context, deployment, inventory, scaleInCandidates, cloudInventory, cloudRequests)
     private val schedulingRound =
         SchedulingRound(context, deployment, timings, jobTable, inventory, quota, decisionLog, dispatcher, failureDetector)
 
@@ -144,7 +147,7 @@
             is Input.CommitSucceeded -> commitSucceeded(input)
             is Input.MachineTypesListed -> cloudInventory.machineTypesListed(input.types)
             is Input.MachinesListed -> cloudInventory.machinesListed(input.machines)
-            is Input.RentalCompleted -> cloudRequests.rentalAnswered(input)
+            is Input.RentalCompleted -> cloudRequests.onRentalAnswer(input)
             is Input.MachinesTerminated -> cloudInventory.machinesTerminated(input.machines)
             is Input.ImageCacheHintsReceived -> imageCacheHints.receive(input.images)
             Input.Tick -> Unit
@@ -166,7 +169,7 @@
         dispatcher.sendCommittedStops()
         jobRequests.committed()
         dispatcher.sendCommittedPushes()
-        cloudRequests.send()
+        cloudRequests.sendDue()
     }
 
     /** Work that looks at every machine is done once a period, so that a batch costs only what its inputs change. */
@@ -175,7 +178,7 @@
         lastWatchMs = now.steadyMs
         machineWatch.watch()
         if (lease.isHeld()) dispatcher.sendPendingStops()
-        cloudRequests.send()
+        cloudRequests.sendDue()
         imageCacheHints.shareIfDue()
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
+++ b/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
@@ -5,6 +5,7 @@
 import cleathitch.scheduler.api.SchedulerTimings
 import cleathitch.scheduler.api.logEvent
 import cleathitch.scheduler.capacity.DemandForecast
+import cleathitch.scheduler.capacity.MachineDemand
 import cleathitch.scheduler.capacity.UnplacedTasks
 import cleathitch.scheduler.jobs.Job
 import cleathitch.scheduler.jobs.JobTable
@@ -22,7 +23,7 @@
 import cleathitch.scheduler.model.Objective
 import cleathitch.scheduler.model.PlacementClass
 import cleathitch.scheduler.model.Priority
-import cleathitch.scheduler.placement.Placement
+import cleathitch.scheduler.placement.PlacementRound
 import cleathitch.scheduler.placement.SchedulingOrder
 
 /**
@@ -40,15 +41,13 @@
     private val dispatcher: CommandDispatcher,
     private val failureDetector: FailureDetector,
 ) {
-    private val placement = Placement(inventory, jobTable)
-
     /** The seconds within which a class's jobs should be finished, ascending, by class name. */
     private val completionObjectives = deployment.objectives.filterIsInstance<Objective.Finished>().sortedBy { it.deadlineS }
         .groupBy({ it.className }, { it.deadlineS })
     private var lastRoundMs = 0L
 
     /** What the tasks that found no room in the last round demand of new machines. */
-    var demands: List<Inventory.Demand> = emptyList()
+    var demands: List<MachineDemand> = emptyList()
         private set
 
     /** Pairs of task class and machine that all rounds have evaluated: the measure of what a round costs. */
@@ -64,7 +63,7 @@
     }
 
     private fun run(waiting: List<Job>) {
-        val candidates = placement.Look(inventory.machines.values.filter(::isUsable), context.now.steadyMs)
+        val candidates = PlacementRound(inventory, jobTable, inventory.machines.values.filter(::isUsable), context.now.steadyMs)
         val round = Round(candidates)
         val jobs = SchedulingOrder(completionObjectives, quota, context.now.wallMs).order(waiting)
         // Each job starts in time however long the queue: overdue ones get their first task before the rest.
@@ -83,7 +82,7 @@
         failureDetector.silentForMs(machine) < timings.probeMs
 
     /** The state of one round: the room that is left, and the tasks that found none. */
-    private inner class Round(private val candidates: Placement.Look) {
+    private inner class Round(private val candidates: PlacementRound) {
         private val unplaceableClasses = HashSet<PlacementClass>()
         val unplacedTasks = ArrayList<UnplacedTasks>()
 
@@ -94,7 +93,7 @@
             while (placed < limit) {
                 val index = job.nextWaiting() ?: return
                 if (!quota.allows(job.spec)) return
-                val machine = if (job.spec.placementClass in unplaceableClasses) null else candidates.choose(job)
+                val machine = if (job.spec.placementClass in unplaceableClasses) null else candidates.chooseMachine(job)
                 if (machine == null) return recordUnplaced(job)
                 start(job, index, machine)
                 placed++
@@ -112,7 +111,7 @@
         /** Stops work of lower priority for up to [count] tasks of a production job; returns for how many that makes room. */
         private fun preempt(job: Job, count: Int): Int {
             if (job.spec.priority != Priority.PRODUCTION || !context.isSettled()) return 0
-            val roomMade = candidates.makeRoom(job, count)
+            val roomMade = candidates.planPreemption(job, count)
             val machines = LinkedHashSet<Machine>()
             for (victim in roomMade.victims) {
                 victim.requestStop(StopCause.PREEMPTED)
@@ -126,7 +125,7 @@
         /** Starts the gang once all its tasks find room and nothing is left of an earlier start. */
         private fun placeGang(job: Job) {
             if (job.liveAttempts.isNotEmpty() || quota.roomFor(job.spec) < job.waiting) return
-            val machines = candidates.chooseAll(job)
+            val machines = candidates.chooseGangMachines(job)
             if (machines == null) {
                 unplacedTasks += UnplacedTasks(job.spec, job.waiting)
                 return
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudInventoryIntake.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudInventoryIntake.kt
@@ -27,7 +27,7 @@
 
     /** The cloud has listed the machine types and their prices. */
     fun machineTypesListed(types: List<MachineType>) {
-        inventory.types = types.associateBy { it.name }
+        inventory.updateTypes(types)
     }
 
     /** The cloud has listed the machines that it runs for us. */
@@ -47,7 +47,7 @@
         machine.recordListing(isRunning = listed.state == ListedState.RUNNING, listed.address)
         failureDetector.expectIfRunning(machine)
         if (listed.state == ListedState.FAILED && machine.state != MachineState.TERMINATING && context.isSettled()) {
-            cloudRequests.retire(machine.id, "it has failed")
+            cloudRequests.requestTermination(machine.id, "it has failed")
         }
     }
 
@@ -57,7 +57,7 @@
     private fun recordTerminated(id: MachineId) {
         reconciler.recordTerminationOfAll(id)
         context.append(Event.MachineTerminated(id))
-        cloudRequests.returned(id)
+        cloudRequests.recordTermination(id)
         registry.recordTerminated(id)
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/FleetScaling.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/FleetScaling.kt
@@ -9,13 +9,15 @@
     private val context: SchedulerContext,
     private val deployment: Deployment,
     private val inventory: Inventory,
+    private val scaleInCandidates: ScaleInCandidates,
     private val cloudInventory: CloudInventoryIntake,
     private val cloudRequests: CloudRequests,
 ) {
+    private val planner = CapacityPlanner(deployment, inventory)
     private var lastScalingMs = 0L
 
     /** Scales out for [demands] and scales in what is idle, once a period. */
-    fun scale(demands: List<Inventory.Demand>) {
+    fun scale(demands: List<MachineDemand>) {
         if (!mayScaleOut() || context.now.steadyMs - lastScalingMs < SCALING_PERIOD_MS) return
         lastScalingMs = context.now.steadyMs
         scaleOut(demands)
@@ -25,15 +27,15 @@
     /** The cloud's list shows what there is as well as heartbeats do: machines that haven't reported count as booting. */
     private fun mayScaleOut() = context.isSettled() || (context.mayPlace() && cloudInventory.areMachinesListed)
 
-    private fun scaleOut(demands: List<Inventory.Demand>) {
+    private fun scaleOut(demands: List<MachineDemand>) {
         // Half of the call rate stays free for terminations and lists.
-        val maxCalls = (deployment.cloudRps / 2).toInt().coerceAtLeast(1) - inventory.rentals.size
+        val maxCalls = (deployment.cloudRps / 2).toInt().coerceAtLeast(1) - inventory.pendingRentals.size
         if (maxCalls <= 0) return
-        for ((offer, count) in inventory.wanted(demands, context.now.steadyMs, maxCalls)) cloudRequests.rent(offer, count)
+        for ((offer, count) in planner.plan(demands, context.now.steadyMs, maxCalls)) cloudRequests.requestRental(offer, count)
     }
 
     private fun scaleIn() {
-        inventory.idle(context.now.steadyMs, context.listeningSinceMs).forEach { cloudRequests.retire(it.id, "it is idle") }
+        scaleInCandidates.idle(context.now.steadyMs, context.listeningSinceMs).forEach { cloudRequests.requestTermination(it.id, "it is idle") }
     }
 
     private companion object {
--- a/src/main/kotlin/cleathitch/scheduler/machines/MachineWatch.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/MachineWatch.kt
@@ -20,6 +20,7 @@
     private val failureDetector: FailureDetector,
     private val directReachability: DirectReachability,
     start: ClockReading,
+    private val findOverdueBoots: () -> List<Machine>,
     private val terminate: (MachineId, String) -> Unit,
 ) {
     private val startedMs = start.steadyMs
@@ -34,7 +35,7 @@
         if (context.hasSteppedDown) return
         failureDetector.terminateSilent()
         failureDetector.terminateMissingReplies()
-        inventory.overdueBoots(context.now.steadyMs, context.listeningSinceMs).forEach { terminate(it.id, "it never came up") }
+        findOverdueBoots().forEach { terminate(it.id, "it never came up") }
     }
 
     /** A worker ends its tasks when its lease runs out, so they may start elsewhere from then on. */
