--- a/src/test/kotlin/cleathitch/election/LeaderElectionTest.kt
+++ b/src/test/kotlin/cleathitch/election/LeaderElectionTest.kt
@@ -47,7 +47,8 @@
         scope.launch { election.run(listener) }
     }
 
-    private fun awaitElection(): LeaderLease = elected.poll(ELECTION_TIMEOUT_S, TimeUnit.SECONDS) ?: throw AssertionError("nobody was elected within $ELECTION_TIMEOUT_S s")
+    private fun awaitElection(): LeaderLease = elected.poll(ELECTION_TIMEOUT_S, TimeUnit.SECONDS)
+        ?: throw AssertionError("nobody was elected within $ELECTION_TIMEOUT_S s")
 
     /**
      * A term counts its rental requests from 0 and its fencing tokens from the term's own. Led twice, it would use both again. So a
