--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -59,7 +59,7 @@
  * no randomness and no connections of its own.
  *
  * Events change the state in memory at once, but nothing that depends on one leaves the engine before
- * its record is committed: answers wait with [users], orders look at [DecisionLog.committed].
+ * its record is committed: answers wait with [users], orders look at [DecisionLog.committedIndex].
  */
 class Scheduler(
     private val deployment: Deployment,
@@ -286,13 +286,13 @@
         decisionLog.committed(command.seq, jobTable)
         writeSinceMs = null
         token = maxOf(token, FencingToken.first(command.revision))
-        while (stopsAwaitingCommit.isNotEmpty() && stopsAwaitingCommit.firstKey() <= decisionLog.committed) {
+        while (stopsAwaitingCommit.isNotEmpty() && stopsAwaitingCommit.firstKey() <= decisionLog.committedIndex) {
             // What doesn't run yet goes first: its stop can still forestall the start.
             stopsAwaitingCommit.pollFirstEntry().value.sortedBy { it.seen == TaskState.RUNNING }.mapTo(pendingStops) { it.machine }
         }
         sendStops()
         jobRequests.committed()
-        val machines = pushesAwaitingCommit.filterKeys { it <= decisionLog.committed }
+        val machines = pushesAwaitingCommit.filterKeys { it <= decisionLog.committedIndex }
         machines.keys.forEach(pushesAwaitingCommit::remove)
         machines.values.flatMapTo(LinkedHashSet()) { it }.forEach { id -> fleet.machines[id]?.let(::push) }
         cloudRequests.send()
@@ -513,7 +513,7 @@
     private fun recordSent(machine: Machine, commands: List<WorkerCommand>) {
         for (order in commands) {
             logEvent(LogLevel.DEBUG) {
-                "$order to machine ${machine.id} session ${machine.incarnation} under version $token; records up to ${decisionLog.committed} are committed"
+                "$order to machine ${machine.id} session ${machine.incarnation} under version $token; records up to ${decisionLog.committedIndex} are committed"
             }
             if (order is WorkerCommand.Start) {
                 jobTable.attempt(order.attempt)?.let {
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
@@ -104,7 +104,7 @@
         if (returnSentMs.size > fleet.retired.size) returnSentMs.keys.retainAll(fleet.retired)
     }
 
-    private fun recorded(name: String) = (recordOf[name] ?: LogIndex.NONE) <= decisionLog.committed
+    private fun recorded(name: String) = (recordOf[name] ?: LogIndex.NONE) <= decisionLog.committedIndex
 
     private companion object {
         /** The page's limit for one call. */
--- a/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
@@ -28,7 +28,7 @@
     private val queue = ArrayDeque<Building>()
     private var inFlight: InFlight? = null
     private var last = LogIndex.NONE
-    var committed = LogIndex.NONE
+    var committedIndex = LogIndex.NONE
         private set
 
     /** Records in the state service, each with the cells that it touches. */
@@ -79,7 +79,7 @@
         folded: Map<String, LogIndex>,
     ) {
         last = head
-        committed = head
+        committedIndex = head
         records.forEach { (seq, record) -> kept[seq] = RetainedRecord(record.events) }
         foldedUpTo.putAll(folded)
         finals.maxByOrNull { it.first }?.let { (number, cell) -> this.finals = FinishedJobsChunk(number, cell.done, cell.cancelled) }
@@ -136,7 +136,7 @@
         val done = inFlight
         check(done?.seq == seq) { "commit ${done?.seq} was under way, not $seq" }
         inFlight = null
-        committed = seq
+        committedIndex = seq
         kept += done.written
         done.trim?.let { applyTrim(it, jobTable) }
     }
--- a/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
@@ -23,7 +23,7 @@
     /** Outcomes that are committed needn't be kept once the machine shows their attempts no more. */
     fun shown(machine: MachineId, attempts: Set<AttemptId>) {
         val own = outcomes[machine] ?: return
-        own.entries.removeAll { (id, seq) -> id !in attempts && seq <= decisionLog.committed }
+        own.entries.removeAll { (id, seq) -> id !in attempts && seq <= decisionLog.committedIndex }
         if (own.isEmpty()) outcomes.remove(machine)
     }
 
@@ -50,7 +50,7 @@
             val attempt = jobTable.attempt(task.attempt)?.takeIf { it.machine == machine.id }
             when {
                 task.state == TaskState.EXITED ->
-                    if (attempt == null && (outcomes[machine.id]?.get(task.attempt) ?: LogIndex.NONE) <= decisionLog.committed) {
+                    if (attempt == null && (outcomes[machine.id]?.get(task.attempt) ?: LogIndex.NONE) <= decisionLog.committedIndex) {
                         forgets += WorkerCommand.Forget(task.attempt)
                     }
                 attempt == null -> stops += WorkerCommand.Stop(task.attempt, 0.0)
@@ -62,7 +62,7 @@
             if (attempt.stop != null) {
                 // Nothing to stop, but the order's version shuts out a start that is still on its way.
                 if (attempt.newestStartToken != null && mayStop(attempt)) stops += WorkerCommand.Stop(attempt.id, 0.0)
-            } else if (attempt.startSeq <= decisionLog.committed && machine.state == MachineState.UP) {
+            } else if (attempt.startSeq <= decisionLog.committedIndex && machine.state == MachineState.UP) {
                 starts += WorkerCommand.Start(attempt.id)
             }
         }
@@ -70,7 +70,7 @@
     }
 
     private fun mayStop(attempt: Attempt) = attempt.stop != StopCause.CANCELLED ||
-        (attempt.job.cancelledSeq ?: attempt.job.finishedSeq ?: LogIndex.NONE) <= decisionLog.committed
+        (attempt.job.cancelledSeq ?: attempt.job.finishedSeq ?: LogIndex.NONE) <= decisionLog.committedIndex
 
     private fun stop(attempt: Attempt, state: TaskState): WorkerCommand? {
         val spec = attempt.job.spec
--- a/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
@@ -38,14 +38,14 @@
 
     /** Gives the answers whose records are committed by now. */
     fun committed() {
-        val (open, rest) = gates.partition { it.seq <= decisionLog.committed }
+        val (open, rest) = gates.partition { it.seq <= decisionLog.committedIndex }
         gates.clear()
         gates += rest
         open.forEach { context.emit(it.answer) }
     }
 
     private fun gate(seq: LogIndex, answer: Effect.Answer) {
-        if (seq <= decisionLog.committed) context.emit(answer) else gates += Gate(seq, answer, context.now.steadyMs + intakeMs)
+        if (seq <= decisionLog.committedIndex) context.emit(answer) else gates += Gate(seq, answer, context.now.steadyMs + intakeMs)
     }
 
     fun expire() {
@@ -62,7 +62,9 @@
     /** An end that was told can't be taken back, so the log keeps why it could be told. */
     private fun logFinalState(id: JobId, state: JobState, source: String) {
         if (state != JobState.DONE && state != JobState.CANCELLED) return
-        context.logEvent(LogLevel.DEBUG) { "job $id may be called $state: $source; records up to ${decisionLog.committed} are committed" }
+        context.logEvent(LogLevel.DEBUG) {
+            "job $id may be called $state: $source; records up to ${decisionLog.committedIndex} are committed"
+        }
     }
 
     fun submit(command: Input.Submit) {
@@ -102,7 +104,7 @@
     fun currentStatus(id: JobId): UserReply {
         if (!context.leaseHeld()) return UserReply.Unavailable("no lease")
         val acceptedSeq = jobTable.job(id)?.acceptedSeq ?: LogIndex.NONE
-        return if (acceptedSeq <= decisionLog.committed) status(id) else UserReply.Unavailable("the job isn't recorded yet")
+        return if (acceptedSeq <= decisionLog.committedIndex) status(id) else UserReply.Unavailable("the job isn't recorded yet")
     }
 
     private fun status(id: JobId): UserReply {
@@ -142,8 +144,8 @@
 
     /** What may be told: an end that isn't committed yet isn't told. */
     private fun shownState(job: Job): JobState {
-        job.cancelledSeq?.let { if (it <= decisionLog.committed) return JobState.CANCELLED }
-        job.finishedSeq?.let { if (it <= decisionLog.committed) return JobState.DONE }
+        job.cancelledSeq?.let { if (it <= decisionLog.committedIndex) return JobState.CANCELLED }
+        job.finishedSeq?.let { if (it <= decisionLog.committedIndex) return JobState.DONE }
         return if (job.live.values.any { it.seen == TaskState.RUNNING }) JobState.RUNNING else JobState.QUEUED
     }
 }
