--- a/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
+++ b/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
@@ -18,8 +18,8 @@
 import cleathitch.scheduler.model.MachineType
 import cleathitch.scheduler.model.RequestId
 import cleathitch.storage.CommitResult
-import cleathitch.storage.LogCodec
 import cleathitch.storage.LogStorage
+import cleathitch.storage.StoredSizeEstimator
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.channels.Channel
@@ -148,7 +148,7 @@
             term,
             snapshot,
             services.clocks.clockReading(),
-            LogCodec,
+            StoredSizeEstimator,
             logLevel = when {
                 log.isDebugEnabled -> LogLevel.DEBUG
                 log.isInfoEnabled -> LogLevel.INFO
@@ -206,7 +206,7 @@
             is Effect.AnswerFollower -> batches[effect.request]?.answer?.complete(checked(effect))
             is Effect.Write -> launch {
                 when (val result = store.commit(effect.commit)) {
-                    is CommitResult.Committed -> post(Input.CommitSucceeded(effect.commit.seq, result.revision))
+                    is CommitResult.Committed -> post(Input.CommitSucceeded(effect.commit.index, result.revision))
                     is CommitResult.Refused -> stepDown(Effect.StepDown("a transaction was refused: ${result.failedKeys} changed"))
                 }
             }
--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -22,6 +22,7 @@
 import cleathitch.scheduler.log.LogIndex
 import cleathitch.scheduler.log.Mutation
 import cleathitch.scheduler.log.RecoveredState
+import cleathitch.scheduler.log.SizeEstimator
 import cleathitch.scheduler.log.WriteBudget
 import cleathitch.scheduler.machines.DirectReachability
 import cleathitch.scheduler.machines.FailureDetector
@@ -67,7 +68,7 @@
     private val term: Term,
     snapshot: RecoveredState,
     start: ClockReading,
-    sizes: DecisionLog.Sizes,
+    sizes: SizeEstimator,
     /** Notes below this level aren't written at all: a text for each task's each step is work, too. */
     private val logLevel: LogLevel = LogLevel.DEBUG,
 ) {
@@ -161,21 +162,13 @@
         start.steadyMs + timings.graceMs + (deployment.leaseS * 1000).toLong() + timings.leaseMarginMs
 
     init {
-        snapshot.finals.forEach { jobTable.restore(it.second) }
-        val folded = HashMap<String, LogIndex>()
-        snapshot.jobs.forEach { (cell, parts) ->
-            jobTable.restore(cell)
-            jobTable.job(cell.spec.id)?.partsWritten = parts
-            folded[DecisionLog.JOB_PREFIX + cell.spec.id.text] = LogIndex(cell.upTo)
-        }
-        snapshot.fleet?.let {
-            fleet.restore(it)
-            folded[DecisionLog.FLEET] = LogIndex(it.upTo)
-        }
+        snapshot.finishedJobs.forEach { jobTable.restore(it.snapshot) }
+        snapshot.jobs.forEach { jobTable.restore(it.snapshot) }
+        snapshot.inventory?.let(fleet::restore)
+        decisionLog.restore(snapshot)
         for ((seq, record) in snapshot.records) {
-            for (event in record.events) replay(event, seq, folded)
+            for (event in record.events) replay(event, seq)
         }
-        decisionLog.restore(snapshot.head, snapshot.records, snapshot.finals, folded)
         jobTable.jobs.forEach { job ->
             // An older leader's orders may still be on their way, under versions below this term's first.
             job.live.values.forEach { it.inheritedToken = token }
@@ -213,13 +206,11 @@
         return effects.toList()
     }
 
-    private fun replay(event: Event, seq: LogIndex, folded: Map<String, LogIndex>) {
+    private fun replay(event: Event, seq: LogIndex) {
+        if (decisionLog.isInSnapshot(event, seq)) return
         when (event) {
-            is Event.JobEvent -> {
-                if (jobTable.finalState(event.job) != null) return
-                if ((folded[DecisionLog.JOB_PREFIX + event.job.text] ?: LogIndex.NONE) < seq) jobTable.apply(event, seq)
-            }
-            is Event.InventoryEvent -> if ((folded[DecisionLog.FLEET] ?: LogIndex.NONE) < seq) fleet.apply(event)
+            is Event.JobEvent -> if (jobTable.finalState(event.job) == null) jobTable.apply(event, seq)
+            is Event.InventoryEvent -> fleet.apply(event)
         }
     }
 
@@ -263,27 +254,27 @@
      * budget of changes goes; half of a second's worth of it is never spent on trimming.
      */
     private fun write() {
-        if (!decisionLog.idle) return
+        if (!decisionLog.isIdle) return
         if (now.steadyMs - lastTrimMs >= timings.trimMs) {
             lastTrimMs = now.steadyMs
             trimming = true
         }
-        val allowed = budget.left(now.steadyMs)
+        val allowed = budget.available(now.steadyMs)
         val trimChanges = if (trimming) minOf(deployment.stateTxnOps / 2, allowed - budget.burst / 2) else 0
         val mayTrim = trimChanges >= LEAST_TRIM
-        val due = decisionLog.pending && (urgent || now.steadyMs - lastWriteMs >= timings.roundMs) && allowed >= 2
+        val due = decisionLog.hasPendingRecords && (urgent || now.steadyMs - lastWriteMs >= timings.roundMs) && allowed >= 2
         if (!due && !mayTrim) return
-        val commit = decisionLog.next(term, jobTable, fleet::cell, if (mayTrim) trimChanges else 0) ?: return
-        if (mayTrim) trimming = decisionLog.trimCutShort
-        budget.take(commit.changes.sumOf { if (it is Mutation.Put) it.parts else 1 })
+        val commit = decisionLog.nextCommit(term, jobTable, fleet::cell, if (mayTrim) trimChanges else 0) ?: return
+        if (mayTrim) trimming = decisionLog.isCompactionIncomplete
+        budget.consume(commit.changes.sumOf { if (it is Mutation.Put) it.parts else 1 })
         lastWriteMs = now.steadyMs
-        urgent = decisionLog.pending
+        urgent = decisionLog.hasPendingRecords
         writeSinceMs = now.steadyMs
         effects += Effect.Write(commit)
     }
 
     private fun committed(command: Input.CommitSucceeded) {
-        decisionLog.committed(command.seq, jobTable)
+        decisionLog.recordCommitted(command.seq, jobTable)
         writeSinceMs = null
         token = maxOf(token, FencingToken.first(command.revision))
         while (stopsAwaitingCommit.isNotEmpty() && stopsAwaitingCommit.firstKey() <= decisionLog.committedIndex) {
@@ -619,7 +610,7 @@
         mayPlace() && (first && listeningSinceMs == startedMs || now.steadyMs - listeningSinceMs >= timings.failoverMs)
 
     private fun round() {
-        if (now.steadyMs - lastRoundMs < timings.roundMs || !decisionLog.idle || decisionLog.backlog > MAX_BACKLOG) return
+        if (now.steadyMs - lastRoundMs < timings.roundMs || !decisionLog.isIdle || decisionLog.pendingRecordCount > MAX_BACKLOG) return
         lastRoundMs = now.steadyMs
         val waiting = jobTable.jobs.filter { it.waiting > 0 && it.notBeforeMs <= now.steadyMs }
         if (waiting.isEmpty()) {
@@ -697,7 +688,7 @@
         }
         // The tasks of a gang find each other by their attempt, so one number serves them all.
         val number = job.lastNumber + 1
-        decisionLog.keepTogether(machines.mapIndexed { index, machine -> Event.AttemptStarted(job.id, index, number, machine.id) })
+        decisionLog.reserveRoomFor(machines.mapIndexed { index, machine -> Event.AttemptStarted(job.id, index, number, machine.id) })
         for (machine in machines) start(job, job.nextWaiting() ?: return, machine, number)
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
@@ -15,9 +15,6 @@
     var cancelledSeq: LogIndex? = null
     var finishedSeq: LogIndex? = null
 
-    /** How many parts of the job's cell stand in the state service. */
-    var partsWritten = 0
-
     /** Tasks that failed by themselves since the last that didn't, and when the job may be tried again. */
     var failures = 0
     var notBeforeMs = 0L
--- a/src/main/kotlin/cleathitch/scheduler/jobs/JobTable.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/JobTable.kt
@@ -1,11 +1,13 @@
 package cleathitch.scheduler.jobs
 
+import cleathitch.scheduler.log.CompactedJob
 import cleathitch.scheduler.log.Event
 import cleathitch.scheduler.log.FinalState
 import cleathitch.scheduler.log.FinishedJobsSnapshot
 import cleathitch.scheduler.log.JobSnapshot
 import cleathitch.scheduler.log.LiveAttempt
 import cleathitch.scheduler.log.LogIndex
+import cleathitch.scheduler.log.LoggedJobs
 import cleathitch.scheduler.model.AttemptId
 import cleathitch.scheduler.model.JobId
 import cleathitch.scheduler.model.MachineId
@@ -13,7 +15,7 @@
 import java.util.BitSet
 
 /** All jobs, what is done of them and what may still be running; a function of the events applied. */
-class JobTable {
+class JobTable : LoggedJobs {
     private val open = LinkedHashMap<JobId, Job>()
     private val finals = HashMap<JobId, FinalState>()
     private val onMachine = HashMap<MachineId, LinkedHashMap<AttemptId, Attempt>>()
@@ -33,46 +35,57 @@
 
     fun apply(event: Event.JobEvent, seq: LogIndex) {
         when (event) {
-            is Event.JobAccepted -> open.getOrPut(event.job) { Job(event.spec, event.wallMs, seq) }
+            is Event.JobAccepted -> open.getOrPut(event.job) { Job(event.spec, event.acceptedAtWallMs, seq) }
             is Event.JobCancelled -> open[event.job]?.let { if (!it.over) it.cancelledSeq = seq }
             is Event.AttemptStarted -> open[event.job]?.let {
-                addAttempt(Attempt(AttemptId(TaskId(event.job, event.index), event.number), it, event.machine, seq))
+                addAttempt(Attempt(AttemptId(TaskId(event.job, event.taskIndex), event.number), it, event.machine, seq))
             }
-            is Event.AttemptTerminated -> open[event.job]?.live?.get(event.index)
+            is Event.AttemptTerminated -> open[event.job]?.live?.get(event.taskIndex)
                 ?.takeIf { it.id.number == event.number }?.let(::removeAttempt)
             is Event.TaskCompleted -> open[event.job]?.let { job ->
-                job.taskDone(event.index, seq)
-                job.live[event.index]?.takeIf { it.id.number == event.number }?.let(::removeAttempt)
+                job.taskDone(event.taskIndex, seq)
+                job.live[event.taskIndex]?.takeIf { it.id.number == event.number }?.let(::removeAttempt)
             }
         }
     }
 
     fun restore(cell: JobSnapshot) {
-        val seq = LogIndex(cell.upTo)
-        val job = Job(cell.spec, cell.wallMs, seq)
-        job.restoreDone(BitSet.valueOf(cell.done))
-        if (cell.cancelled) job.cancelledSeq = seq
-        job.lastNumber = cell.lastNumber
+        val seq = cell.lastIncludedIndex
+        val job = Job(cell.spec, cell.acceptedAtWallMs, seq)
+        job.restoreDone(BitSet.valueOf(cell.completedTasks))
+        if (cell.isCancelled) job.cancelledSeq = seq
+        job.lastNumber = cell.lastAttemptNumber
         open[job.id] = job
-        cell.live.forEach {
-            addAttempt(Attempt(AttemptId(TaskId(job.id, it.index), it.number), job, it.machine, seq))
+        cell.liveAttempts.forEach {
+            addAttempt(Attempt(AttemptId(TaskId(job.id, it.taskIndex), it.number), job, it.machine, seq))
         }
     }
 
     fun restore(cell: FinishedJobsSnapshot) {
-        cell.done.forEach { finals[it] = FinalState.DONE }
+        cell.completed.forEach { finals[it] = FinalState.DONE }
         cell.cancelled.forEach { finals[it] = FinalState.CANCELLED }
     }
 
-    /** Forgets everything of a job that is over but its final state. */
-    fun archive(job: Job) {
-        check(job.over && job.live.isEmpty()) { "job ${job.id} isn't over" }
-        finals[job.id] = if (job.cancelled) FinalState.CANCELLED else FinalState.DONE
-        open.remove(job.id)
+    override fun isStartUnobserved(attempt: AttemptId): Boolean = attempt(attempt)?.let { it.seen == null } ?: false
+
+    override fun compact(id: JobId, lastIncludedIndex: LogIndex): CompactedJob {
+        val job = open[id] ?: return CompactedJob.Archived
+        if (isArchivable(job)) return CompactedJob.Finished(id, finalStateOf(job))
+        return CompactedJob.Open(snapshotOf(job, lastIncludedIndex))
+    }
+
+    override fun archive(id: JobId) {
+        val job = checkNotNull(open[id]) { "job $id is archived already" }
+        check(isArchivable(job)) { "job $id isn't over" }
+        finals[id] = finalStateOf(job)
+        open.remove(id)
     }
 
-    fun cellOf(job: Job, upTo: LogIndex) = JobSnapshot(
-        upTo.number,
+    private fun isArchivable(job: Job) = job.over && job.live.isEmpty()
+    private fun finalStateOf(job: Job) = if (job.cancelled) FinalState.CANCELLED else FinalState.DONE
+
+    private fun snapshotOf(job: Job, lastIncludedIndex: LogIndex) = JobSnapshot(
+        lastIncludedIndex,
         job.spec,
         job.wallMs,
         job.cancelled,
--- a/src/main/kotlin/cleathitch/scheduler/log/Commit.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/Commit.kt
@@ -1,4 +1,4 @@
 package cleathitch.scheduler.log
 
-/** One transaction: the record [seq] and whatever folds and trims go with it. */
-data class Commit(val seq: LogIndex, val changes: List<Mutation>)
+/** One transaction of the log: the records up to [index], and the [changes] that write them and compact earlier ones. */
+data class Commit(val index: LogIndex, val changes: List<Mutation>)
--- a/src/main/kotlin/cleathitch/scheduler/log/CompactionPlan.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/CompactionPlan.kt
@@ -1,99 +1,123 @@
 package cleathitch.scheduler.log
 
-import cleathitch.scheduler.jobs.Job
-import cleathitch.scheduler.jobs.JobTable
 import cleathitch.scheduler.model.JobId
 import kotlin.math.ceil
 
 /**
- * The part of one transaction that folds cells, archives jobs that are over and deletes records that are folded.
+ * The compaction that goes with one commit: snapshots, final states of finished jobs, and the deletion of the records that these
+ * replace. Built up by [addRecord], oldest record first.
  *
- * It only plans: nothing in memory changes before the transaction is committed. The end of an archived job is told at once,
- * and a leader that ends before the write would have told what its successor denies.
+ * It only plans. Memory changes once the commit is carried out: users see the final state of an archived job at once, and a
+ * successor that doesn't find it in the store would contradict it.
+ *
+ * @param index the commit's index; its snapshots include all records up to this one
+ * @param snapshotIndexes the last index that each stored snapshot includes, by key, before this commit
+ * @param storedParts in how many parts each job's snapshot is stored before this commit
+ * @param finishedJobsBefore the chunk of final states that is added to
  */
 internal class CompactionPlan(
-    private val seq: LogIndex,
+    private val index: LogIndex,
     private val limits: Limits,
-    private val jobTable: JobTable,
-    private val sizes: DecisionLog.Sizes,
-    private val fleetCell: (LogIndex) -> InventorySnapshot,
-    private val foldedBefore: Map<String, LogIndex>,
-    private val finalsBefore: FinishedJobsChunk,
+    private val jobs: LoggedJobs,
+    private val sizes: SizeEstimator,
+    private val inventorySnapshot: (LogIndex) -> InventorySnapshot,
+    private val snapshotIndexes: Map<String, LogIndex>,
+    private val storedParts: Map<JobId, Int>,
+    private val finishedJobsBefore: FinishedJobsChunk,
 ) {
-    /** What a trim may take: of its transaction [changes] and [bytes]; of a value [valueBytes], or [finalsBytes] of final states. */
-    class Limits(val changes: Int, val bytes: Double, val valueBytes: Double, val finalsBytes: Double)
+    /**
+     * How much one compaction may write: so many [changes] and bytes in all, so many bytes to a value of a snapshot, and so many
+     * to a chunk of final states before the next is begun.
+     */
+    class Limits(val changes: Int, val totalBytes: Double, val valueBytes: Double, val chunkBytes: Double)
 
     private val planned = ArrayList<Mutation>()
-    private var bytes = 0
+    private var plannedBytes = 0
 
+    /** Records that the commit deletes. */
     val deletedRecords = ArrayList<LogIndex>()
-    val folded = HashMap<String, LogIndex>()
-    val archived = ArrayList<Job>()
 
-    /** In how many parts each folded job's cell stands after the transaction. */
-    val partsWritten = HashMap<Job, Int>()
+    /** The last index that each snapshot of this commit includes, by key. */
+    val newSnapshotIndexes = HashMap<String, LogIndex>()
+
+    /** In how many parts each job's snapshot of this commit is stored. */
+    val newStoredParts = HashMap<JobId, Int>()
+
+    /** Jobs of which this commit keeps the final state alone. */
+    val archivedJobs = ArrayList<CompactedJob.Finished>()
 
-    /** The chunk of final states after the transaction. */
-    val finals by lazy { if (archived.isEmpty()) finalsBefore else finalsBefore.plus(archived, limits.finalsBytes) }
+    /** The chunk of final states after the commit. */
+    val finishedJobs by lazy {
+        if (archivedJobs.isEmpty()) finishedJobsBefore else finishedJobsBefore.plus(archivedJobs, limits.chunkBytes)
+    }
 
-    /** Something was left over for want of changes or bytes; nothing more has room. */
-    var cutShort = false
+    /** A record was left because the limits were reached; nothing more fits. */
+    var isIncomplete = false
         private set
 
-    /** All changes of the plan, once it is complete. */
-    fun changes(): List<Mutation> =
-        if (archived.isEmpty()) planned else planned + Mutation.Put(DecisionLog.finalsKey(finals.number), StoredValue.Finals(finals.cell))
-
-    /** Folds the cells of a record and deletes it, as far as there is room. */
-    fun take(record: LogIndex, content: RetainedRecord) {
-        if (content.hasUnseenStarts(jobTable)) return
-        for (cell in content.cells) {
-            if (foldedUpTo(cell) >= record) continue
-            if (!hasRoom() || !fold(cell)) {
-                cutShort = true
-                return
-            }
-            folded[cell] = seq
-        }
-        if (planned.size >= limits.changes) {
-            cutShort = true
+    /** All changes of the plan, once every record was added. */
+    fun changes(): List<Mutation> {
+        if (archivedJobs.isEmpty()) return planned
+        return planned + Mutation.Put(LogKeys.finishedJobs(finishedJobs.number), StoredValue.FinishedJobs(finishedJobs.snapshot))
+    }
+
+    /** Plans the deletion of [record], and the snapshots that replace it, as far as the limits allow. */
+    fun addRecord(recordIndex: LogIndex, record: RetainedRecord) {
+        if (record.hasUnobservedStarts(jobs)) return
+        val isReplaced = record.snapshotKeys.all { ensureSnapshot(it, recordIndex) }
+        if (!isReplaced || planned.size >= limits.changes) {
+            isIncomplete = true
             return
         }
-        deletedRecords += record
-        planned += Mutation.Delete(DecisionLog.recordKey(record))
+        deletedRecords += recordIndex
+        planned += Mutation.Delete(LogKeys.record(recordIndex))
+    }
+
+    /** Sees to it that a snapshot under [key] includes the record; false if the limits don't allow it. */
+    private fun ensureSnapshot(key: String, recordIndex: LogIndex): Boolean {
+        if (lastIncludedIndex(key) >= recordIndex) return true
+        if (!hasRoom() || !addSnapshot(key)) return false
+        newSnapshotIndexes[key] = index
+        return true
     }
 
-    private fun foldedUpTo(cell: String) = folded[cell] ?: foldedBefore[cell] ?: LogIndex.NONE
+    private fun lastIncludedIndex(key: String) = newSnapshotIndexes[key] ?: snapshotIndexes[key] ?: LogIndex.NONE
 
-    private fun hasRoom() = planned.size < limits.changes && bytes < limits.bytes
+    private fun hasRoom() = planned.size < limits.changes && plannedBytes < limits.totalBytes
 
-    /** False if the cell is too large for what is left of the transaction. */
-    private fun fold(cell: String): Boolean {
-        if (cell == DecisionLog.FLEET) {
-            planned += Mutation.Put(DecisionLog.FLEET, StoredValue.OfFleet(fleetCell(seq)))
+    /** False if the snapshot is too large for what is left of the limits. */
+    private fun addSnapshot(key: String): Boolean {
+        if (key == LogKeys.INVENTORY) {
+            planned += Mutation.Put(key, StoredValue.Inventory(inventorySnapshot(index)))
             return true
         }
-        // A job that isn't known any more was archived by an earlier trim.
-        val job = jobTable.job(JobId(cell.removePrefix(DecisionLog.JOB_PREFIX))) ?: return true
-        if (!job.over || job.live.isNotEmpty()) return foldOpen(job)
-        archive(job)
+        val id = JobId(key.removePrefix(LogKeys.JOB_PREFIX))
+        when (val job = jobs.compact(id, index)) {
+            is CompactedJob.Open -> return addJobSnapshot(key, job.snapshot)
+            is CompactedJob.Finished -> archive(key, job)
+            CompactedJob.Archived -> Unit
+        }
         return true
     }
 
-    private fun foldOpen(job: Job): Boolean {
-        val stored = jobTable.cellOf(job, seq)
-        val size = sizes.of(stored)
-        if (bytes > 0 && bytes + size > limits.bytes) return false
-        bytes += size
-        val parts = maxOf(job.partsWritten, ceil(size / limits.valueBytes).toInt())
-        partsWritten[job] = parts
-        planned += Mutation.Put(DecisionLog.jobKey(job.id), StoredValue.OfJob(stored), parts)
+    private fun addJobSnapshot(key: String, snapshot: JobSnapshot): Boolean {
+        val size = sizes.sizeOf(snapshot)
+        // A snapshot larger than the limit alone still has to be stored at some time.
+        if (plannedBytes > 0 && plannedBytes + size > limits.totalBytes) return false
+        plannedBytes += size
+        val id = snapshot.spec.id
+        // Never fewer parts than before, so that no part of an older snapshot is left.
+        val parts = maxOf(partsBefore(id), ceil(size / limits.valueBytes).toInt())
+        newStoredParts[id] = parts
+        planned += Mutation.Put(key, StoredValue.Job(snapshot), parts)
         return true
     }
 
-    private fun archive(job: Job) {
-        archived += job
-        repeat(job.partsWritten) { planned += Mutation.Delete("${DecisionLog.jobKey(job.id)}/$it") }
-        bytes += FinishedJobsChunk.bytesOf(job.id)
+    private fun archive(key: String, job: CompactedJob.Finished) {
+        archivedJobs += job
+        repeat(partsBefore(job.id)) { part -> planned += Mutation.Delete("$key/$part") }
+        plannedBytes += FinishedJobsChunk.sizeOf(job.id)
     }
+
+    private fun partsBefore(job: JobId) = storedParts[job] ?: 0
 }
--- a/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
@@ -1,180 +1,203 @@
 package cleathitch.scheduler.log
 
-import cleathitch.scheduler.jobs.JobTable
 import cleathitch.scheduler.model.Deployment
 import cleathitch.scheduler.model.JobId
 import cleathitch.scheduler.model.Term
 import java.util.TreeMap
 
 /**
- * The log in the state service: which record each event goes to, what has been committed, and which
- * records can be trimmed because the cells they touch were folded later.
+ * The write-ahead log of the scheduler's decisions. Events are appended to pending records; a commit writes the pending records to
+ * the key-value store and, if asked to, compacts older ones into snapshots. One commit is in flight at a time.
+ *
+ * Owned by the scheduler and confined to the leader's event loop. It does no I/O: commits are handed out by [nextCommit], and
+ * [recordCommitted] tells that one was carried out. Only then do the compaction's effects show in memory.
  */
-class DecisionLog(private val deployment: Deployment, private val sizes: Sizes) {
-    /** Tells how large something becomes when stored; the codec's business, not the core's. */
-    interface Sizes {
-        fun of(event: Event): Int
-        fun of(cell: JobSnapshot): Int
-    }
-
-    private class Building(val seq: LogIndex) {
+class DecisionLog(private val deployment: Deployment, private val sizes: SizeEstimator) {
+    private class PendingRecord(val index: LogIndex) {
         val events = ArrayList<Event>()
         var bytes = 0
+            private set
+
+        fun add(event: Event, size: Int) {
+            events += event
+            bytes += size
+        }
     }
 
-    /** A transaction under way, and what becomes true in memory once it is committed, not before. */
-    private class InFlight(val seq: LogIndex, val written: Map<LogIndex, RetainedRecord>, val trim: CompactionPlan?)
+    private class InFlightCommit(val index: LogIndex, val records: Map<LogIndex, RetainedRecord>, val compaction: CompactionPlan?)
 
-    private val queue = ArrayDeque<Building>()
-    private var inFlight: InFlight? = null
-    private var last = LogIndex.NONE
+    private val recordBytes = deployment.stateValueBytes * RECORD_FILL
+    private val pendingRecords = ArrayDeque<PendingRecord>()
+    private var inFlight: InFlightCommit? = null
+    private var lastIndex = LogIndex.NONE
+
+    /** The last record that is certain to be in the key-value store. */
     var committedIndex = LogIndex.NONE
         private set
 
-    /** Records in the state service, each with the cells that it touches. */
-    private val kept = TreeMap<LogIndex, RetainedRecord>()
-    private val foldedUpTo = HashMap<String, LogIndex>()
-    private var finals = FinishedJobsChunk.FIRST
+    /** Records in the key-value store that no compaction has deleted yet. */
+    private val retainedRecords = TreeMap<LogIndex, RetainedRecord>()
+
+    /** The last index that each stored snapshot includes, by key. */
+    private val snapshotIndexes = HashMap<String, LogIndex>()
 
-    val idle get() = inFlight == null
-    val pending get() = queue.isNotEmpty()
+    /** In how many parts each job's snapshot is stored. */
+    private val storedParts = HashMap<JobId, Int>()
+    private var finishedJobs = FinishedJobsChunk.FIRST
 
-    /** Records that wait for a commit. */
-    val backlog get() = queue.size
+    /** No commit is in flight. */
+    val isIdle get() = inFlight == null
+    val hasPendingRecords get() = pendingRecords.isNotEmpty()
+    val pendingRecordCount get() = pendingRecords.size
 
-    /** The last trim left something over for want of changes or bytes. */
-    var trimCutShort = false
+    /** The last compaction left records because it had reached its limits. */
+    var isCompactionIncomplete = false
         private set
 
-    /** Notes an event for the next commit and tells in which record it will be. */
+    /** Takes over what a new leader found in the key-value store. */
+    fun restore(recovered: RecoveredState) {
+        lastIndex = recovered.head
+        committedIndex = recovered.head
+        recovered.records.forEach { retainedRecords[it.index] = RetainedRecord(it.record.events) }
+        recovered.jobs.forEach { restore(it) }
+        recovered.inventory?.let { snapshotIndexes[LogKeys.INVENTORY] = it.lastIncludedIndex }
+        val newestChunk = recovered.finishedJobs.maxByOrNull { it.chunkNumber } ?: return
+        finishedJobs = FinishedJobsChunk(newestChunk.chunkNumber, newestChunk.snapshot)
+    }
+
+    private fun restore(stored: StoredJob) {
+        val id = stored.snapshot.spec.id
+        snapshotIndexes[LogKeys.job(id)] = stored.snapshot.lastIncludedIndex
+        storedParts[id] = stored.parts
+    }
+
+    /** Whether a stored snapshot already includes [event] of the record [index], which replay then leaves out. */
+    fun isInSnapshot(event: Event, index: LogIndex): Boolean = index <= (snapshotIndexes[LogKeys.snapshotOf(event)] ?: LogIndex.NONE)
+
+    /** Adds [event] to a record for the next commit, and gives the index of that record. */
     fun append(event: Event): LogIndex {
-        val size = sizes.of(event)
-        val limit = deployment.stateValueBytes * RECORD_FILL
-        val current = queue.lastOrNull()?.takeIf { it.bytes + size <= limit }
-            ?: Building(last.next()).also {
-                last = it.seq
-                queue.addLast(it)
-            }
-        current.events += event
-        current.bytes += size
-        return current.seq
+        val size = sizes.sizeOf(event)
+        val record = pendingRecords.lastOrNull()?.takeIf { it.bytes + size <= recordBytes } ?: beginRecord()
+        record.add(event, size)
+        return record.index
     }
 
-    /** Makes room for as many starts in one record, if one can hold them. */
-    fun keepTogether(starts: List<Event.AttemptStarted>) {
-        val size = starts.sumOf(sizes::of)
-        val limit = deployment.stateValueBytes * RECORD_FILL
-        val current = queue.lastOrNull() ?: return
-        if (size <= limit && current.bytes + size > limit) {
-            last = last.next()
-            queue.addLast(Building(last))
-        }
+    /** Begins a new record if [starts] don't fit into the current one but fit into one: a gang's starts are then recorded together. */
+    fun reserveRoomFor(starts: List<Event.AttemptStarted>) {
+        val size = starts.sumOf(sizes::sizeOf)
+        val current = pendingRecords.lastOrNull() ?: return
+        if (size <= recordBytes && current.bytes + size > recordBytes) beginRecord()
     }
 
-    /** Restores the position; [records] are those found, oldest first. */
-    fun restore(
-        head: LogIndex,
-        records: List<Pair<LogIndex, LogRecord>>,
-        finals: List<Pair<Long, FinishedJobsSnapshot>>,
-        folded: Map<String, LogIndex>,
-    ) {
-        last = head
-        committedIndex = head
-        records.forEach { (seq, record) -> kept[seq] = RetainedRecord(record.events) }
-        foldedUpTo.putAll(folded)
-        finals.maxByOrNull { it.first }?.let { (number, cell) -> this.finals = FinishedJobsChunk(number, cell.done, cell.cancelled) }
+    private fun beginRecord(): PendingRecord {
+        val record = PendingRecord(nextIndex())
+        pendingRecords.addLast(record)
+        return record
     }
 
-    /** The next transaction, if none is under way and there is something to write; trims with up to [trimChanges]. */
-    fun next(term: Term, jobTable: JobTable, fleetCell: (LogIndex) -> InventorySnapshot, trimChanges: Int): Commit? {
+    private fun nextIndex(): LogIndex {
+        lastIndex = lastIndex.next()
+        return lastIndex
+    }
+
+    /**
+     * The next commit, in flight from now on; null while another one is, or if there is nothing to write. Compacts by up to
+     * [maxCompactionChanges] changes, 0 for no compaction.
+     */
+    fun nextCommit(term: Term, jobs: LoggedJobs, inventorySnapshot: (LogIndex) -> InventorySnapshot, maxCompactionChanges: Int): Commit? {
         if (inFlight != null) return null
-        if (queue.isEmpty() && (trimChanges == 0 || kept.isEmpty())) {
-            trimCutShort = false
+        val isCompactionAsked = maxCompactionChanges > 0
+        if (pendingRecords.isEmpty() && (!isCompactionAsked || retainedRecords.isEmpty())) {
+            isCompactionIncomplete = false
             return null
         }
-        val records = ArrayList<Building>()
+        val records = takePendingRecords()
+        val index = records.lastOrNull()?.index ?: nextIndex()
+        // Snapshots are taken of the state in memory, which is that of this commit only if no later record is pending.
+        val canCompact = isCompactionAsked && pendingRecords.isEmpty()
+        val compaction = if (canCompact) planCompaction(index, jobs, inventorySnapshot, maxCompactionChanges) else null
+        isCompactionIncomplete = compaction?.isIncomplete ?: isCompactionAsked
+        inFlight = InFlightCommit(index, records.associate { it.index to RetainedRecord(it.events) }, compaction)
+        return Commit(index, changesOf(index, term, records, compaction))
+    }
+
+    /** As many pending records as fit into one transaction, at least one if there are any. */
+    private fun takePendingRecords(): List<PendingRecord> {
+        val records = ArrayList<PendingRecord>()
         var bytes = 0
-        while (queue.isNotEmpty() && records.size < deployment.stateTxnOps / 4) {
-            bytes += queue.first().bytes
-            if (records.isNotEmpty() && bytes > TXN_BYTES * TXN_FILL) break
-            records += queue.removeFirst()
+        while (pendingRecords.isNotEmpty() && records.size < deployment.stateTxnOps / RECORDS_DIVISOR) {
+            bytes += pendingRecords.first().bytes
+            if (records.isNotEmpty() && bytes > MAX_COMMIT_BYTES) break
+            records += pendingRecords.removeFirst()
         }
-        val seq = records.lastOrNull()?.seq ?: last.next().also { last = it }
-        val changes = ArrayList<Mutation>()
-        changes += Mutation.Put(HEAD, StoredValue.Head(seq, term))
-        records.mapTo(changes) { Mutation.Put(recordKey(it.seq), StoredValue.OfRecord(LogRecord(it.events.toList()))) }
-        // The state in memory is the state after this record only if no later one is waiting.
-        val mayTrim = trimChanges > 0 && queue.isEmpty()
-        val trim = if (mayTrim) planTrim(seq, jobTable, fleetCell, changes.size, trimChanges) else null
-        trimCutShort = trim?.cutShort ?: (trimChanges > 0)
-        trim?.let { changes += it.changes() }
-        inFlight = InFlight(seq, records.associate { it.seq to RetainedRecord(it.events) }, trim)
-        return Commit(seq, changes)
+        return records
     }
 
-    private fun planTrim(
-        seq: LogIndex,
-        jobTable: JobTable,
-        fleetCell: (LogIndex) -> InventorySnapshot,
-        changes: Int,
-        trimChanges: Int,
+    private fun planCompaction(
+        index: LogIndex,
+        jobs: LoggedJobs,
+        inventorySnapshot: (LogIndex) -> InventorySnapshot,
+        maxChanges: Int,
     ): CompactionPlan {
         val limits = CompactionPlan.Limits(
-            changes = trimChanges,
-            bytes = TXN_BYTES * TXN_FILL,
-            valueBytes = deployment.stateValueBytes * RECORD_FILL,
-            finalsBytes = deployment.stateValueBytes * FINALS_FILL,
+            changes = maxChanges,
+            totalBytes = MAX_COMMIT_BYTES,
+            valueBytes = recordBytes,
+            chunkBytes = deployment.stateValueBytes * CHUNK_FILL,
         )
-        return CompactionPlan(seq, limits, jobTable, sizes, fleetCell, foldedUpTo, finals).also { plan ->
-            // A record of this very transaction stays.
-            kept.headMap(seq).forEach { (record, content) -> if (!plan.cutShort) plan.take(record, content) }
+        val plan = CompactionPlan(index, limits, jobs, sizes, inventorySnapshot, snapshotIndexes, storedParts, finishedJobs)
+        // The records of this commit itself aren't retained yet, and stay.
+        for ((recordIndex, record) in retainedRecords.headMap(index)) {
+            if (plan.isIncomplete) break
+            plan.addRecord(recordIndex, record)
         }
+        return plan
+    }
+
+    private fun changesOf(index: LogIndex, term: Term, records: List<PendingRecord>, compaction: CompactionPlan?): List<Mutation> {
+        val changes = ArrayList<Mutation>()
+        changes += Mutation.Put(LogKeys.HEAD, StoredValue.Head(index, term))
+        records.mapTo(changes) { Mutation.Put(LogKeys.record(it.index), StoredValue.Record(LogRecord(it.events.toList()))) }
+        if (compaction != null) changes += compaction.changes()
+        return changes
     }
 
-    /** The transaction under way was carried out: what it folds, archives and deletes takes effect now. */
-    fun committed(seq: LogIndex, jobTable: JobTable) {
-        val done = inFlight
-        check(done?.seq == seq) { "commit ${done?.seq} was under way, not $seq" }
+    /** The commit in flight, at [index], was carried out: its records are committed, and its compaction takes effect. */
+    fun recordCommitted(index: LogIndex, jobs: LoggedJobs) {
+        val commit = inFlight
+        check(commit?.index == index) { "the commit in flight is ${commit?.index}, not $index" }
         inFlight = null
-        committedIndex = seq
-        kept += done.written
-        done.trim?.let { applyTrim(it, jobTable) }
+        committedIndex = index
+        retainedRecords += commit.records
+        commit.compaction?.let { applyCompaction(it, jobs) }
     }
 
-    private fun applyTrim(trim: CompactionPlan, jobTable: JobTable) {
-        trim.deletedRecords.forEach(kept::remove)
-        foldedUpTo += trim.folded
-        trim.partsWritten.forEach { (job, parts) -> job.partsWritten = parts }
-        finals = trim.finals
-        for (job in trim.archived) {
-            jobTable.archive(job)
-            foldedUpTo.remove(JOB_PREFIX + job.id.text)
+    private fun applyCompaction(plan: CompactionPlan, jobs: LoggedJobs) {
+        plan.deletedRecords.forEach(retainedRecords::remove)
+        snapshotIndexes += plan.newSnapshotIndexes
+        storedParts += plan.newStoredParts
+        finishedJobs = plan.finishedJobs
+        for (job in plan.archivedJobs) {
+            jobs.archive(job.id)
+            snapshotIndexes.remove(LogKeys.job(job.id))
+            storedParts.remove(job.id)
         }
     }
 
-    companion object {
-        const val HEAD = "head"
-        const val FLEET = "fleet"
-        const val JOB_PREFIX = "j/"
-        const val RECORD_PREFIX = "r/"
-        const val FINALS_PREFIX = "f/"
-
-        /** Of a value's limit: room for the encoding's own overhead, as limits are counted in JSON form. */
-        private const val RECORD_FILL = 0.8
-        private const val FINALS_FILL = 0.5
-
-        /** The page's limit for a transaction, and how much of it a trim may take. */
-        private const val TXN_BYTES = 65_536
-        private const val TXN_FILL = 0.4
-
-        fun recordKey(seq: LogIndex) = RECORD_PREFIX + seq.number.toString().padStart(19, '0')
-        fun jobKey(job: JobId) = JOB_PREFIX + job.text
-        fun finalsKey(chunk: Long) = FINALS_PREFIX + chunk.toString().padStart(19, '0')
-
-        /** The cell that an event changes. */
-        fun cellOf(event: Event): String = when (event) {
-            is Event.JobEvent -> JOB_PREFIX + event.job.text
-            is Event.InventoryEvent -> FLEET
-        }
+    private companion object {
+        /** How much of a value's limit a record or a part of a snapshot may fill: limits count the JSON form, which takes more. */
+        const val RECORD_FILL = 0.8
+
+        /** The part of a value's limit that a chunk of final states fills before the next chunk is begun. */
+        const val CHUNK_FILL = 0.5
+
+        /** The key-value store's limit for a transaction. */
+        const val MAX_TRANSACTION_BYTES = 65_536
+
+        /** What the records of a commit may take, and its compaction likewise. */
+        const val MAX_COMMIT_BYTES = MAX_TRANSACTION_BYTES * 0.4
+
+        /** Of a transaction's operations, the records of a commit take one in so many. */
+        const val RECORDS_DIVISOR = 4
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/log/FinishedJobsChunk.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/FinishedJobsChunk.kt
@@ -1,26 +1,30 @@
 package cleathitch.scheduler.log
 
-import cleathitch.scheduler.jobs.Job
 import cleathitch.scheduler.model.JobId
 
-/** The value that final states are being added to, as it stands in the state service. */
-internal class FinishedJobsChunk(val number: Long, private val done: List<JobId>, private val cancelled: List<JobId>) {
-    private val bytes = (done + cancelled).sumOf(::bytesOf)
+/** The value to which the final states of archived jobs are added, as it is in the key-value store. Chunks are numbered from 0. */
+internal class FinishedJobsChunk(val number: Long, val snapshot: FinishedJobsSnapshot) {
+    private val bytes = (snapshot.completed + snapshot.cancelled).sumOf(::sizeOf)
 
-    val cell get() = FinishedJobsSnapshot(done, cancelled)
-
-    /** With [jobs] added; a chunk of more than [limitBytes] is left, and a new one begun. */
-    fun plus(jobs: List<Job>, limitBytes: Double): FinishedJobsChunk {
-        val base = if (bytes > limitBytes) FinishedJobsChunk(number + 1, emptyList(), emptyList()) else this
-        val (newlyCancelled, newlyDone) = jobs.partition { it.cancelled }
-        return FinishedJobsChunk(base.number, base.done + newlyDone.map { it.id }, base.cancelled + newlyCancelled.map { it.id })
+    /** The chunk with [jobs] added; if this one has over [maxBytes], a new one with these jobs alone. */
+    fun plus(jobs: List<CompactedJob.Finished>, maxBytes: Double): FinishedJobsChunk {
+        val base = if (bytes > maxBytes) FinishedJobsChunk(number + 1, EMPTY) else this
+        val (newlyCancelled, newlyCompleted) = jobs.partition { it.finalState == FinalState.CANCELLED }
+        val snapshot = FinishedJobsSnapshot(
+            completed = base.snapshot.completed + newlyCompleted.map { it.id },
+            cancelled = base.snapshot.cancelled + newlyCancelled.map { it.id },
+        )
+        return FinishedJobsChunk(base.number, snapshot)
     }
 
     companion object {
-        val FIRST = FinishedJobsChunk(0, emptyList(), emptyList())
-        private const val ID_OVERHEAD = 4
+        private val EMPTY = FinishedJobsSnapshot(emptyList(), emptyList())
+        val FIRST = FinishedJobsChunk(0, EMPTY)
+
+        /** Bytes that an id takes beside its text. */
+        private const val ID_OVERHEAD_BYTES = 4
 
-        /** What a job's id takes in a chunk. */
-        fun bytesOf(id: JobId) = id.text.length + ID_OVERHEAD
+        /** The bytes that the final state of the job [id] takes in a chunk. */
+        fun sizeOf(id: JobId) = id.text.length + ID_OVERHEAD_BYTES
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/log/InventorySnapshot.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/InventorySnapshot.kt
@@ -1,8 +1,13 @@
 package cleathitch.scheduler.log
 
 import cleathitch.scheduler.model.MachineId
+import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** Rentals and returns whose fate isn't known yet, after the record [upTo]. */
+/** Rentals and terminations of machines whose outcome isn't known after the record [lastIncludedIndex]. */
 @Serializable
-data class InventorySnapshot(val upTo: Long, val rentals: List<Event.RentalRequested>, val retired: List<MachineId>)
+data class InventorySnapshot(
+    @SerialName("upTo") val lastIncludedIndex: LogIndex,
+    @SerialName("rentals") val pendingRentals: List<Event.RentalRequested>,
+    @SerialName("retired") val terminatingMachines: List<MachineId>,
+)
--- a/src/main/kotlin/cleathitch/scheduler/log/JobSnapshot.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/JobSnapshot.kt
@@ -1,17 +1,25 @@
 package cleathitch.scheduler.log
 
 import cleathitch.scheduler.model.JobSpec
+import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** A job's cell as it stands after the record [upTo]. */
+/**
+ * A job as it is after the record [lastIncludedIndex].
+ *
+ * @property acceptedAtWallMs when the job was accepted, by the wall clock
+ * @property completedTasks a bit for each completed task, as [java.util.BitSet] writes them
+ * @property liveAttempts attempts whose termination isn't confirmed
+ * @property lastAttemptNumber the highest number that an attempt of the job has had
+ */
 @Serializable
-@Suppress("ArrayInDataClass") // never compared
+@Suppress("ArrayInDataClass") // snapshots are never compared
 data class JobSnapshot(
-    val upTo: Long,
+    @SerialName("upTo") val lastIncludedIndex: LogIndex,
     val spec: JobSpec,
-    val wallMs: Long,
-    val cancelled: Boolean,
-    val done: ByteArray,
-    val live: List<LiveAttempt>,
-    val lastNumber: Long,
+    @SerialName("wallMs") val acceptedAtWallMs: Long,
+    @SerialName("cancelled") val isCancelled: Boolean,
+    @SerialName("done") val completedTasks: ByteArray,
+    @SerialName("live") val liveAttempts: List<LiveAttempt>,
+    @SerialName("lastNumber") val lastAttemptNumber: Long,
 )
--- a/src/main/kotlin/cleathitch/scheduler/log/LiveAttempt.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/LiveAttempt.kt
@@ -4,6 +4,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
 
+/** An attempt of a job's task [taskIndex] that may be running on [machine]. Stored as an array: the order of the fields counts. */
 @Serializable
 @CborArray
-data class LiveAttempt(val index: Int, val number: Long, val machine: MachineId)
+data class LiveAttempt(val taskIndex: Int, val number: Long, val machine: MachineId)
--- a/src/main/kotlin/cleathitch/scheduler/log/LogRecord.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/LogRecord.kt
@@ -2,6 +2,6 @@
 
 import kotlinx.serialization.Serializable
 
-/** The events of one commit. */
+/** Events that are stored in one value, in the order in which they were appended. */
 @Serializable
 data class LogRecord(val events: List<Event>)
--- a/src/main/kotlin/cleathitch/scheduler/log/Mutation.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/Mutation.kt
@@ -1,10 +1,12 @@
 package cleathitch.scheduler.log
 
-/** A change to the state service; keys are relative to the deployment's own prefix. */
+/** One change of a commit to the key-value store. Keys are those of [LogKeys], without the deployment's prefix. */
 sealed interface Mutation {
     val key: String
 
-    /** A value too long for one key stands under [key]`/0`, `/1` and so on, in [parts] parts. */
+    /** Stores [value]; a job's snapshot stands in [parts] parts under [key]`/0`, [key]`/1` and so on. */
     data class Put(override val key: String, val value: StoredValue, val parts: Int = 1) : Mutation
+
+    /** Deletes [key]. */
     data class Delete(override val key: String) : Mutation
 }
--- a/src/main/kotlin/cleathitch/scheduler/log/RetainedRecord.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/RetainedRecord.kt
@@ -1,20 +1,20 @@
 package cleathitch.scheduler.log
 
-import cleathitch.scheduler.jobs.JobTable
 import cleathitch.scheduler.model.AttemptId
 import cleathitch.scheduler.model.TaskId
 
-/** A record in the state service, as far as trimming it goes. */
+/** What compaction needs to know of a record in the key-value store. */
 internal class RetainedRecord(events: List<Event>) {
-    val cells = events.mapTo(LinkedHashSet(), DecisionLog::cellOf)
+    /** The keys of the snapshots that replace the record, in the order of its events. */
+    val snapshotKeys: Set<String> = events.mapTo(LinkedHashSet(), LogKeys::snapshotOf)
 
-    /** Starts that no report has shown yet, as far as was looked. */
-    private val starts = events.filterIsInstance<Event.AttemptStarted>()
-        .mapTo(ArrayList()) { AttemptId(TaskId(it.job, it.index), it.number) }
+    /** Starts in the record that no heartbeat had shown when last asked. */
+    private val unobservedStarts = events.filterIsInstance<Event.AttemptStarted>()
+        .mapTo(ArrayList()) { AttemptId(TaskId(it.job, it.taskIndex), it.number) }
 
-    /** As the design asks: a start stays on record until a report has shown it. */
-    fun hasUnseenStarts(jobTable: JobTable): Boolean {
-        starts.removeIf { id -> jobTable.attempt(id)?.let { it.seen != null } ?: true }
-        return starts.isNotEmpty()
+    /** Whether the record holds a start that no heartbeat has shown yet; such a record isn't deleted. */
+    fun hasUnobservedStarts(jobs: LoggedJobs): Boolean {
+        unobservedStarts.removeIf { !jobs.isStartUnobserved(it) }
+        return unobservedStarts.isNotEmpty()
     }
 }
--- /dev/null
+++ b/src/main/kotlin/cleathitch/scheduler/log/StoredRecord.kt
@@ -0,0 +1,4 @@
+package cleathitch.scheduler.log
+
+/** A record as it stands at [index] in the key-value store. */
+data class StoredRecord(val index: LogIndex, val record: LogRecord)
--- a/src/main/kotlin/cleathitch/scheduler/log/StoredValue.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/StoredValue.kt
@@ -2,11 +2,12 @@
 
 import cleathitch.scheduler.model.Term
 
-/** What can stand under a key. */
+/** What a key of [LogKeys] can hold. */
 sealed interface StoredValue {
-    data class Head(val seq: LogIndex, val term: Term) : StoredValue
-    data class OfRecord(val record: LogRecord) : StoredValue
-    data class OfJob(val cell: JobSnapshot) : StoredValue
-    data class OfFleet(val cell: InventorySnapshot) : StoredValue
-    data class Finals(val cell: FinishedJobsSnapshot) : StoredValue
+    /** The last commit: its [index], and the [term] of the leader that wrote it. */
+    data class Head(val index: LogIndex, val term: Term) : StoredValue
+    data class Record(val record: LogRecord) : StoredValue
+    data class Job(val snapshot: JobSnapshot) : StoredValue
+    data class Inventory(val snapshot: InventorySnapshot) : StoredValue
+    data class FinishedJobs(val snapshot: FinishedJobsSnapshot) : StoredValue
 }
--- a/src/main/kotlin/cleathitch/scheduler/log/WriteBudget.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/WriteBudget.kt
@@ -1,20 +1,29 @@
 package cleathitch.scheduler.log
 
-/** Changes that may still be sent to the state service: refilled steadily, with bursts of a second's worth. */
-class WriteBudget(private val perS: Double, startMs: Long) {
-    private var tokens = perS
-    private var atMs = startMs
+/**
+ * Limits the rate of changes that are sent to the key-value store: a token bucket that [changesPerSecond] refill and that holds a
+ * second's worth of them. Times are readings of the steady clock.
+ */
+class WriteBudget(private val changesPerSecond: Double, startMs: Long) {
+    private var tokens = changesPerSecond
+    private var refilledAtMs = startMs
 
-    val burst get() = perS.toInt()
+    /** The most changes that can be available. */
+    val burst get() = changesPerSecond.toInt()
 
-    fun left(nowMs: Long): Int {
-        tokens = minOf(perS, tokens + (nowMs - atMs) * perS / 1000)
-        atMs = nowMs
+    /** How many changes may be sent at [nowMs]. */
+    fun available(nowMs: Long): Int {
+        tokens = minOf(changesPerSecond, tokens + (nowMs - refilledAtMs) * changesPerSecond / MS_PER_SECOND)
+        refilledAtMs = nowMs
         return tokens.toInt()
     }
 
-    /** A commit may cost more than is left; the next then waits longer. */
-    fun take(changes: Int) {
+    /** Counts so many [changes] as sent. They may be more than are available; the next then wait longer. */
+    fun consume(changes: Int) {
         tokens -= changes
     }
+
+    private companion object {
+        const val MS_PER_SECOND = 1000
+    }
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
@@ -62,11 +62,11 @@
         }
     }
 
-    fun cell(upTo: LogIndex) = InventorySnapshot(upTo.number, rentals.values.toList(), retired.toList())
+    fun cell(upTo: LogIndex) = InventorySnapshot(upTo, rentals.values.toList(), retired.toList())
 
     fun restore(cell: InventorySnapshot) {
-        cell.rentals.forEach { rentals[it.request] = it }
-        retired += cell.retired
+        cell.pendingRentals.forEach { rentals[it.request] = it }
+        retired += cell.terminatingMachines
     }
 
     fun adopt(id: MachineId, offer: Offer, rentedAtMs: Long): Machine = machines.getOrPut(id) {
--- a/src/main/kotlin/cleathitch/storage/LogStorage.kt
+++ b/src/main/kotlin/cleathitch/storage/LogStorage.kt
@@ -5,7 +5,7 @@
 import cleathitch.protocol.KeyValueStoreProtocol
 import cleathitch.protocol.MalformedMessageException
 import cleathitch.scheduler.log.Commit
-import cleathitch.scheduler.log.DecisionLog
+import cleathitch.scheduler.log.LogKeys
 import cleathitch.scheduler.log.Mutation
 import cleathitch.scheduler.log.RecoveredState
 import cleathitch.scheduler.model.Term
@@ -29,7 +29,7 @@
 ) {
     private class Contents(val entries: List<KeyValueStoreProtocol.Entry>, val pages: Int)
 
-    private val headKey = keyPrefix + DecisionLog.HEAD
+    private val headKey = keyPrefix + LogKeys.HEAD
     private var headRevision = KEY_ABSENT
 
     /** How far [load] has come; tells what a term was doing that ends before it leads. */
@@ -38,7 +38,7 @@
 
     /**
      * Reads the whole log, and tries again until every page was read. Nobody else writes meanwhile, because this controller holds
-     * the leader's key. Throws [MalformedMessageException] if a stored value can't be decoded.
+     * the leader's key. Throws what [LogCodec.recoveredState] throws if a stored value can't be decoded.
      */
     suspend fun load(): RecoveredState {
         val startedAtMs = steadyMs()
@@ -110,7 +110,11 @@
                     return committed(commit, revision, attempt, startedAtMs)
                 }
                 is CompareAndSwapResult.LeaseNotFound, is CompareAndSwapResult.Unavailable, is CompareAndSwapResult.Unknown -> {
-                    if (attempt == 1) log.info("term={} event=commit_unconfirmed index={} result=\"{}\"", term.revision, commit.seq, result)
+                    if (attempt ==
+                        1
+                    ) {
+                        log.info("term={} event=commit_unconfirmed index={} result=\"{}\"", term.revision, commit.index, result)
+                    }
                     delay(RETRY_DELAY_MS)
                 }
             }
@@ -122,7 +126,7 @@
         headRevision = revision
         if (attempt > 1) {
             val durationMs = steadyMs() - startedAtMs
-            log.info("term={} event=committed index={} attempt={} duration_ms={}", term.revision, commit.seq, attempt, durationMs)
+            log.info("term={} event=committed index={} attempt={} duration_ms={}", term.revision, commit.index, attempt, durationMs)
         }
         return CommitResult.Committed(revision)
     }
@@ -139,7 +143,7 @@
             log.error("term={} event=malformed_head error=\"{}\"", term.revision, e.message)
             return null
         }
-        return entry.revision.takeIf { head.seq == commit.seq && head.term == term }
+        return entry.revision.takeIf { head.index == commit.index && head.term == term }
     }
 
     /** The entry of the head key, null if there is none; tries again until the key was read. */
@@ -158,7 +162,7 @@
     }
 
     private fun putsOf(put: Mutation.Put): List<KeyValueStoreProtocol.Write> {
-        val isSplit = put.key.startsWith(DecisionLog.JOB_PREFIX)
+        val isSplit = put.key.startsWith(LogKeys.JOB_PREFIX)
         return LogCodec.encode(put.value, put.parts).mapIndexed { part, value ->
             val suffix = if (isSplit) "/$part" else ""
             KeyValueStoreProtocol.Write.Put(keyPrefix + put.key + suffix, value)
--- a/src/test/kotlin/cleathitch/formats/StoredFormatTest.kt
+++ b/src/test/kotlin/cleathitch/formats/StoredFormatTest.kt
@@ -2,14 +2,16 @@
 
 import cleathitch.protocol.KeyValueStoreProtocol
 import cleathitch.protocol.MessageCodec
-import cleathitch.scheduler.log.DecisionLog
 import cleathitch.scheduler.log.Event
 import cleathitch.scheduler.log.FinishedJobsSnapshot
 import cleathitch.scheduler.log.InventorySnapshot
 import cleathitch.scheduler.log.JobSnapshot
 import cleathitch.scheduler.log.LiveAttempt
 import cleathitch.scheduler.log.LogIndex
+import cleathitch.scheduler.log.LogKeys
 import cleathitch.scheduler.log.LogRecord
+import cleathitch.scheduler.log.StoredFinishedJobs
+import cleathitch.scheduler.log.StoredRecord
 import cleathitch.scheduler.log.StoredValue
 import cleathitch.scheduler.model.JobId
 import cleathitch.scheduler.model.JobKind
@@ -52,18 +54,18 @@
             listOf(rental, Event.RentalResolved("r-7-0"), Event.MachineTerminationRequested(machine), Event.MachineTerminated(machine)),
         ),
     )
-    private val done = byteArrayOf(5, -128)
-    private val jobCell = JobSnapshot(
-        91,
+    private val completedTasks = byteArrayOf(5, -128)
+    private val jobSnapshot = JobSnapshot(
+        LogIndex(91),
         fullSpec,
         1_764_000_000_123,
         true,
-        done,
+        completedTasks,
         listOf(LiveAttempt(3, 8, machine), LiveAttempt(5, 9, MachineId("vm-2"))),
         9,
     )
-    private val fleetCell = InventorySnapshot(92, listOf(rental), listOf(machine))
-    private val finalsCell = FinishedJobsSnapshot(listOf(JobId("j-1"), JobId("j-2")), listOf(JobId("j-3")))
+    private val inventorySnapshot = InventorySnapshot(LogIndex(92), listOf(rental), listOf(machine))
+    private val finishedJobs = FinishedJobsSnapshot(listOf(JobId("j-1"), JobId("j-2")), listOf(JobId("j-3")))
 
     private fun encoded(stored: StoredValue, parts: Int = 1): List<ByteArray> = LogCodec.encode(stored, parts).map(MessageCodec::encode)
 
@@ -72,33 +74,36 @@
     @TestFactory
     fun `records keep their form`() = records.map { (name, record) ->
         DynamicTest.dynamicTest(name) {
-            PinnedBytes.assertUnchanged(name, encoded(StoredValue.OfRecord(record)).single())
+            PinnedBytes.assertUnchanged(name, encoded(StoredValue.Record(record)).single())
             val snapshot = LogCodec.recoveredState(listOf(entry("r/0000000000000000091", name)))
-            assertEquals(listOf(LogIndex(91) to record), snapshot.records)
+            assertEquals(listOf(StoredRecord(LogIndex(91), record)), snapshot.records)
         }
     }
 
     @Test
     fun `a job in two parts with live attempts keeps its form`() {
-        val parts = encoded(StoredValue.OfJob(jobCell), parts = 2)
+        val parts = encoded(StoredValue.Job(jobSnapshot), parts = 2)
         parts.forEachIndexed { part, bytes -> PinnedBytes.assertUnchanged("job-part-$part", bytes) }
         val snapshot = LogCodec.recoveredState(List(2) { part -> entry("j/j-000412/$part", "job-part-$part") })
         val read = snapshot.jobs.single()
         assertEquals(2, read.parts)
-        assertArrayEquals(done, read.cell.done)
-        assertEquals(jobCell, read.cell.copy(done = done))
+        assertArrayEquals(completedTasks, read.snapshot.completedTasks)
+        assertEquals(jobSnapshot, read.snapshot.copy(completedTasks = completedTasks))
     }
 
     @Test
     fun `rentals and returns keep their form`() {
-        PinnedBytes.assertUnchanged("fleet", encoded(StoredValue.OfFleet(fleetCell)).single())
-        assertEquals(fleetCell, LogCodec.recoveredState(listOf(entry("fleet", "fleet"))).fleet)
+        PinnedBytes.assertUnchanged("fleet", encoded(StoredValue.Inventory(inventorySnapshot)).single())
+        assertEquals(inventorySnapshot, LogCodec.recoveredState(listOf(entry("fleet", "fleet"))).inventory)
     }
 
     @Test
     fun `final states keep their form`() {
-        PinnedBytes.assertUnchanged("finals", encoded(StoredValue.Finals(finalsCell)).single())
-        assertEquals(listOf(4L to finalsCell), LogCodec.recoveredState(listOf(entry("f/0000000000000000004", "finals"))).finals)
+        PinnedBytes.assertUnchanged("finals", encoded(StoredValue.FinishedJobs(finishedJobs)).single())
+        assertEquals(
+            listOf(StoredFinishedJobs(4, finishedJobs)),
+            LogCodec.recoveredState(listOf(entry("f/0000000000000000004", "finals"))).finishedJobs,
+        )
     }
 
     @Test
@@ -110,10 +115,10 @@
 
     @Test
     fun `keys keep their form`() {
-        assertEquals("head", DecisionLog.HEAD)
-        assertEquals("fleet", DecisionLog.FLEET)
-        assertEquals("r/0000000000000000091", DecisionLog.recordKey(LogIndex(91)))
-        assertEquals("f/0000000000000000004", DecisionLog.finalsKey(4))
-        assertEquals("j/j-000412", DecisionLog.jobKey(fullSpec.id))
+        assertEquals("head", LogKeys.HEAD)
+        assertEquals("fleet", LogKeys.INVENTORY)
+        assertEquals("r/0000000000000000091", LogKeys.record(LogIndex(91)))
+        assertEquals("f/0000000000000000004", LogKeys.finishedJobs(4))
+        assertEquals("j/j-000412", LogKeys.job(fullSpec.id))
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/CommitVisibilityTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/CommitVisibilityTest.kt
@@ -4,7 +4,7 @@
 import cleathitch.scheduler.api.Input
 import cleathitch.scheduler.api.JobState
 import cleathitch.scheduler.api.UserReply
-import cleathitch.scheduler.log.DecisionLog
+import cleathitch.scheduler.log.LogKeys
 import cleathitch.scheduler.simulation.SimulatedCluster
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -25,7 +25,7 @@
         at(nowMs + timings.trimMs)
         machine.ends()
         val archives = machine.reports().filterIsInstance<Effect.Write>().single().commit.changes.filter {
-            it.key.startsWith(DecisionLog.FINALS_PREFIX)
+            it.key.startsWith(LogKeys.FINISHED_JOBS_PREFIX)
         }
         assertEquals(1, archives.size) { "the transaction doesn't archive, so this test shows nothing" }
     }
--- a/src/test/kotlin/cleathitch/scheduler/FailoverTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FailoverTest.kt
@@ -6,6 +6,7 @@
 import cleathitch.scheduler.log.LiveAttempt
 import cleathitch.scheduler.log.LogIndex
 import cleathitch.scheduler.log.RecoveredState
+import cleathitch.scheduler.log.StoredJob
 import cleathitch.scheduler.model.AttemptId
 import cleathitch.scheduler.model.FencingToken
 import cleathitch.scheduler.model.JobId
@@ -26,12 +27,12 @@
         snapshot = RecoveredState(
             head = LogIndex(5),
             records = emptyList(),
-            fleet = null,
-            finals = emptyList(),
+            inventory = null,
+            finishedJobs = emptyList(),
             jobs = listOf(
-                RecoveredState.StoredJob(
+                StoredJob(
                     JobSnapshot(
-                        5,
+                        LogIndex(5),
                         SimulatedCluster.job(1, tasks = 1),
                         0,
                         false,
--- a/src/test/kotlin/cleathitch/scheduler/SchedulerHarness.kt
+++ b/src/test/kotlin/cleathitch/scheduler/SchedulerHarness.kt
@@ -20,13 +20,14 @@
 import cleathitch.scheduler.simulation.SimulatedCluster
 import cleathitch.scheduler.simulation.StoredEntries
 import cleathitch.storage.LogCodec
+import cleathitch.storage.StoredSizeEstimator
 
 /** One engine that leads, whose commits succeed at once unless a test holds them, and what a test feeds it with. */
 abstract class SchedulerHarness(private var term: Long = 7, snapshot: RecoveredState = RecoveredState.EMPTY, maxCpus: Double? = null) {
     protected val type = MachineType("m4", 4.0, 0.0, 16.0, 50.0, 1.0, 1.0, 0.4, 5.0, listOf("a", "b"))
     protected val deployment = SimulatedCluster.standard.copy(teams = mapOf("red" to Team("red", 8.0, maxCpus, 0.0, null)))
     protected val timings = SchedulerTimings.of(deployment)
-    protected var scheduler = Scheduler(deployment, timings, Term(term), snapshot, ClockReading(0, 0), LogCodec)
+    protected var scheduler = Scheduler(deployment, timings, Term(term), snapshot, ClockReading(0, 0), StoredSizeEstimator)
         private set
     protected var nowMs = 0L
         private set
@@ -57,7 +58,7 @@
     private fun carryOut(commit: Commit): List<Effect> {
         commits += commit
         cells.apply(commit.changes)
-        return step(Input.CommitSucceeded(commit.seq, ++revision))
+        return step(Input.CommitSucceeded(commit.index, ++revision))
     }
 
     /** The state service takes what waits for it. */
@@ -72,7 +73,14 @@
         unanswered.clear()
         term = ++revision
         scheduler =
-            Scheduler(deployment, timings, Term(term), LogCodec.recoveredState(storedEntries()), ClockReading(nowMs, nowMs), LogCodec)
+            Scheduler(
+                deployment,
+                timings,
+                Term(term),
+                LogCodec.recoveredState(storedEntries()),
+                ClockReading(nowMs, nowMs),
+                StoredSizeEstimator,
+            )
         return step(Input.LeaseRenewed(Long.MAX_VALUE / 2), Input.MachineTypesListed(listOf(type)))
     }
 
--- a/src/test/kotlin/cleathitch/scheduler/SchedulerTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/SchedulerTest.kt
@@ -18,7 +18,7 @@
 import cleathitch.scheduler.model.Term
 import cleathitch.scheduler.model.WorkerCommand
 import cleathitch.scheduler.simulation.SimulatedCluster
-import cleathitch.storage.LogCodec
+import cleathitch.storage.StoredSizeEstimator
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -32,7 +32,7 @@
         Term(7),
         RecoveredState.EMPTY,
         ClockReading(0, 0),
-        LogCodec,
+        StoredSizeEstimator,
     )
     private var nowMs = 0L
     private var revision = 7L
@@ -40,7 +40,7 @@
     private fun step(vararg commands: Input): List<Effect> = scheduler.handle(commands.toList(), ClockReading(nowMs, nowMs))
 
     private fun commit(effects: List<Effect>): List<Effect> = effects.filterIsInstance<Effect.Write>()
-        .flatMap { step(Input.CommitSucceeded(it.commit.seq, ++revision)) }
+        .flatMap { step(Input.CommitSucceeded(it.commit.index, ++revision)) }
 
     private fun report(sequenceNumber: Long, token: Long = 0, tasks: List<TaskStatus> = emptyList()) =
         Heartbeat(MachineId("vm-1"), "10.0.0.9:1", "m4", "a", false, 1, sequenceNumber, FencingToken(token), null, tasks)
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
@@ -9,8 +9,8 @@
 import cleathitch.scheduler.api.SchedulerTimings
 import cleathitch.scheduler.api.UserReply
 import cleathitch.scheduler.log.Commit
-import cleathitch.scheduler.log.DecisionLog
 import cleathitch.scheduler.log.Event
+import cleathitch.scheduler.log.LogKeys
 import cleathitch.scheduler.model.AttemptId
 import cleathitch.scheduler.model.ClockReading
 import cleathitch.scheduler.model.Deployment
@@ -32,7 +32,7 @@
 import cleathitch.scheduler.model.Team
 import cleathitch.scheduler.model.Term
 import cleathitch.scheduler.model.WorkerCommand
-import cleathitch.storage.LogCodec
+import cleathitch.storage.StoredSizeEstimator
 import cleathitch.workers.ForwardOutcome
 import cleathitch.workers.HeartbeatQueue
 import java.util.PriorityQueue
@@ -142,7 +142,7 @@
             heldUntil = steadyMs() + TTL_MS * 999 / 1000
             lastRenewal = nowMs
             inFlight = null
-            scheduler = Scheduler(deployment, timings, Term(term), state.snapshot(), clockReading(), LogCodec)
+            scheduler = Scheduler(deployment, timings, Term(term), state.snapshot(), clockReading(), StoredSizeEstimator)
             trace += "${nowMs / 1000.0} $name leads in term $term"
             take(Input.LeaseRenewed(heldUntil))
             take(Input.MachineTypesListed(listOf(type)))
@@ -248,7 +248,7 @@
                                     } else {
                                         inFlight = null
                                         head = result!!
-                                        take(Input.CommitSucceeded(commit.seq, result))
+                                        take(Input.CommitSucceeded(commit.index, result))
                                     }
                                 }
                             }
@@ -258,7 +258,7 @@
                 after(300, ::attempt)
             }
             inFlight = commit
-            val archives = commit.changes.any { it.key.startsWith(DecisionLog.FINALS_PREFIX) }
+            val archives = commit.changes.any { it.key.startsWith(LogKeys.FINISHED_JOBS_PREFIX) }
             if (!calm && archives && random.nextDouble() < weather.endsAtArchive) {
                 after(random.nextLong(TTL_MS)) { if (term == mine && inFlight === commit) kill() }
             } else {
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedKeyValueStore.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedKeyValueStore.kt
@@ -68,7 +68,7 @@
             cells.apply(commit.changes)
             headRevision = revision
         }
-        return headRevision.takeIf { cells.head == StoredValue.Head(commit.seq, Term(term)) }
+        return headRevision.takeIf { cells.head == StoredValue.Head(commit.index, Term(term)) }
     }
 
     /** Through the real codec, as a new leader would read it. */
--- a/src/test/kotlin/cleathitch/scheduler/simulation/StoredEntries.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/StoredEntries.kt
@@ -1,7 +1,7 @@
 package cleathitch.scheduler.simulation
 
 import cleathitch.protocol.KeyValueStoreProtocol
-import cleathitch.scheduler.log.DecisionLog
+import cleathitch.scheduler.log.LogKeys
 import cleathitch.scheduler.log.Mutation
 import cleathitch.scheduler.log.StoredValue
 import cleathitch.storage.LogCodec
@@ -11,7 +11,7 @@
 class StoredEntries {
     private val cells = TreeMap<String, Mutation.Put>()
 
-    val head get() = cells[DecisionLog.HEAD]?.value as? StoredValue.Head
+    val head get() = cells[LogKeys.HEAD]?.value as? StoredValue.Head
 
     /** Carries out the changes of a commit. */
     fun apply(changes: List<Mutation>) {
@@ -20,7 +20,7 @@
                 is Mutation.Put -> cells[change.key] = change
                 // A cell's parts are kept together here, so each part's deletion is the cell's.
                 is Mutation.Delete -> cells.remove(
-                    if (change.key.startsWith(DecisionLog.JOB_PREFIX)) change.key.substringBeforeLast('/') else change.key,
+                    if (change.key.startsWith(LogKeys.JOB_PREFIX)) change.key.substringBeforeLast('/') else change.key,
                 )
             }
         }
@@ -29,7 +29,7 @@
     /** As a new leader reads them, at [revision]. */
     fun entries(revision: Long): List<KeyValueStoreProtocol.Entry> = cells.values.flatMap { put ->
         LogCodec.encode(put.value, put.parts).mapIndexed { part, value ->
-            KeyValueStoreProtocol.Entry(put.key + if (put.value is StoredValue.OfJob) "/$part" else "", value, revision)
+            KeyValueStoreProtocol.Entry(put.key + if (put.value is StoredValue.Job) "/$part" else "", value, revision)
         }
     }
 }
