--- a/src/main/kotlin/cleathitch/leader/EffectExecutor.kt
+++ b/src/main/kotlin/cleathitch/leader/EffectExecutor.kt
@@ -65,7 +65,7 @@
 
     private fun commit(effect: Effect.Write) = scope.launch {
         when (val result = storage.commit(effect.commit)) {
-            is CommitResult.Committed -> enqueue(Input.CommitSucceeded(effect.commit.seq, result.revision))
+            is CommitResult.Committed -> enqueue(Input.CommitSucceeded(effect.commit.index, result.revision))
             is CommitResult.Refused -> stepDown(Effect.StepDown("compare_and_swap_refused: ${result.failedKeys} changed"))
         }
     }
--- a/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
+++ b/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
@@ -13,8 +13,8 @@
 import cleathitch.scheduler.model.ImageCache
 import cleathitch.scheduler.model.MachineId
 import cleathitch.scheduler.model.MachineType
-import cleathitch.storage.LogCodec
 import cleathitch.storage.LogStorage
+import cleathitch.storage.StoredSizeEstimator
 import kotlinx.coroutines.channels.Channel
 import kotlinx.coroutines.coroutineScope
 import kotlinx.coroutines.delay
@@ -118,7 +118,7 @@
         term,
         recovered,
         clocks.clockReading(),
-        LogCodec,
+        StoredSizeEstimator,
         logLevel = when {
             log.isDebugEnabled -> LogLevel.DEBUG
             log.isInfoEnabled -> LogLevel.INFO
--- a/src/main/kotlin/cleathitch/scheduler/LogWriter.kt
+++ b/src/main/kotlin/cleathitch/scheduler/LogWriter.kt
@@ -58,30 +58,30 @@
      * Half of a second's budget is never spent on trimming, so that a trim doesn't delay a decision.
      */
     fun write() {
-        if (!decisionLog.idle) return
+        if (!decisionLog.isIdle) return
         val nowMs = context.now.steadyMs
         if (nowMs - lastTrimMs >= timings.trimMs) {
             lastTrimMs = nowMs
             isTrimming = true
         }
-        val allowed = budget.left(nowMs)
+        val allowed = budget.available(nowMs)
         val trimChanges = if (isTrimming) minOf(deployment.stateTxnOps / 2, allowed - budget.burst / 2) else 0
         val mayTrim = trimChanges >= MIN_TRIM_CHANGES
         val isDue = isUrgent || nowMs - lastWriteMs >= timings.roundMs
-        val mayWriteEvents = decisionLog.pending && isDue && allowed >= EVENT_COMMIT_CHANGES
+        val mayWriteEvents = decisionLog.hasPendingRecords && isDue && allowed >= EVENT_COMMIT_CHANGES
         if (!mayWriteEvents && !mayTrim) return
-        val commit = decisionLog.next(term, jobTable, inventory::snapshot, if (mayTrim) trimChanges else 0) ?: return
-        if (mayTrim) isTrimming = decisionLog.trimCutShort
-        budget.take(commit.changes.sumOf { if (it is Mutation.Put) it.parts else 1 })
+        val commit = decisionLog.nextCommit(term, jobTable, inventory::snapshot, if (mayTrim) trimChanges else 0) ?: return
+        if (mayTrim) isTrimming = decisionLog.isCompactionIncomplete
+        budget.consume(commit.changes.sumOf { if (it is Mutation.Put) it.parts else 1 })
         lastWriteMs = nowMs
-        isUrgent = decisionLog.pending
+        isUrgent = decisionLog.hasPendingRecords
         writeSinceMs = nowMs
         context.emit(Effect.Write(commit))
     }
 
     /** The commit in flight, up to record [seq], is durable. */
     fun recordCommit(seq: LogIndex) {
-        decisionLog.committed(seq, jobTable)
+        decisionLog.recordCommitted(seq, jobTable)
         writeSinceMs = null
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -17,6 +17,7 @@
 import cleathitch.scheduler.log.Event
 import cleathitch.scheduler.log.LogIndex
 import cleathitch.scheduler.log.RecoveredState
+import cleathitch.scheduler.log.SizeEstimator
 import cleathitch.scheduler.machines.CommandDispatcher
 import cleathitch.scheduler.machines.DirectReachability
 import cleathitch.scheduler.machines.FailureDetector
@@ -47,7 +48,7 @@
     term: Term,
     recovered: RecoveredState,
     start: ClockReading,
-    sizes: DecisionLog.Sizes,
+    sizes: SizeEstimator,
     /** Log lines less important than this aren't even formatted: their text for each step of each task would cost time. */
     private val logLevel: LogLevel = LogLevel.DEBUG,
 ) {
--- a/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
+++ b/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
@@ -56,7 +56,7 @@
 
     /** Runs a round once a period, unless the log is behind: a decision that waits for a commit could go stale. */
     fun runIfDue() {
-        if (context.now.steadyMs - lastRoundMs < timings.roundMs || !decisionLog.idle || decisionLog.backlog > MAX_BACKLOG) return
+        if (context.now.steadyMs - lastRoundMs < timings.roundMs || !decisionLog.isIdle || decisionLog.pendingRecordCount > MAX_BACKLOG) return
         lastRoundMs = context.now.steadyMs
         val waiting = jobTable.jobs.filter { it.waiting > 0 && it.retryNotBeforeMs <= context.now.steadyMs }
         if (waiting.isEmpty()) demands = emptyList() else run(waiting)
@@ -132,7 +132,7 @@
             }
             // The tasks of a gang find each other by the attempt number, so all share one.
             val number = job.lastNumber + 1
-            decisionLog.keepTogether(machines.mapIndexed { index, machine -> Event.AttemptStarted(job.id, index, number, machine.id) })
+            decisionLog.reserveRoomFor(machines.mapIndexed { index, machine -> Event.AttemptStarted(job.id, index, number, machine.id) })
             for (machine in machines) start(job, job.nextWaiting() ?: return, machine, number)
         }
     }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
@@ -119,7 +119,7 @@
     }
 
     /** What an earlier leader recorded has no entry here, and is committed. */
-    private fun isRecorded(name: String) = (recordByName[name] ?: LogIndex.NONE) <= decisionLog.committed
+    private fun isRecorded(name: String) = (recordByName[name] ?: LogIndex.NONE) <= decisionLog.committedIndex
 
     private companion object {
         const val MS_PER_S = 1000
--- a/src/main/kotlin/cleathitch/scheduler/capacity/DemandForecast.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/DemandForecast.kt
@@ -1,11 +1,11 @@
 package cleathitch.scheduler.capacity
 
+import cleathitch.scheduler.model.RESOURCE_TOLERANCE
 import cleathitch.scheduler.jobs.JobTable
 import cleathitch.scheduler.machines.Inventory
 import cleathitch.scheduler.model.JobKind
 import cleathitch.scheduler.model.JobSpec
 import cleathitch.scheduler.model.PlacementClass
-import cleathitch.scheduler.model.RESOURCE_TOLERANCE
 import kotlin.math.ceil
 
 /**
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
@@ -36,10 +36,6 @@
     var finishedSeq: LogIndex? = null
         private set
 
-    /** How many parts the job's snapshot has in the key-value store. */
-    var partsWritten = 0
-        private set
-
     /** Tasks that have failed by themselves since the last that completed. */
     private var consecutiveFailures = 0
 
@@ -92,11 +88,6 @@
         consecutiveFailures = 0
     }
 
-    /** The job's snapshot stands in the key-value store in as many parts. */
-    fun recordPartsWritten(parts: Int) {
-        partsWritten = parts
-    }
-
     internal fun recordCancellation(seq: LogIndex) {
         cancelledSeq = seq
     }
--- a/src/main/kotlin/cleathitch/scheduler/jobs/JobTable.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/JobTable.kt
@@ -1,11 +1,13 @@
 package cleathitch.scheduler.jobs
 
+import cleathitch.scheduler.log.CompactedJob
 import cleathitch.scheduler.log.Event
 import cleathitch.scheduler.log.FinalState
 import cleathitch.scheduler.log.FinishedJobsSnapshot
 import cleathitch.scheduler.log.JobSnapshot
 import cleathitch.scheduler.log.LiveAttempt
 import cleathitch.scheduler.log.LogIndex
+import cleathitch.scheduler.log.LoggedJobs
 import cleathitch.scheduler.model.AttemptId
 import cleathitch.scheduler.model.JobId
 import cleathitch.scheduler.model.MachineId
@@ -15,7 +17,7 @@
  * All jobs, their completed tasks and their live attempts: a function of the events applied. Confined to the leader's
  * event loop.
  */
-class JobTable {
+class JobTable : LoggedJobs {
     private val jobsById = LinkedHashMap<JobId, Job>()
 
     /** The jobs of which nothing is kept but how they ended. */
@@ -51,48 +53,57 @@
     /** Applies an event, which is in record [seq]. */
     fun apply(event: Event.JobEvent, seq: LogIndex) {
         when (event) {
-            is Event.JobAccepted -> jobsById.getOrPut(event.job) { Job(event.spec, event.wallMs, seq) }
+            is Event.JobAccepted -> jobsById.getOrPut(event.job) { Job(event.spec, event.acceptedAtWallMs, seq) }
             is Event.JobCancelled -> jobsById[event.job]?.let { if (!it.isOver) it.recordCancellation(seq) }
             is Event.AttemptStarted -> jobsById[event.job]?.let {
-                addAttempt(Attempt(AttemptId(TaskId(event.job, event.index), event.number), it, event.machine, seq))
+                addAttempt(Attempt(AttemptId(TaskId(event.job, event.taskIndex), event.number), it, event.machine, seq))
             }
-            is Event.AttemptTerminated -> jobsById[event.job]?.liveAttempts?.get(event.index)
+            is Event.AttemptTerminated -> jobsById[event.job]?.liveAttempts?.get(event.taskIndex)
                 ?.takeIf { it.id.number == event.number }?.let(::removeAttempt)
             is Event.TaskCompleted -> jobsById[event.job]?.let { job ->
-                job.recordCompletion(event.index, seq)
-                job.liveAttempts[event.index]?.takeIf { it.id.number == event.number }?.let(::removeAttempt)
+                job.recordCompletion(event.taskIndex, seq)
+                job.liveAttempts[event.taskIndex]?.takeIf { it.id.number == event.number }?.let(::removeAttempt)
             }
         }
     }
 
     /** Takes over a job's snapshot. */
     fun restore(snapshot: JobSnapshot) {
-        val seq = LogIndex(snapshot.upTo)
-        val job = Job(snapshot.spec, snapshot.wallMs, seq)
-        job.restoreProgress(snapshot.done, snapshot.lastNumber)
-        if (snapshot.cancelled) job.recordCancellation(seq)
+        val job = Job(snapshot.spec, snapshot.acceptedAtWallMs, snapshot.lastIncludedIndex)
+        job.restoreProgress(snapshot.completedTasks, snapshot.lastAttemptNumber)
+        if (snapshot.isCancelled) job.recordCancellation(snapshot.lastIncludedIndex)
         jobsById[job.id] = job
-        snapshot.live.forEach {
-            addAttempt(Attempt(AttemptId(TaskId(job.id, it.index), it.number), job, it.machine, seq))
+        snapshot.liveAttempts.forEach {
+            addAttempt(Attempt(AttemptId(TaskId(job.id, it.taskIndex), it.number), job, it.machine, snapshot.lastIncludedIndex))
         }
     }
 
     /** Takes over a snapshot of archived jobs. */
     fun restore(snapshot: FinishedJobsSnapshot) {
-        snapshot.done.forEach { finalStates[it] = FinalState.DONE }
+        snapshot.completed.forEach { finalStates[it] = FinalState.DONE }
         snapshot.cancelled.forEach { finalStates[it] = FinalState.CANCELLED }
     }
 
-    /** Forgets everything of a job that is over but its final state. */
-    fun archive(job: Job) {
-        check(job.isOver && job.liveAttempts.isEmpty()) { "job ${job.id} isn't over" }
-        finalStates[job.id] = if (job.isCancelled) FinalState.CANCELLED else FinalState.DONE
-        jobsById.remove(job.id)
+    override fun isStartUnobserved(attempt: AttemptId): Boolean = attempt(attempt)?.let { it.observedState == null } ?: false
+
+    override fun compact(id: JobId, lastIncludedIndex: LogIndex): CompactedJob {
+        val job = jobsById[id] ?: return CompactedJob.Archived
+        if (isArchivable(job)) return CompactedJob.Finished(id, finalStateOf(job))
+        return CompactedJob.Open(snapshotOf(job, lastIncludedIndex))
+    }
+
+    override fun archive(id: JobId) {
+        val job = checkNotNull(jobsById[id]) { "job $id is archived already" }
+        check(isArchivable(job)) { "job $id isn't over" }
+        finalStates[id] = finalStateOf(job)
+        jobsById.remove(id)
     }
 
-    /** The job's snapshot, as of record [upTo]. */
-    fun cellOf(job: Job, upTo: LogIndex) = JobSnapshot(
-        upTo.number,
+    private fun isArchivable(job: Job) = job.isOver && job.liveAttempts.isEmpty()
+    private fun finalStateOf(job: Job) = if (job.isCancelled) FinalState.CANCELLED else FinalState.DONE
+
+    private fun snapshotOf(job: Job, lastIncludedIndex: LogIndex) = JobSnapshot(
+        lastIncludedIndex,
         job.spec,
         job.wallMs,
         job.isCancelled,
--- a/src/main/kotlin/cleathitch/scheduler/machines/CommandDispatcher.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/CommandDispatcher.kt
@@ -87,7 +87,7 @@
 
     /** Sends the stops whose records are committed. */
     fun sendCommittedStops() {
-        while (stopsAwaitingCommit.isNotEmpty() && stopsAwaitingCommit.firstKey() <= decisionLog.committed) {
+        while (stopsAwaitingCommit.isNotEmpty() && stopsAwaitingCommit.firstKey() <= decisionLog.committedIndex) {
             // Attempts that don't run yet go first: their stops can still forestall the starts.
             stopsAwaitingCommit.pollFirstEntry().value.sortedBy { it.observedState == TaskState.RUNNING }.mapTo(pendingStops) { it.machine }
         }
@@ -105,7 +105,7 @@
 
     /** Pushes to the machines whose records are committed. */
     fun sendCommittedPushes() {
-        val committed = pushesAwaitingCommit.filterKeys { it <= decisionLog.committed }
+        val committed = pushesAwaitingCommit.filterKeys { it <= decisionLog.committedIndex }
         committed.keys.forEach(pushesAwaitingCommit::remove)
         committed.values.flatMapTo(LinkedHashSet()) { it }.forEach { id -> inventory.machines[id]?.let(::push) }
     }
@@ -117,7 +117,7 @@
         for (command in commands) {
             context.logEvent(LogLevel.DEBUG) {
                 "$command to machine ${machine.id} session ${machine.incarnation} under version $token; " +
-                    "records up to ${decisionLog.committed} are committed"
+                    "records up to ${decisionLog.committedIndex} are committed"
             }
             if (command is WorkerCommand.Start) {
                 jobTable.attempt(command.attempt)?.recordSent(token, machine.incarnation)
--- a/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
@@ -62,11 +62,11 @@
     }
 
     /** The part of the inventory that the log keeps, after the record [upTo]. */
-    fun snapshot(upTo: LogIndex) = InventorySnapshot(upTo.number, rentalsByRequest.values.toList(), terminating.toList())
+    fun snapshot(upTo: LogIndex) = InventorySnapshot(upTo, rentalsByRequest.values.toList(), terminating.toList())
 
     fun restore(snapshot: InventorySnapshot) {
-        snapshot.rentals.forEach { rentalsByRequest[it.request] = it }
-        terminating += snapshot.retired
+        snapshot.pendingRentals.forEach { rentalsByRequest[it.request] = it }
+        terminating += snapshot.terminatingMachines
     }
 
     /** The machine of this id; one that isn't known yet is added as starting, or as retired if its termination is recorded. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
@@ -30,7 +30,7 @@
     /** Drops the committed outcomes of attempts that the machine's newest heartbeat doesn't list any more. */
     fun dropSettledOutcomes(machine: MachineId, listedAttempts: Set<AttemptId>) {
         val outcomes = outcomeRecords[machine] ?: return
-        outcomes.entries.removeAll { (id, seq) -> id !in listedAttempts && seq <= decisionLog.committed }
+        outcomes.entries.removeAll { (id, seq) -> id !in listedAttempts && seq <= decisionLog.committedIndex }
         if (outcomes.isEmpty()) outcomeRecords.remove(machine)
     }
 
@@ -83,16 +83,16 @@
         // Nothing runs yet, but the stop's token shuts out a start that is still in flight.
         attempt.stopCause != null ->
             WorkerCommand.Stop(attempt.id, 0.0).takeIf { attempt.newestStartToken != null && mayStop(attempt) }
-        attempt.startSeq <= decisionLog.committed && machine.state == MachineState.UP -> WorkerCommand.Start(attempt.id)
+        attempt.startSeq <= decisionLog.committedIndex && machine.state == MachineState.UP -> WorkerCommand.Start(attempt.id)
         else -> null
     }
 
     private fun isOutcomeCommitted(machine: Machine, attempt: AttemptId) =
-        (outcomeRecords[machine.id]?.get(attempt) ?: LogIndex.NONE) <= decisionLog.committed
+        (outcomeRecords[machine.id]?.get(attempt) ?: LogIndex.NONE) <= decisionLog.committedIndex
 
     /** The stop of a cancelled attempt waits for its record: it couldn't be taken back if the record is never committed. */
     private fun mayStop(attempt: Attempt) = attempt.stopCause != StopCause.CANCELLED ||
-        (attempt.job.cancelledSeq ?: attempt.job.finishedSeq ?: LogIndex.NONE) <= decisionLog.committed
+        (attempt.job.cancelledSeq ?: attempt.job.finishedSeq ?: LogIndex.NONE) <= decisionLog.committedIndex
 
     private fun stopOf(attempt: Attempt, state: TaskState): WorkerCommand? {
         val spec = attempt.job.spec
--- a/src/main/kotlin/cleathitch/scheduler/model/PlacementClass.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/PlacementClass.kt
@@ -1,8 +1,8 @@
 package cleathitch.scheduler.model
 
-import kotlinx.serialization.Serializable
 import kotlin.math.floor
 import kotlin.math.min
+import kotlinx.serialization.Serializable
 
 /**
  * Everything of a job that decides where its tasks may run. Jobs of one class are interchangeable to the placement: a machine
--- a/src/test/kotlin/cleathitch/scheduler/simulation/EventQueue.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/EventQueue.kt
@@ -1,5 +1,6 @@
 package cleathitch.scheduler.simulation
 
+import cleathitch.scheduler.log.Event
 import java.util.PriorityQueue
 
 /** Virtual time: events run in the order of their times, and events of the same time in the order in which they were scheduled. */
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCommits.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCommits.kt
@@ -2,7 +2,7 @@
 
 import cleathitch.scheduler.api.Input
 import cleathitch.scheduler.log.Commit
-import cleathitch.scheduler.log.DecisionLog
+import cleathitch.scheduler.log.LogKeys
 
 /** Carries a leader's commits to the key-value store, and repeats each until its answer arrives or the term ends. */
 class SimulatedCommits(private val cluster: SimulatedCluster, private val leader: SimulatedController) {
@@ -18,7 +18,7 @@
     fun write(commit: Commit) {
         val term = leader.term
         inFlight = commit
-        val archives = commit.changes.any { it.key.startsWith(DecisionLog.FINALS_PREFIX) }
+        val archives = commit.changes.any { it.key.startsWith(LogKeys.FINISHED_JOBS_PREFIX) }
         if (!cluster.isCalm && archives && cluster.random.nextDouble() < cluster.faults.killsBeforeArchive) {
             val killAfterMs = cluster.random.nextLong(SimulatedCluster.LEASE_TTL_MS)
             cluster.events.after(killAfterMs) { if (leader.term == term && inFlight === commit) leader.kill() }
@@ -52,7 +52,7 @@
         if (revision == null) return leader.resign()
         inFlight = null
         headRevision = revision
-        leader.handle(Input.CommitSucceeded(commit.seq, revision))
+        leader.handle(Input.CommitSucceeded(commit.index, revision))
     }
 
     private companion object {
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedController.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedController.kt
@@ -11,7 +11,7 @@
 import cleathitch.scheduler.model.MachineId
 import cleathitch.scheduler.model.Term
 import cleathitch.scheduler.model.WorkerCommand
-import cleathitch.storage.LogCodec
+import cleathitch.storage.StoredSizeEstimator
 import cleathitch.workers.HeartbeatQueue
 
 /**
@@ -128,7 +128,7 @@
         commits.begin(store.headRevision)
         renewedAtMs = events.nowMs
         val leaseEndMs = steadyMs() + TRUSTED_LEASE_MS
-        scheduler = Scheduler(cluster.deployment, cluster.timings, Term(term), store.snapshot(), clockReading(), LogCodec)
+        scheduler = Scheduler(cluster.deployment, cluster.timings, Term(term), store.snapshot(), clockReading(), StoredSizeEstimator)
         cluster.log("$name leads in term $term")
         handle(Input.LeaseRenewed(leaseEndMs))
         handle(Input.MachineTypesListed(listOf(cluster.machineType)))
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedKeyValueStore.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedKeyValueStore.kt
@@ -68,7 +68,7 @@
             stored.apply(commit.changes)
             headRevision = revision
         }
-        return headRevision.takeIf { stored.head == StoredValue.Head(commit.seq, Term(term)) }
+        return headRevision.takeIf { stored.head == StoredValue.Head(commit.index, Term(term)) }
     }
 
     /** What a new leader reads, through the real codec. */
