--- a/src/main/kotlin/cleathitch/cloud/CloudClient.kt
+++ b/src/main/kotlin/cleathitch/cloud/CloudClient.kt
@@ -29,7 +29,9 @@
 ) {
     private val client = PooledHttpClient(vertx, "cloud", maxConnections = 4, meters)
 
-    suspend fun types(): List<MachineType>? = read(call(HttpMethod.GET, "/flavors", null).answerWith(200)) { CloudProtocol.types(it.body) }
+    suspend fun types(): List<MachineType>? = read(call(HttpMethod.GET, "/flavors", null).answerWith(200)) {
+        CloudProtocol.machineTypes(it.body)
+    }
 
     /** All machines, or null if the list couldn't be read to its end. */
     suspend fun machines(): List<ListedMachine>? {
@@ -38,18 +40,19 @@
         while (true) {
             val since = if (after == null) "" else "&since=$after"
             val answer = call(HttpMethod.GET, "/hosts?most=$PAGE$since", null).answerWith(200)
-            val page = read(answer) { processingTimes.measure(ProcessingStage.MACHINE_LIST) { CloudProtocol.page(it.body) } } ?: return null
+            val page =
+                read(answer) { processingTimes.measure(ProcessingStage.MACHINE_LIST) { CloudProtocol.machinePage(it.body) } } ?: return null
             all += page.machines
             after = page.machines.lastOrNull()?.machine?.text
-            if (!page.more || after == null) return all
+            if (!page.hasMore || after == null) return all
         }
     }
 
     suspend fun rent(asked: Event.RentalRequested): RentalAnswer {
-        val answer = call(HttpMethod.POST, "/hosts", CloudProtocol.rental(asked)) as? CallResult.Answered
+        val answer = call(HttpMethod.POST, "/hosts", CloudProtocol.rentalRequest(asked)) as? CallResult.Answered
         return read(answer) {
             when {
-                it.status == 200 -> RentalAnswer.Rented(CloudProtocol.rented(it.body))
+                it.status == 200 -> RentalAnswer.Rented(CloudProtocol.rentedMachines(it.body))
                 it.status == 400 -> RentalAnswer.Rejected
                 it.status == 503 && CloudProtocol.isNoCapacity(it.body) -> RentalAnswer.NoCapacity
                 else -> RentalAnswer.Unknown
@@ -59,7 +62,7 @@
 
     /** True once the machines are surely gone. */
     suspend fun giveBack(machines: List<MachineId>): Boolean =
-        call(HttpMethod.POST, "/hosts/return", CloudProtocol.returns(machines)).answerWith(200) != null
+        call(HttpMethod.POST, "/hosts/return", CloudProtocol.terminationRequest(machines)).answerWith(200) != null
 
     private suspend fun call(method: HttpMethod, path: String, body: ByteArray?): CallResult {
         budget.take()
--- a/src/main/kotlin/cleathitch/controller/Controller.kt
+++ b/src/main/kotlin/cleathitch/controller/Controller.kt
@@ -280,13 +280,13 @@
             val reply = peers.ask(address, PeerRequest.ForwardUserRequest(method, path, body), FORWARD_MS).reply
             if (reply != null) return HttpReply(reply.status, reply.body, reply.retryAfterS)
         }
-        return UserProtocol.elsewhere("no way to the leader")
+        return UserProtocol.unavailableHere("no way to the leader")
     }
 
     /** A poll that came to a follower: its leader is asked together with others. */
     private suspend fun poll(job: JobId): HttpReply {
         val reply = if (otherLeader() == null || batches.leaderUnreachable) null else batches.status(job)
-        return reply?.let(UserProtocol::reply) ?: UserProtocol.elsewhere("no way to the leader")
+        return reply?.let(UserProtocol::reply) ?: UserProtocol.unavailableHere("no way to the leader")
     }
 
     private fun isUserPath(path: String): Boolean {
@@ -313,9 +313,9 @@
     private suspend fun workerReport(body: ByteArray): HttpReply {
         // Right after an election the whole fleet comes at once; what needs no look at the report gets none.
         if (leading?.ready == false || leading == null && leader == null) return HttpReply(503)
-        if (leading == null && batches.leaderUnreachable) return HttpReply(421, WorkerProtocol.elsewhere(leader))
+        if (leading == null && batches.leaderUnreachable) return HttpReply(421, WorkerProtocol.redirect(leader))
         val report = try {
-            services.processingTimes.measure(ProcessingStage.HEARTBEAT_DECODING) { WorkerProtocol.report(body) }
+            services.processingTimes.measure(ProcessingStage.HEARTBEAT_DECODING) { WorkerProtocol.heartbeat(body) }
         } catch (e: MalformedMessageException) {
             log.error("a garbled report: {}", e.message)
             return HttpReply(400, UserProtocol.error(e.message.orEmpty()))
@@ -329,13 +329,13 @@
 
     private suspend fun reportToUs(mine: LeaderTerm, report: Heartbeat): HttpReply {
         distribution.followerFor(report.machine, reachableFollowers(), clocks.steadyMs())?.let {
-            return HttpReply(421, WorkerProtocol.elsewhere(it))
+            return HttpReply(421, WorkerProtocol.redirect(it))
         }
         val answer = mine.report(report)
         return when {
             answer != null -> HttpReply(200, WorkerProtocol.answer(answer.token, answer.commands))
             leading === mine -> HttpReply(503)
-            else -> HttpReply(421, WorkerProtocol.elsewhere(leader.takeIf { it != settings.member }))
+            else -> HttpReply(421, WorkerProtocol.redirect(leader.takeIf { it != settings.member }))
         }
     }
 
--- a/src/main/kotlin/cleathitch/election/LeaderElection.kt
+++ b/src/main/kotlin/cleathitch/election/LeaderElection.kt
@@ -3,8 +3,8 @@
 import cleathitch.protocol.KeyValueStoreProtocol
 import cleathitch.protocol.MalformedMessageException
 import cleathitch.protocol.MessageCodec
-import cleathitch.protocol.text
-import cleathitch.protocol.whole
+import cleathitch.protocol.requiredLong
+import cleathitch.protocol.requiredText
 import cleathitch.scheduler.api.SchedulerTimings
 import cleathitch.scheduler.model.Term
 import cleathitch.storage.CompareAndSwapResult
@@ -143,7 +143,7 @@
     private class Holder(val member: String, val incarnation: String, val lease: Long) {
         companion object {
             fun of(entry: KeyValueStoreProtocol.Entry): Holder? = try {
-                Holder(entry.value.text("member"), entry.value.text("incarnation"), entry.value.whole("lease"))
+                Holder(entry.value.requiredText("member"), entry.value.requiredText("incarnation"), entry.value.requiredLong("lease"))
             } catch (_: MalformedMessageException) {
                 null
             }
--- a/src/main/kotlin/cleathitch/protocol/CloudProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/CloudProtocol.kt
@@ -8,56 +8,66 @@
 import cleathitch.scheduler.model.Offer
 import com.fasterxml.jackson.databind.JsonNode
 
-/** What the cloud and the controllers say to each other. */
+/** The cloud's messages. Every decoding function throws [MalformedMessageException] for a body that isn't as the cloud's page says. */
 object CloudProtocol {
-    class Page(val machines: List<ListedMachine>, val more: Boolean)
+    private const val NO_CAPACITY = "no capacity"
 
-    fun types(body: ByteArray): List<MachineType> = MessageCodec.decodeMap(body).list("hornadas").map {
+    private val listedStates = mapOf(
+        "starting" to ListedState.STARTING,
+        "running" to ListedState.RUNNING,
+        "failed" to ListedState.FAILED,
+    )
+
+    /** A part of the list of machines, ordered by id; [hasMore] if another part follows. */
+    class MachinePage(val machines: List<ListedMachine>, val hasMore: Boolean)
+
+    /** Decodes the machine types that the cloud offers. */
+    fun machineTypes(body: ByteArray): List<MachineType> = MessageCodec.decodeMap(body).requiredList("hornadas").map {
         MachineType(
-            name = it.text("label"),
-            cpus = it.amount("vcpus"),
-            gpus = it.amount("gpus"),
-            memoryGb = it.amount("memoryGb"),
-            cacheGb = it.amount("localGb"),
-            fetchGbPerS = it.amount("fetchGbPerS"),
-            price = it.amount("rate"),
-            spotPrice = it.amount("spotPrice"),
-            bootS = it.amount("bootS"),
-            zones = it.texts("comarcas"),
+            name = it.requiredText("label"),
+            cpus = it.requiredDouble("vcpus"),
+            gpus = it.requiredDouble("gpus"),
+            memoryGb = it.requiredDouble("memoryGb"),
+            cacheGb = it.requiredDouble("localGb"),
+            fetchGbPerS = it.requiredDouble("fetchGbPerS"),
+            price = it.requiredDouble("rate"),
+            spotPrice = it.requiredDouble("spotPrice"),
+            bootS = it.requiredDouble("bootS"),
+            zones = it.requiredTexts("comarcas"),
         )
     }
 
-    fun rental(asked: Event.RentalRequested): ByteArray = MessageCodec.encode(
-        MessageCodec.newMap().put("alquiler", asked.request).put("hornada", asked.offer.type).put("comarca", asked.offer.zone)
-            .put("prestados", asked.offer.spot).put("number", asked.count),
+    /** Encodes a request for machines; the cloud treats a repetition with the same request id as the same rental. */
+    fun rentalRequest(rental: Event.RentalRequested): ByteArray = MessageCodec.encode(
+        MessageCodec.newMap().put("alquiler", rental.request).put("hornada", rental.offer.type).put("comarca", rental.offer.zone)
+            .put("prestados", rental.offer.spot).put("number", rental.count),
     )
 
-    fun rented(body: ByteArray): List<MachineId> = MessageCodec.decodeMap(body).texts("burros").map(::MachineId)
+    /** Decodes the ids of the machines that a rental got. */
+    fun rentedMachines(body: ByteArray): List<MachineId> = MessageCodec.decodeMap(body).requiredTexts("burros").map(::MachineId)
 
-    fun isNoCapacity(body: ByteArray): Boolean = MessageCodec.decodeMap(body).optionalText("error") == "no capacity"
+    /** True if a refused rental may succeed later: the zone has no machine of that type now. */
+    fun isNoCapacity(body: ByteArray): Boolean = MessageCodec.decodeMap(body).optionalText("error") == NO_CAPACITY
 
-    fun returns(machines: List<MachineId>): ByteArray {
+    /** Encodes a request to terminate [machines]. */
+    fun terminationRequest(machines: List<MachineId>): ByteArray {
         val map = MessageCodec.newMap()
         val list = map.putArray("burros")
         machines.forEach { list.add(it.text) }
         return MessageCodec.encode(map)
     }
 
-    fun page(body: ByteArray): Page {
+    /** Decodes one page of the list of machines. */
+    fun machinePage(body: ByteArray): MachinePage {
         val map = MessageCodec.decodeMap(body)
-        return Page(map.list("burros").map(::listed), map.bool("truncated"))
+        return MachinePage(map.requiredList("burros").map(::listed), map.requiredBoolean("truncated"))
     }
 
     private fun listed(node: JsonNode) = ListedMachine(
-        MachineId(node.text("nameId")),
-        node.text("addr"),
-        Offer(node.text("hornada"), node.text("comarca"), node.bool("prestados")),
-        when (val state = node.text("estado")) {
-            "starting" -> ListedState.STARTING
-            "running" -> ListedState.RUNNING
-            "failed" -> ListedState.FAILED
-            else -> throw MalformedMessageException("estado $state is unknown")
-        },
-        node.amount("heldS"),
+        MachineId(node.requiredText("nameId")),
+        node.requiredText("addr"),
+        Offer(node.requiredText("hornada"), node.requiredText("comarca"), node.requiredBoolean("prestados")),
+        node.requiredChoice("estado", listedStates),
+        node.requiredDouble("heldS"),
     )
 }
--- a/src/main/kotlin/cleathitch/protocol/WorkerProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/WorkerProtocol.kt
@@ -13,86 +13,93 @@
 import com.fasterxml.jackson.databind.JsonNode
 import com.fasterxml.jackson.databind.node.ObjectNode
 
-/** What workers and controllers say to each other. */
+/** The messages between workers and controllers. */
 object WorkerProtocol {
-    fun report(body: ByteArray): Heartbeat {
+    private val taskStates = mapOf(
+        "pulling" to TaskState.FETCHING,
+        "waiting" to TaskState.WAITING,
+        "running" to TaskState.RUNNING,
+        "flushing" to TaskState.SAVING,
+        "exited" to TaskState.EXITED,
+    )
+
+    private val exitReasons = mapOf(
+        "done" to ExitReason.DONE,
+        "halted" to ExitReason.STOPPED,
+        "error" to ExitReason.ERROR,
+        "no_room" to ExitReason.NO_ROOM,
+        "in_use" to ExitReason.BUSY,
+        "unknown" to ExitReason.UNKNOWN,
+        "peers" to ExitReason.PEERS_MISSING,
+        "alone" to ExitReason.PEERS_MISSING,
+    )
+
+    /** Decodes a worker's heartbeat; throws [MalformedMessageException] if it isn't as the workers' page says. */
+    fun heartbeat(body: ByteArray): Heartbeat {
         val map = MessageCodec.decodeMap(body)
         return Heartbeat(
-            machine = MachineId(map.text("burro")),
-            address = map.text("addr"),
-            type = map.text("hornada"),
-            zone = map.text("comarca"),
-            spot = map.bool("prestados"),
-            incarnation = map.whole("jornada"),
-            sequenceNumber = map.whole("folio"),
-            token = FencingToken(map.whole("vara")),
-            preemptionNoticeS = map.optionalAmount("avisoS"),
-            tasks = map.list("tareas").map(::task),
+            machine = MachineId(map.requiredText("burro")),
+            address = map.requiredText("addr"),
+            type = map.requiredText("hornada"),
+            zone = map.requiredText("comarca"),
+            spot = map.requiredBoolean("prestados"),
+            incarnation = map.requiredLong("jornada"),
+            sequenceNumber = map.requiredLong("folio"),
+            token = FencingToken(map.requiredLong("vara")),
+            preemptionNoticeS = map.optionalDouble("avisoS"),
+            tasks = map.requiredList("tareas").map(::taskStatus),
         )
     }
 
-    private fun task(node: JsonNode): TaskStatus {
-        val state = when (val name = node.text("estado")) {
-            "pulling" -> TaskState.FETCHING
-            "waiting" -> TaskState.WAITING
-            "running" -> TaskState.RUNNING
-            "flushing" -> TaskState.SAVING
-            "exited" -> TaskState.EXITED
-            else -> throw MalformedMessageException("estado $name is unknown")
-        }
+    private fun taskStatus(node: JsonNode): TaskStatus {
+        val state = node.requiredChoice("estado", taskStates)
         return TaskStatus(
-            AttemptId(taskId(node.text("tarea")), node.whole("intento")),
+            AttemptId(taskId(node.requiredText("tarea")), node.requiredLong("intento")),
             state,
-            if (state == TaskState.EXITED) exitReason(node.optionalText("motivo")) else null,
-            node.field("kept")?.booleanValue() ?: false,
+            if (state == TaskState.EXITED) exitReason(node) else null,
+            saved = node.optionalField("kept")?.booleanValue() ?: false,
         )
     }
 
-    private fun exitReason(name: String?) = when (name) {
-        "done" -> ExitReason.DONE
-        "halted" -> ExitReason.STOPPED
-        "error" -> ExitReason.ERROR
-        "no_room" -> ExitReason.NO_ROOM
-        "in_use" -> ExitReason.BUSY
-        "unknown" -> ExitReason.UNKNOWN
-        "peers", "alone" -> ExitReason.PEERS_MISSING
-        else -> null
-    }
+    /** Null for a reason that this version doesn't know. */
+    private fun exitReason(node: JsonNode): ExitReason? = exitReasons[node.optionalText("motivo")]
 
+    /** Reads `j-000412/3`: a job's id and the task's index in it. */
     private fun taskId(text: String): TaskId {
         val slash = text.lastIndexOf('/')
         val index = if (slash < 0) null else text.substring(slash + 1).toIntOrNull()
-        return TaskId(JobId(text.substring(0, maxOf(slash, 0))), index ?: throw MalformedMessageException("tarea $text isn't a task"))
+        if (index == null) throw MalformedMessageException("tarea $text isn't a task")
+        return TaskId(JobId(text.substring(0, slash)), index)
     }
 
+    /** Encodes the leader's answer to a heartbeat; it renews the worker's lease. */
     fun answer(token: FencingToken, commands: List<WorkerCommand>): ByteArray = MessageCodec.encode(commands(token, commands))
 
-    fun direct(token: FencingToken, incarnation: Long, commands: List<WorkerCommand>): ByteArray =
+    /** Encodes commands that go to a worker without a heartbeat of its own; the worker rejects them in another [incarnation]. */
+    fun directCommands(token: FencingToken, incarnation: Long, commands: List<WorkerCommand>): ByteArray =
         MessageCodec.encode(commands(token, commands).put("jornada", incarnation))
 
-    fun elsewhere(leader: String?): ByteArray = MessageCodec.encode(
-        MessageCodec.newMap().also {
-            if (leader !=
-                null
-            ) {
-                it.put("capataz", leader)
-            }
-        },
-    )
+    /** Encodes the answer that sends a worker to [member], or to any other node if that is null. */
+    fun redirect(member: String?): ByteArray {
+        val map = MessageCodec.newMap()
+        if (member != null) map.put("capataz", member)
+        return MessageCodec.encode(map)
+    }
 
     private fun commands(token: FencingToken, commands: List<WorkerCommand>): ObjectNode {
         val map = MessageCodec.newMap().put("vara", token.packed)
         val list = map.putArray("ordenes")
-        for (order in commands) {
-            val node = list.addObject()
-            when (order) {
-                is WorkerCommand.Start -> node.put("orden", "run")
-                is WorkerCommand.Stop -> node.put("orden", "stop")
-                is WorkerCommand.Forget -> node.put("orden", "clear")
-            }
-            node.put("tarea", order.attempt.task.toString()).put("intento", order.attempt.number)
-            if (order is WorkerCommand.Stop) node.put("graciaS", order.graceS)
-        }
+        commands.forEach { putCommand(list.addObject(), it) }
         return map
     }
+
+    private fun putCommand(node: ObjectNode, command: WorkerCommand) {
+        when (command) {
+            is WorkerCommand.Start -> node.put("orden", "run")
+            is WorkerCommand.Stop -> node.put("orden", "stop")
+            is WorkerCommand.Forget -> node.put("orden", "clear")
+        }
+        node.put("tarea", command.attempt.task.toString()).put("intento", command.attempt.number)
+        if (command is WorkerCommand.Stop) node.put("graciaS", command.graceS)
+    }
 }
--- a/src/main/kotlin/cleathitch/storage/LogCodec.kt
+++ b/src/main/kotlin/cleathitch/storage/LogCodec.kt
@@ -3,8 +3,8 @@
 import cleathitch.protocol.KeyValueStoreProtocol
 import cleathitch.protocol.MalformedMessageException
 import cleathitch.protocol.MessageCodec
-import cleathitch.protocol.text
-import cleathitch.protocol.whole
+import cleathitch.protocol.requiredLong
+import cleathitch.protocol.requiredText
 import cleathitch.scheduler.log.DecisionLog
 import cleathitch.scheduler.log.Event
 import cleathitch.scheduler.log.FinishedJobsSnapshot
@@ -78,7 +78,7 @@
         }
     }
 
-    fun head(node: JsonNode) = StoredValue.Head(LogIndex(node.whole("seq")), Term(node.whole("term")))
+    fun head(node: JsonNode) = StoredValue.Head(LogIndex(node.requiredLong("seq")), Term(node.requiredLong("term")))
 
     /** Puts together what stands under the deployment's keys, [entries] without their common prefix. */
     fun snapshot(entries: List<KeyValueStoreProtocol.Entry>): RecoveredState {
@@ -91,18 +91,18 @@
             val key = entry.key
             when {
                 key == DecisionLog.HEAD -> head = head(entry.value).seq
-                key == DecisionLog.FLEET -> fleet = decode(InventorySnapshot.serializer(), entry.value.text(FIELD))
+                key == DecisionLog.FLEET -> fleet = decode(InventorySnapshot.serializer(), entry.value.requiredText(FIELD))
                 key.startsWith(DecisionLog.RECORD_PREFIX) ->
                     records +=
-                        LogIndex(number(key, DecisionLog.RECORD_PREFIX)) to decode(LogRecord.serializer(), entry.value.text(FIELD))
+                        LogIndex(number(key, DecisionLog.RECORD_PREFIX)) to decode(LogRecord.serializer(), entry.value.requiredText(FIELD))
                 key.startsWith(DecisionLog.FINALS_PREFIX) ->
                     finals +=
-                        number(key, DecisionLog.FINALS_PREFIX) to decode(FinishedJobsSnapshot.serializer(), entry.value.text(FIELD))
+                        number(key, DecisionLog.FINALS_PREFIX) to decode(FinishedJobsSnapshot.serializer(), entry.value.requiredText(FIELD))
                 key.startsWith(DecisionLog.JOB_PREFIX) -> jobs.getOrPut(key.substringBeforeLast('/')) { ArrayList() } += entry
             }
         }
         val cells = jobs.values.map { parts ->
-            val text = parts.sortedBy { it.key.substringAfterLast('/').toInt() }.joinToString("") { it.value.text(FIELD) }
+            val text = parts.sortedBy { it.key.substringAfterLast('/').toInt() }.joinToString("") { it.value.requiredText(FIELD) }
             RecoveredState.StoredJob(decode(JobSnapshot.serializer(), text), parts.size)
         }
         return RecoveredState(head, records.sortedBy { it.first }, cells, fleet, finals)
--- a/src/main/kotlin/cleathitch/workers/WorkerClient.kt
+++ b/src/main/kotlin/cleathitch/workers/WorkerClient.kt
@@ -35,7 +35,7 @@
     /** The machine's report after the orders, whether it carried them out or not; null if none came. */
     private suspend fun push(push: Effect.SendCommands): Heartbeat? {
         val address = Address.parse(push.address) ?: return null
-        val body = WorkerProtocol.direct(push.token, push.incarnation, push.commands)
+        val body = WorkerProtocol.directCommands(push.token, push.incarnation, push.commands)
         val result = turns.withPermit { client.call(address, HttpMethod.POST, "/do", body, timeoutMs) }
         val answer = result.answerWith(200) ?: result.answerWith(409)
         return answer?.let { report(push.machine, it) }
@@ -48,7 +48,7 @@
     }
 
     private fun report(machine: MachineId, answer: CallResult.Answered): Heartbeat? = try {
-        WorkerProtocol.report(answer.body)
+        WorkerProtocol.heartbeat(answer.body)
     } catch (e: MalformedMessageException) {
         log.error("a garbled report from machine {}: {}", machine, e.message)
         null
--- a/src/test/kotlin/cleathitch/protocol/ProtocolCodecTest.kt
+++ b/src/test/kotlin/cleathitch/protocol/ProtocolCodecTest.kt
@@ -22,24 +22,24 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.TestFactory
 
-/** What workers, cloud, state service and peers send: read as the page says, and garbled messages told as such. */
+/** What workers, cloud, state service and peers send: read as the page says; garbled ones are rejected. */
 class ProtocolCodecTest {
     private val json = ObjectMapper()
     private fun node(text: String) = json.readTree(text) as ObjectNode
 
     /** A message, how it is read, and the fields without which it means nothing; `a.b` is a field of each item of list `a`. */
-    private class Row(val name: String, val text: String, val needed: List<String>, val read: (ByteArray) -> Any?)
+    private class MessageCase(val name: String, val text: String, val needed: List<String>, val read: (ByteArray) -> Any?)
 
-    private val rows = listOf(
-        Row(
-            "report",
+    private val messages = listOf(
+        MessageCase(
+            "heartbeat",
             """{"burro":"vm-000231","addr":"10.1.0.232:9000","hornada":"g8","comarca":"a","prestados":true,"jornada":1,"folio":88,"vara":41,
                 "avisoS":null,"tareas":[{"tarea":"j-000412/3","intento":2,"estado":"running"}]}""",
             listOf("burro", "addr", "hornada", "comarca", "prestados", "jornada", "folio", "vara", "tareas") +
                 listOf("tareas.tarea", "tareas.intento", "tareas.estado"),
-            WorkerProtocol::report,
+            WorkerProtocol::heartbeat,
         ),
-        Row(
+        MessageCase(
             "machine types",
             """{"hornadas":[{"label":"g8","vcpus":96,"gpus":8,"memoryGb":768,"localGb":200,"fetchGbPerS":1.0,"rate":12.0,"spotPrice":4.5,
                 "bootS":45,"comarcas":["a","b"]}]}""",
@@ -52,9 +52,9 @@
                 "hornadas.bootS",
                 "hornadas.comarcas",
             ),
-            CloudProtocol::types,
+            CloudProtocol::machineTypes,
         ),
-        Row(
+        MessageCase(
             "machines",
             """{"burros":[{"nameId":"vm-000231","addr":"10.1.0.232:9000","hornada":"g8","comarca":"a","prestados":true,"estado":"running",
                 "heldS":61.5}],"truncated":false}""",
@@ -68,29 +68,29 @@
                 "burros.estado",
                 "burros.heldS",
             ),
-            CloudProtocol::page,
+            CloudProtocol::machinePage,
         ),
-        Row("rental", """{"burros":["vm-000231"]}""", listOf("burros"), CloudProtocol::rented),
-        Row(
+        MessageCase("rental", """{"burros":["vm-000231"]}""", listOf("burros"), CloudProtocol::rentedMachines),
+        MessageCase(
             "keys",
             """{"entries":[{"k":"a/b","data":{"x":1},"retoque":412}],"truncated":true,"asiento":431}""",
             listOf("entries", "truncated", "asiento", "entries.k", "entries.data", "entries.retoque"),
             KeyValueStoreProtocol::page,
         ),
-        Row("revision", """{"asiento":432}""", listOf("asiento"), KeyValueStoreProtocol::revision),
-        Row("failed keys", """{"failed":["a/b"],"asiento":431}""", listOf("failed"), KeyValueStoreProtocol::failedKeys),
-        Row("lease", """{"arriendo":7}""", listOf("arriendo"), KeyValueStoreProtocol::lease),
+        MessageCase("revision", """{"asiento":432}""", listOf("asiento"), KeyValueStoreProtocol::revision),
+        MessageCase("failed keys", """{"failed":["a/b"],"asiento":431}""", listOf("failed"), KeyValueStoreProtocol::failedKeys),
+        MessageCase("lease", """{"arriendo":7}""", listOf("arriendo"), KeyValueStoreProtocol::lease),
     )
 
     @TestFactory
-    fun `each message is read, and without a needed field it is malformed`() = rows.flatMap { row ->
-        val good = DynamicTest.dynamicTest("${row.name} is read, with fields that nobody knows") {
-            row.read(MessageCodec.encode(node(row.text).put("later", 1)))
+    fun `each message is read, and without a needed field it is malformed`() = messages.flatMap { message ->
+        val good = DynamicTest.dynamicTest("${message.name} is read, with fields that nobody knows") {
+            message.read(MessageCodec.encode(node(message.text).put("later", 1)))
         }
-        listOf(good) + row.needed.flatMap { field ->
+        listOf(good) + message.needed.flatMap { field ->
             listOf("missing" to null, "of another type" to json.readTree("""[{"x":"y"}]""")).map { (how, value) ->
-                DynamicTest.dynamicTest("${row.name}: $field $how") {
-                    val broken = node(row.text)
+                DynamicTest.dynamicTest("${message.name}: $field $how") {
+                    val broken = node(message.text)
                     val (holder, name) = if ('.' in
                         field
                     ) {
@@ -99,15 +99,15 @@
                         broken to field
                     }
                     if (value == null) holder.remove(name) else holder.set<ObjectNode>(name, if (name == "data") json.nullNode() else value)
-                    assertThrows(MalformedMessageException::class.java) { row.read(MessageCodec.encode(broken)) }
+                    assertThrows(MalformedMessageException::class.java) { message.read(MessageCodec.encode(broken)) }
                 }
             }
         }
     }
 
     @TestFactory
-    fun `what isn't one whole map is malformed`() = rows.flatMap { row ->
-        val whole = MessageCodec.encode(node(row.text))
+    fun `what isn't one whole map is malformed`() = messages.flatMap { message ->
+        val whole = MessageCodec.encode(node(message.text))
         listOf(
             "empty" to ByteArray(0),
             "cut short" to whole.copyOf(whole.size - 1),
@@ -115,15 +115,17 @@
             "a list" to byteArrayOf(0x90.toByte()),
         )
             .map { (how, bytes) ->
-                DynamicTest.dynamicTest("${row.name}: $how") { assertThrows(MalformedMessageException::class.java) { row.read(bytes) } }
+                DynamicTest.dynamicTest("${message.name}: $how") {
+                    assertThrows(MalformedMessageException::class.java) { message.read(bytes) }
+                }
             }
     }
 
     @Test
     fun `states and reasons of tasks are read by their names`() {
-        fun task(fields: String) = WorkerProtocol.report(
+        fun task(fields: String) = WorkerProtocol.heartbeat(
             MessageCodec.encode(
-                node(rows[0].text).also {
+                node(messages[0].text).also {
                     (it.get("tareas") as ArrayNode).removeAll().add(node("""{"tarea":"j-000412/3","intento":2,$fields}"""))
                 },
             ),
@@ -140,9 +142,9 @@
     }
 
     @Test
-    fun `orders are written as the page shows them`() {
+    fun `commands are written as the page shows them`() {
         val id = AttemptId(TaskId(JobId("j-000412"), 4), 2)
-        val body = WorkerProtocol.direct(
+        val body = WorkerProtocol.directCommands(
             FencingToken(41),
             1,
             listOf(WorkerCommand.Start(id), WorkerCommand.Stop(id, 10.0), WorkerCommand.Forget(id)),
@@ -155,7 +157,7 @@
     }
 
     @Test
-    fun `peers understand each other, and garbled requests are told as such`() {
+    fun `peers understand each other, and garbled requests are rejected`() {
         val held = mapOf(
             MachineId("vm-1") to ImageCache(2, mapOf("a" to 1.5, "b" to 0.5)),
             MachineId("vm-2") to ImageCache(1, mapOf("b" to 0.5)),
