--- a/src/main/kotlin/cleathitch/cli/Application.kt
+++ b/src/main/kotlin/cleathitch/cli/Application.kt
@@ -1,6 +1,6 @@
 package cleathitch.cli
 
-import cleathitch.cloud.CallPacer
+import cleathitch.cloud.CallRateLimiter
 import cleathitch.cloud.CloudClient
 import cleathitch.config.OperatorSettings
 import cleathitch.config.Settings
@@ -53,11 +53,11 @@
         val services = LeaderDependencies(
             deployment,
             timings,
-            WorkerClient(vertx, timeoutMs = reportMs, probeMs = timings.probeGapMs, atOnce = direct, meters),
+            WorkerClient(vertx, commandTimeoutMs = reportMs, probeTimeoutMs = timings.probeGapMs, maxConcurrentCalls = direct, meters),
             CloudClient(
                 vertx,
                 settings.cloud,
-                CallPacer(deployment.cloudRps * (operator.cloudShare ?: CLOUD_SHARE), clocks::steadyMs),
+                CallRateLimiter(deployment.cloudRps * (operator.cloudShare ?: CLOUD_SHARE), clocks::steadyMs),
                 timeoutMs = reportMs * 2,
                 processingTimes,
                 meters,
--- a/src/main/kotlin/cleathitch/cli/ClassArchiveTraining.kt
+++ b/src/main/kotlin/cleathitch/cli/ClassArchiveTraining.kt
@@ -74,13 +74,13 @@
     /** Sends what followers send: the first request learns the term, and so the next one is decided. */
     private suspend fun actAsFollower(peers: PeerClient, node: Address, seq: Long) {
         val report = Heartbeat(MachineId("vm-000002"), "127.0.0.1:1", "m", "z", true, 1, seq, FencingToken.NONE, null, emptyList())
-        val queue = HeartbeatQueue(answerWithinMs = 1000)
+        val queue = HeartbeatQueue(answerTimeoutMs = 1000)
         queue.add(report, nowMs = 0) {}
         val batch = queue.nextBatch(leaderTerm, nowMs = 0)
         val outgoing = OutgoingBatch(batch, listOf(JobId("j-000001")), emptyList())
         val reply = peers.ask(node, PeerRequest.FollowerBatch.of("n1", outgoing), timeoutMs = 1000).reply ?: return
         leaderTerm = reply.term
-        queue.decided(batch, reply.decisions.orEmpty().map { it.toDecision() }, reply.term, nowMs = 0)
+        queue.completeDecided(batch, reply.decisions.orEmpty().map { it.toDecision() }, reply.term, nowMs = 0)
     }
 
     private fun platform(method: String, path: String): HttpReply {
--- a/src/main/kotlin/cleathitch/cloud/CloudClient.kt
+++ b/src/main/kotlin/cleathitch/cloud/CloudClient.kt
@@ -3,11 +3,14 @@
 import cleathitch.http.Address
 import cleathitch.http.CallResult
 import cleathitch.http.PooledHttpClient
+import cleathitch.http.ServiceError
+import cleathitch.http.ServiceResult
 import cleathitch.http.answerWith
 import cleathitch.metrics.ProcessingStage
 import cleathitch.metrics.ProcessingTimes
 import cleathitch.protocol.CloudProtocol
-import cleathitch.protocol.MalformedMessageException
+import cleathitch.protocol.decodeAnswer
+import cleathitch.protocol.decodeBody
 import cleathitch.scheduler.api.RentalAnswer
 import cleathitch.scheduler.log.Event
 import cleathitch.scheduler.model.ListedMachine
@@ -18,66 +21,80 @@
 import io.vertx.core.http.HttpMethod
 import org.slf4j.LoggerFactory
 
-/** The cloud's interface; every failure is a value. */
+/**
+ * The cloud's API. Every failure is a value; malformed answers are logged here, failed calls by [PooledHttpClient]. Each call
+ * waits for its turn at [rateLimiter], which isn't part of [timeoutMs]. Confined to the event loop of its `vertx`.
+ */
 class CloudClient(
     vertx: Vertx,
     private val address: Address,
-    private val budget: CallPacer,
+    private val rateLimiter: CallRateLimiter,
     private val timeoutMs: Long,
     private val processingTimes: ProcessingTimes,
     meters: MeterRegistry,
 ) {
     private val client = PooledHttpClient(vertx, "cloud", maxConnections = 4, meters)
 
-    suspend fun types(): List<MachineType>? = read(call(HttpMethod.GET, "/flavors", null).answerWith(200)) {
-        CloudProtocol.machineTypes(it.body)
-    }
+    /** The machine types that can be rented. */
+    suspend fun machineTypes(): ServiceResult<List<MachineType>> =
+        call(HttpMethod.GET, "/flavors").decodeAnswer(OK, decode = CloudProtocol::machineTypes).also(::logIfMalformed)
 
-    /** All machines, or null if the list couldn't be read to its end. */
-    suspend fun machines(): List<ListedMachine>? {
-        val all = ArrayList<ListedMachine>()
-        var after: String? = null
+    /** All machines; a failure if any page of the list couldn't be read. */
+    suspend fun machines(): ServiceResult<List<ListedMachine>> {
+        val machines = ArrayList<ListedMachine>()
+        var after: MachineId? = null
         while (true) {
-            val since = if (after == null) "" else "&since=$after"
-            val answer = call(HttpMethod.GET, "/hosts?most=$PAGE$since", null).answerWith(200)
-            val page =
-                read(answer) { processingTimes.measure(ProcessingStage.MACHINE_LIST) { CloudProtocol.machinePage(it.body) } } ?: return null
-            all += page.machines
-            after = page.machines.lastOrNull()?.machine?.text
-            if (!page.hasMore || after == null) return all
+            val page = when (val result = machinePage(after)) {
+                is ServiceResult.Success -> result.value
+                is ServiceResult.Failure -> return result
+            }
+            machines += page.machines
+            after = page.machines.lastOrNull()?.machine
+            if (!page.hasMore || after == null) return ServiceResult.Success(machines)
         }
     }
 
-    suspend fun rent(asked: Event.RentalRequested): RentalAnswer {
-        val answer = call(HttpMethod.POST, "/hosts", CloudProtocol.rentalRequest(asked)) as? CallResult.Answered
-        return read(answer) {
-            when {
-                it.status == 200 -> RentalAnswer.Rented(CloudProtocol.rentedMachines(it.body))
-                it.status == 400 -> RentalAnswer.Rejected
-                it.status == 503 && CloudProtocol.isNoCapacity(it.body) -> RentalAnswer.NoCapacity
-                else -> RentalAnswer.Unknown
-            }
-        } ?: RentalAnswer.Unknown
+    private suspend fun machinePage(after: MachineId?): ServiceResult<CloudProtocol.MachinePage> {
+        val since = if (after == null) "" else "&since=${after.text}"
+        return call(HttpMethod.GET, "/hosts?most=$PAGE_SIZE$since")
+            .decodeAnswer(OK) { body -> processingTimes.measure(ProcessingStage.MACHINE_LIST) { CloudProtocol.machinePage(body) } }
+            .also(::logIfMalformed)
+    }
+
+    /** Rents machines. The request's id makes a repetition harmless, so [RentalAnswer.Unknown] calls for one. */
+    suspend fun rent(rental: Event.RentalRequested): RentalAnswer =
+        when (val result = call(HttpMethod.POST, "/hosts", CloudProtocol.rentalRequest(rental))) {
+            is CallResult.Failed -> RentalAnswer.Unknown
+            is CallResult.Answered ->
+                decodeBody(result.body) { rentalAnswer(result.status, it) }.also(::logIfMalformed).valueOrNull() ?: RentalAnswer.Unknown
+        }
+
+    private fun rentalAnswer(status: Int, body: ByteArray): RentalAnswer = when {
+        status == OK -> RentalAnswer.Rented(CloudProtocol.rentedMachines(body))
+        status == BAD_REQUEST -> RentalAnswer.Rejected
+        status == UNAVAILABLE && CloudProtocol.isNoCapacity(body) -> RentalAnswer.NoCapacity
+        else -> RentalAnswer.Unknown
     }
 
-    /** True once the machines are surely gone. */
-    suspend fun giveBack(machines: List<MachineId>): Boolean =
-        call(HttpMethod.POST, "/hosts/return", CloudProtocol.terminationRequest(machines)).answerWith(200) != null
+    /** True if the cloud confirms that [machines] are terminated; false leaves it open. */
+    suspend fun terminate(machines: List<MachineId>): Boolean =
+        call(HttpMethod.POST, "/hosts/return", CloudProtocol.terminationRequest(machines)).answerWith(OK) != null
 
-    private suspend fun call(method: HttpMethod, path: String, body: ByteArray?): CallResult {
-        budget.take()
+    private suspend fun call(method: HttpMethod, path: String, body: ByteArray? = null): CallResult {
+        rateLimiter.acquire()
         return client.call(address, method, path, body, timeoutMs)
     }
 
-    private inline fun <T> read(answer: CallResult.Answered?, decode: (CallResult.Answered) -> T): T? = try {
-        answer?.let(decode)
-    } catch (e: MalformedMessageException) {
-        log.error("a garbled answer from the cloud: {}", e.message)
-        null
+    private fun logIfMalformed(result: ServiceResult<*>) {
+        val error = (result as? ServiceResult.Failure)?.error as? ServiceError.MalformedAnswer ?: return
+        log.error("event=malformed_answer client=cloud server={} error=\"{}\"", address, error.message)
     }
 
     private companion object {
         val log = LoggerFactory.getLogger("cleathitch.cloud")
-        const val PAGE = 500
+        const val PAGE_SIZE = 500
+        const val OK = 200
+        const val BAD_REQUEST = 400
+        const val UNAVAILABLE = 503
     }
 }
--- a/src/main/kotlin/cleathitch/controller/Controller.kt
+++ b/src/main/kotlin/cleathitch/controller/Controller.kt
@@ -105,7 +105,7 @@
 
     private suspend fun learnTypes() {
         while (types.isEmpty()) {
-            types = services.cloud.types().orEmpty()
+            types = services.cloud.machineTypes().valueOrNull().orEmpty()
             if (types.isEmpty()) delay(reportMs / 3)
         }
     }
@@ -136,7 +136,7 @@
         val store = LogStorage(state, PREFIX, LEADER_KEY, term, services.processingTimes)
         val mine =
             LeaderTerm(lease, services, store, types, HashMap(imageCacheHints), {
-                WorkerCommandDelivery(Routes(term), openMs = reportMs, clocks::steadyMs, it)
+                WorkerCommandDelivery(Routes(term), resultTimeoutMs = reportMs, clocks::steadyMs, it)
             }, ::shareImageCacheHints) {
                 depose(term, it.reason, it.transferLeadership)
             }
@@ -285,7 +285,7 @@
 
     /** A poll that came to a follower: its leader is asked together with others. */
     private suspend fun poll(job: JobId): HttpReply {
-        val reply = if (otherLeader() == null || batches.leaderUnreachable) null else batches.status(job)
+        val reply = if (otherLeader() == null || batches.leaderUnreachable) null else batches.forwardPoll(job).replyOrNull()
         return reply?.let(UserProtocol::reply) ?: UserProtocol.unavailableHere("no way to the leader")
     }
 
@@ -321,7 +321,7 @@
             return HttpReply(400, UserProtocol.error(e.message.orEmpty()))
         }
         leading?.let { return reportToUs(it, report) }
-        return when (val outcome = batches.decide(report)) {
+        return when (val outcome = batches.forwardHeartbeat(report)) {
             is ForwardOutcome.Answered -> HttpReply(200, WorkerProtocol.answer(outcome.token, outcome.commands))
             ForwardOutcome.Unanswered -> HttpReply(503)
         }
@@ -370,8 +370,8 @@
         val mine = leading?.takeIf { it.term.revision == request.term && it.ready }
             ?: return PeerReply(503, leader = leader, term = leaderTerm)
         peerHeardMs[request.from] = clocks.steadyMs()
-        mine.directResults(request.directResults)
-        val reports = services.processingTimes.measure(ProcessingStage.BATCH_DECODING) { request.toReports() }
+        mine.directResults(request.deliveryResults)
+        val reports = services.processingTimes.measure(ProcessingStage.BATCH_DECODING) { request.toHeartbeats() }
         if (reportsTo.size > MAX_MACHINES_KNOWN) reportsTo.clear()
         reports.forEach { reportsTo[it.machine] = request.from }
         val answer = mine.followerBatch(reports, request.polls)
@@ -393,8 +393,8 @@
     }
 
     private suspend fun deliver(term: Long, command: DeliveryMessage) {
-        val report = services.workers.send(command.toCommand())
-        if (report != null) batches.tell(DeliveryResult(term, command.id, report))
+        val report = services.workers.send(command.toCommand()).valueOrNull()
+        if (report != null) batches.forwardDeliveryResult(DeliveryResult(term, command.id, report))
     }
 
     suspend fun peer(request: PeerRequest): PeerReply = when (request) {
@@ -404,7 +404,7 @@
         }
         is PeerRequest.ImageCacheHints -> {
             if (imageCacheHints.size > MAX_IMAGES_TOLD) imageCacheHints.clear()
-            imageCacheHints += request.held()
+            imageCacheHints += request.toImageCaches()
             PeerReply(200, leader = leader, term = leaderTerm)
         }
         is PeerRequest.ForwardUserRequest -> user(request.method, request.path, request.body, forwarded = true)
--- a/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
+++ b/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
@@ -92,7 +92,7 @@
     }
 
     /** Answers of workers to commands that a follower delivered for this leader. */
-    fun directResults(results: List<DeliveryResultMessage>) = delivery.answered(results)
+    fun directResults(results: List<DeliveryResultMessage>) = delivery.onDeliveryResults(results)
 
     /** The answer to [command], or [refusal] if too much waits already. */
     private suspend fun <T> ask(open: LinkedHashMap<RequestId, Asked<T>>, request: RequestId, command: Input, refusal: T?): T? {
@@ -217,7 +217,7 @@
                 post(Input.RentalCompleted(effect.asked.request, answer))
             }
             is Effect.TerminateMachines -> launch {
-                if (services.cloud.giveBack(effect.machines)) post(Input.MachinesTerminated(effect.machines))
+                if (services.cloud.terminate(effect.machines)) post(Input.MachinesTerminated(effect.machines))
             }
             is Effect.ShareImageCacheHints -> shareImageCacheHints(effect.images)
             is Effect.StepDown -> stepDown(effect)
@@ -248,7 +248,7 @@
 
     private suspend fun watchTypes() {
         while (true) {
-            services.cloud.types()?.let { post(Input.MachineTypesListed(it)) }
+            services.cloud.machineTypes().valueOrNull()?.let { post(Input.MachineTypesListed(it)) }
             delay((services.deployment.leaseS * 1000).toLong())
         }
     }
@@ -256,7 +256,7 @@
     private suspend fun watchMachines() {
         val periodMs = (maxOf(services.deployment.listLagS, services.deployment.reportS) * 1000).toLong()
         while (true) {
-            services.cloud.machines()?.let { post(Input.MachinesListed(it)) }
+            services.cloud.machines().valueOrNull()?.let { post(Input.MachinesListed(it)) }
             delay(periodMs)
         }
     }
--- a/src/main/kotlin/cleathitch/peers/DeliveryMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/DeliveryMessage.kt
@@ -7,7 +7,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
 
-/** A command for a worker that a follower delivers; without [commands] it is a question for the worker's report. */
+/** Commands for one worker that a follower delivers for the leader; without [commands] it is a probe. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 @CborArray
@@ -19,6 +19,7 @@
     val token: Long,
     val commands: List<WorkerCommandMessage>,
 ) {
+    /** The effect that this message carries. */
     fun toCommand(): Effect.ToWorker = if (commands.isEmpty()) {
         Effect.Probe(machine, address)
     } else {
@@ -26,16 +27,16 @@
     }
 
     companion object {
-        fun of(id: Long, push: Effect.SendCommands) = DeliveryMessage(
+        fun of(id: Long, effect: Effect.SendCommands) = DeliveryMessage(
             id,
-            push.machine,
-            push.address,
-            push.incarnation,
-            push.token.packed,
-            push.commands.map(WorkerCommandMessage::of),
+            effect.machine,
+            effect.address,
+            effect.incarnation,
+            effect.token.packed,
+            effect.commands.map(WorkerCommandMessage::of),
         )
 
-        fun of(id: Long, inspect: Effect.Probe) =
-            DeliveryMessage(id, inspect.machine, inspect.address, incarnation = 0, token = 0, commands = emptyList())
+        fun of(id: Long, probe: Effect.Probe) =
+            DeliveryMessage(id, probe.machine, probe.address, incarnation = 0, token = 0, commands = emptyList())
     }
 }
--- a/src/main/kotlin/cleathitch/peers/DeliveryResultMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/DeliveryResultMessage.kt
@@ -1,11 +1,12 @@
 package cleathitch.peers
 
 import kotlinx.serialization.ExperimentalSerializationApi
+import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
 
-/** A worker's answer to the command [id], as the follower that delivered it tells the leader. */
+/** The heartbeat with which a worker answered the command [id], from the follower that delivered it to the leader. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 @CborArray
-data class DeliveryResultMessage(val id: Long, val report: FullHeartbeatMessage)
+data class DeliveryResultMessage(val id: Long, @SerialName("report") val heartbeat: FullHeartbeatMessage)
--- a/src/main/kotlin/cleathitch/peers/FullHeartbeatMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/FullHeartbeatMessage.kt
@@ -7,7 +7,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
 
-/** A whole report of a worker, as followers send it to the leader. */
+/** A worker's whole heartbeat, as followers send it to the leader. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 @CborArray
@@ -24,24 +24,30 @@
     val tasks: List<TaskStatusMessage>,
 ) {
     fun toHeartbeat() = Heartbeat(
-        machine, address, type, zone, spot, incarnation, sequenceNumber, FencingToken(token), preemptionNoticeS,
-        tasks.map {
-            it.toTaskStatus()
-        },
+        machine,
+        address,
+        type,
+        zone,
+        spot,
+        incarnation,
+        sequenceNumber,
+        FencingToken(token),
+        preemptionNoticeS,
+        tasks.map { it.toTaskStatus() },
     )
 
     companion object {
-        fun of(report: Heartbeat) = FullHeartbeatMessage(
-            report.machine,
-            report.address,
-            report.type,
-            report.zone,
-            report.spot,
-            report.incarnation,
-            report.sequenceNumber,
-            report.token.packed,
-            report.preemptionNoticeS,
-            report.tasks.map(TaskStatusMessage::of),
+        fun of(heartbeat: Heartbeat) = FullHeartbeatMessage(
+            heartbeat.machine,
+            heartbeat.address,
+            heartbeat.type,
+            heartbeat.zone,
+            heartbeat.spot,
+            heartbeat.incarnation,
+            heartbeat.sequenceNumber,
+            heartbeat.token.packed,
+            heartbeat.preemptionNoticeS,
+            heartbeat.tasks.map(TaskStatusMessage::of),
         )
     }
 }
--- a/src/main/kotlin/cleathitch/peers/HeartbeatDecisionMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/HeartbeatDecisionMessage.kt
@@ -7,11 +7,12 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
 
-/** The leader's decision about one report of a batch. */
+/** The leader's decision about one heartbeat of a batch. [token] and [commands] have a meaning in [Kind.ANSWER] alone. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 @CborArray
 data class HeartbeatDecisionMessage(val kind: Kind, val token: Long, val commands: List<WorkerCommandMessage>) {
+    /** The serial names are the bytes of the message. */
     @Serializable
     enum class Kind {
         @SerialName("a")
@@ -32,13 +33,13 @@
 
     companion object {
         private val refuse = HeartbeatDecisionMessage(Kind.REFUSE, 0, emptyList())
-        private val sendWhole = HeartbeatDecisionMessage(Kind.REQUEST_FULL, 0, emptyList())
+        private val requestFull = HeartbeatDecisionMessage(Kind.REQUEST_FULL, 0, emptyList())
 
         fun of(decision: HeartbeatDecision): HeartbeatDecisionMessage = when (decision) {
             is HeartbeatDecision.Answer ->
                 HeartbeatDecisionMessage(Kind.ANSWER, decision.token.packed, decision.commands.map(WorkerCommandMessage::of))
             HeartbeatDecision.Refuse -> refuse
-            HeartbeatDecision.RequestFull -> sendWhole
+            HeartbeatDecision.RequestFull -> requestFull
         }
     }
 }
--- a/src/main/kotlin/cleathitch/peers/JobStatusMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/JobStatusMessage.kt
@@ -8,11 +8,12 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
 
-/** The leader's answer to one poll of a batch. */
+/** The leader's answer to one poll of a batch: the job's state, and how many of its tasks are done and running. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 @CborArray
 data class JobStatusMessage(val kind: Kind, val done: Int, val running: Int) {
+    /** The serial names are the bytes of the message. */
     @Serializable
     enum class Kind {
         @SerialName("q")
@@ -34,6 +35,7 @@
         UNAVAILABLE,
     }
 
+    /** The reply for a user who polled [job]. */
     fun toReply(job: JobId): UserReply = when (kind) {
         Kind.QUEUED -> UserReply.Status(job, JobState.QUEUED, done, running)
         Kind.RUNNING -> UserReply.Status(job, JobState.RUNNING, done, running)
@@ -45,13 +47,13 @@
 
     companion object {
         private val notFound = JobStatusMessage(Kind.NOT_FOUND, 0, 0)
-        private val notNow = JobStatusMessage(Kind.UNAVAILABLE, 0, 0)
+        private val unavailable = JobStatusMessage(Kind.UNAVAILABLE, 0, 0)
 
-        /** The message for a poll's [reply]; whatever isn't an answer to a poll tells nothing. */
+        /** The message for a poll's [reply]; a reply that doesn't belong to a poll counts as unavailable. */
         fun of(reply: UserReply): JobStatusMessage = when (reply) {
             is UserReply.Status -> JobStatusMessage(kindOf(reply.state), reply.done, reply.running)
             UserReply.NotFound -> notFound
-            is UserReply.Unavailable, is UserReply.Accepted, is UserReply.Cancelled, is UserReply.Unsatisfiable -> notNow
+            is UserReply.Unavailable, is UserReply.Accepted, is UserReply.Cancelled, is UserReply.Unsatisfiable -> unavailable
         }
 
         private fun kindOf(state: JobState) = when (state) {
--- a/src/main/kotlin/cleathitch/peers/LeaderBatcher.kt
+++ b/src/main/kotlin/cleathitch/peers/LeaderBatcher.kt
@@ -1,6 +1,5 @@
 package cleathitch.peers
 
-import cleathitch.scheduler.api.UserReply
 import cleathitch.scheduler.model.Heartbeat
 import cleathitch.scheduler.model.JobId
 import cleathitch.workers.ForwardOutcome
@@ -12,9 +11,11 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Hands what a follower takes in to the leader, in batches: workers' reports, users' polls, and the results of commands
- * that the follower delivered to workers. One request is in flight, and before the next there is a short pause in
- * which more gathers.
+ * Forwards to the leader what a follower receives, in batches: workers' heartbeats, users' polls, and the results of commands
+ * that the follower delivered to workers. One batch is in flight at a time, and before the next there is a pause of
+ * [intervalMs] in which more gathers. Confined to the controller's event loop.
+ *
+ * [leader] gives the leader to send to, or null if none is known; [send] sends one batch to it.
  */
 class LeaderBatcher(
     private val intervalMs: Long,
@@ -23,37 +24,37 @@
     private val leader: () -> KnownLeader?,
     private val send: suspend (KnownLeader, OutgoingBatch, timeoutMs: Long) -> BatchResult,
 ) {
-    private val reports = HeartbeatQueue(REPORT_WITHIN_MS)
-    private val polls = PollQueue(POLL_WITHIN_MS)
-    private val directResults = ArrayDeque<DeliveryResult>()
+    private val heartbeats = HeartbeatQueue(HEARTBEAT_TIMEOUT_MS)
+    private val polls = PollQueue(POLL_TIMEOUT_MS)
+    private val deliveryResults = ArrayDeque<DeliveryResult>()
     private val wakeUp = Channel<Unit>(Channel.CONFLATED)
     private var unreachableSinceMs: Long? = null
 
-    /** The leader refused connections from this node a moment ago. */
+    /** A batch failed to reach the leader within the last [unreachableMs]. */
     val leaderUnreachable get() = unreachableSinceMs?.let { nowMs() - it < unreachableMs } == true
 
-    private val isEmpty get() = reports.isEmpty && polls.isEmpty && directResults.isEmpty()
+    private val isEmpty get() = heartbeats.isEmpty && polls.isEmpty && deliveryResults.isEmpty()
 
-    /** Waits for the leader's decision about [report], for a bounded time. */
-    suspend fun decide(report: Heartbeat): ForwardOutcome {
+    /** Waits for the leader's decision about [heartbeat], for a bounded time. */
+    suspend fun forwardHeartbeat(heartbeat: Heartbeat): ForwardOutcome {
         val outcome = CompletableDeferred<ForwardOutcome>()
-        reports.add(report, nowMs()) { outcome.complete(it) }
+        heartbeats.add(heartbeat, nowMs()) { outcome.complete(it) }
         wakeUp.trySend(Unit)
         return outcome.await()
     }
 
-    /** Waits for the leader's word about [job], for a bounded time; null if there is none. */
-    suspend fun status(job: JobId): UserReply? {
-        val status = CompletableDeferred<UserReply?>()
-        polls.add(job, nowMs()) { status.complete(it) }
+    /** Waits for the leader's answer about [job], for a bounded time. */
+    suspend fun forwardPoll(job: JobId): PollOutcome {
+        val outcome = CompletableDeferred<PollOutcome>()
+        polls.add(job, nowMs()) { outcome.complete(it) }
         wakeUp.trySend(Unit)
-        return status.await()
+        return outcome.await()
     }
 
-    /** Tells the leader what came of a command that this node delivered for it. */
-    fun tell(result: DeliveryResult) {
-        directResults.addLast(result)
-        if (directResults.size > MAX_RESULTS) directResults.removeFirst()
+    /** Queues the result of a command that this node delivered for the leader. If too many wait, the oldest are dropped. */
+    fun forwardDeliveryResult(result: DeliveryResult) {
+        deliveryResults.addLast(result)
+        if (deliveryResults.size > MAX_DELIVERY_RESULTS) deliveryResults.removeFirst()
         wakeUp.trySend(Unit)
     }
 
@@ -62,66 +63,73 @@
         while (true) {
             wakeUp.receive()
             while (!isEmpty) {
-                if (!reports.isFull) delay(intervalMs)
+                if (!heartbeats.isFull) delay(intervalMs)
                 sendNext()
             }
         }
     }
 
     private suspend fun sendNext() {
-        val known = leader() ?: return refuseAll()
-        val batch = OutgoingBatch(reports.nextBatch(known.term, nowMs()), polls.take(MAX_POLLS), takeResults(known.term))
-        if (batch.reports.isEmpty && batch.polls.isEmpty() && batch.directResults.isEmpty()) return
-        val timeoutMs = reports.timeLeftMs(batch.reports, nowMs())
-        val result = sendSafely(known, batch, timeoutMs)
+        val receiver = leader() ?: return completeAllWithoutLeader()
+        val batch = nextBatch(receiver.term)
+        if (batch.isEmpty) return
+        val result = sendSafely(receiver, batch, heartbeats.timeLeftMs(batch.heartbeats, nowMs()))
         unreachableSinceMs = if (result is BatchResult.Unreachable) nowMs() else null
-        val currentTerm = leader()?.term
         when (result) {
-            is BatchResult.Answered -> {
-                reports.decided(batch.reports, result.decisions, currentTerm, nowMs())
-                polls.answered(batch.polls, if (currentTerm == known.term) result.statuses else emptyList(), nowMs())
-            }
-            BatchResult.NotLeading, BatchResult.Unreachable, BatchResult.TimedOut -> {
-                reports.unanswered(batch.reports)
-                polls.unanswered(batch.polls)
-            }
+            is BatchResult.Answered -> complete(batch, result, receiver.term)
+            BatchResult.NotLeading, BatchResult.Unreachable, BatchResult.TimedOut -> completeUnanswered(batch)
         }
     }
 
-    /** Whatever goes wrong with one batch, those who wait for it get their answer, and the next one is sent. */
-    private suspend fun sendSafely(known: KnownLeader, batch: OutgoingBatch, timeoutMs: Long): BatchResult = try {
-        send(known, batch, timeoutMs)
+    private fun nextBatch(term: Long) =
+        OutgoingBatch(heartbeats.nextBatch(term, nowMs()), polls.take(MAX_POLLS_PER_BATCH), takeDeliveryResults(term))
+
+    /** Whatever goes wrong with one batch, its waiting callers are completed, and the next one is sent. */
+    private suspend fun sendSafely(receiver: KnownLeader, batch: OutgoingBatch, timeoutMs: Long): BatchResult = try {
+        send(receiver, batch, timeoutMs)
     } catch (e: CancellationException) {
         throw e
     } catch (e: RuntimeException) {
-        log.error("the batch for {} in term {} failed", known.member, known.term, e)
+        log.error("event=batch_failed leader={} term={}", receiver.member, receiver.term, e)
         BatchResult.NotLeading
     }
 
-    /** Results of commands of earlier terms mean nothing to the present leader. */
-    private fun takeResults(term: Long): List<DeliveryResult> {
-        val taken = List(minOf(directResults.size, MAX_RESULTS_PER_BATCH)) { directResults.removeFirst() }
+    /** Answers of a leader that has been followed by another since are not passed on. */
+    private fun complete(batch: OutgoingBatch, answer: BatchResult.Answered, term: Long) {
+        val currentTerm = leader()?.term
+        heartbeats.completeDecided(batch.heartbeats, answer.decisions, currentTerm, nowMs())
+        polls.completeAnswered(batch.polls, if (currentTerm == term) answer.statuses else emptyList(), nowMs())
+    }
+
+    private fun completeUnanswered(batch: OutgoingBatch) {
+        heartbeats.completeUnanswered(batch.heartbeats)
+        polls.completeUnanswered(batch.polls)
+    }
+
+    /** Without those of earlier terms: their ids mean nothing to the present leader. */
+    private fun takeDeliveryResults(term: Long): List<DeliveryResult> {
+        val taken = List(minOf(deliveryResults.size, MAX_DELIVERY_RESULTS_PER_BATCH)) { deliveryResults.removeFirst() }
         return taken.filter { it.term == term }
     }
 
-    private fun refuseAll() {
-        reports.refuseAll()
-        polls.refuseAll()
-        directResults.clear()
+    private fun completeAllWithoutLeader() {
+        heartbeats.completeAllUnanswered()
+        polls.completeAllWithoutLeader()
+        deliveryResults.clear()
     }
 
     private companion object {
         val log = LoggerFactory.getLogger("cleathitch.peers")
 
-        /** Workers wait 4 s for an answer; the rest of that is for the ways to this node and back. */
-        const val REPORT_WITHIN_MS = 3000L
+        /** Workers wait 4 s for an answer; the rest of that is for the network between worker and this node. */
+        const val HEARTBEAT_TIMEOUT_MS = 3000L
 
         /** Users wait 2 s for a poll's answer. */
-        const val POLL_WITHIN_MS = 1800L
+        const val POLL_TIMEOUT_MS = 1800L
 
-        /** A batch's other limits are those of its reports; polls and results are small. */
-        const val MAX_POLLS = 400
-        const val MAX_RESULTS_PER_BATCH = 40
-        const val MAX_RESULTS = 2000
+        /** A batch's other limits are those of its heartbeats; polls and results are small. */
+        const val MAX_POLLS_PER_BATCH = 400
+        const val MAX_DELIVERY_RESULTS_PER_BATCH = 40
+        const val MAX_DELIVERY_RESULTS = 2000
     }
 }
--- a/src/main/kotlin/cleathitch/peers/OutgoingBatch.kt
+++ b/src/main/kotlin/cleathitch/peers/OutgoingBatch.kt
@@ -3,5 +3,7 @@
 import cleathitch.scheduler.model.JobId
 import cleathitch.workers.HeartbeatQueue
 
-/** What a follower hands to the leader in one request. */
-class OutgoingBatch(val reports: HeartbeatQueue.Batch, val polls: List<JobId>, val directResults: List<DeliveryResult>)
+/** What a follower forwards to the leader in one request. */
+class OutgoingBatch(val heartbeats: HeartbeatQueue.Batch, val polls: List<JobId>, val deliveryResults: List<DeliveryResult>) {
+    val isEmpty get() = heartbeats.isEmpty && polls.isEmpty() && deliveryResults.isEmpty()
+}
--- a/src/main/kotlin/cleathitch/peers/PeerCodec.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerCodec.kt
@@ -5,6 +5,7 @@
 import kotlinx.serialization.SerializationException
 import kotlinx.serialization.cbor.Cbor
 
+/** The CBOR form of messages between nodes. Decoding ignores unknown fields, and throws [SerializationException] for a malformed message. */
 @OptIn(ExperimentalSerializationApi::class)
 object PeerCodec {
     private val cbor = Cbor {
@@ -20,7 +21,7 @@
 
     fun decodeReply(bytes: ByteArray): PeerReply = decode(bytes, PeerReply.serializer())
 
-    /** The library tells some garbled messages by exceptions of other kinds, as for an index out of range. */
+    /** For some malformed messages the library throws exceptions of other kinds, as for an index out of range. */
     private fun <T> decode(bytes: ByteArray, deserializer: DeserializationStrategy<T>): T = try {
         cbor.decodeFromByteArray(deserializer, bytes)
     } catch (e: SerializationException) {
--- a/src/main/kotlin/cleathitch/peers/PeerReply.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerReply.kt
@@ -2,6 +2,10 @@
 
 import kotlinx.serialization.Serializable
 
+/**
+ * A node's answer to a [PeerRequest]. [status] is that of HTTP; [body] and [retryAfterS] answer a forwarded user request. [leader]
+ * and [term] are the leader that the answering node knows. Property names are the bytes of the message.
+ */
 @Serializable
 @Suppress("ArrayInDataClass") // never compared
 data class PeerReply(
@@ -11,7 +15,7 @@
     val leader: String? = null,
     val term: Long = 0,
 
-    /** Decisions about reports, in the order of [PeerRequest.FollowerBatch.toReports]. */
+    /** Decisions about heartbeats, in the order of [PeerRequest.FollowerBatch.toHeartbeats]. */
     val decisions: List<HeartbeatDecisionMessage>? = null,
 
     /** Answers to polls, in the order of [PeerRequest.FollowerBatch.polls]. */
--- a/src/main/kotlin/cleathitch/peers/PeerRequest.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerRequest.kt
@@ -9,12 +9,12 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
 
-/** What one node asks of another. */
+/** A request of one node to another. Serial names are the bytes of the message, and never change. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 @Suppress("ArrayInDataClass") // never compared
 sealed interface PeerRequest {
-    /** Who leads, as the sender knows; also a sign of life. */
+    /** The leader and the term that the sender [from] knows; also a sign of life of the sender. */
     @Serializable
     @SerialName("leads")
     data class AnnounceLeader(val from: String, val leader: String?, val term: Long) : PeerRequest
@@ -24,63 +24,72 @@
     @SerialName("user")
     data class ForwardUserRequest(val method: String, val path: String, val body: ByteArray) : PeerRequest
 
-    /** Which machines hold which images; [images] and [sizesGb] are named by their places in the lists. */
+    /** Which machines have which images in their caches; machines refer to [images] and [sizesGb] by index. */
     @Serializable
     @SerialName("images")
-    data class ImageCacheHints(val images: List<String>, val sizesGb: List<Double>, val machines: List<Holder>) : PeerRequest {
+    data class ImageCacheHints(
+        val images: List<String>,
+        val sizesGb: List<Double>,
+        @SerialName("machines")
+        val caches: List<MachineCache>,
+    ) : PeerRequest {
+        /** The images of one machine, as indexes into [ImageCacheHints.images]. */
         @Serializable
         @CborArray
-        data class Holder(val machine: MachineId, val incarnation: Long, val images: List<Int>)
+        data class MachineCache(val machine: MachineId, val incarnation: Long, val images: List<Int>)
 
-        fun held(): Map<MachineId, ImageCache> = machines.associate { holder ->
-            holder.machine to
-                ImageCache(
-                    holder.incarnation,
-                    holder.images.filter { it in images.indices && it in sizesGb.indices }.associate {
-                        images[it] to
-                            sizesGb[it]
-                    },
-                )
-        }
+        /** The caches by machine, without images whose index is out of range. */
+        fun toImageCaches(): Map<MachineId, ImageCache> = caches.associate { it.machine to ImageCache(it.incarnation, sizesOf(it.images)) }
+
+        private fun sizesOf(indexes: List<Int>): Map<String, Double> =
+            indexes.filter { it in images.indices && it in sizesGb.indices }.associate { images[it] to sizesGb[it] }
 
         companion object {
-            /** So many machines' images fit into a body by far, and are encoded in little time. */
-            private const val MACHINES_EACH = 200
+            /** Keeps a message well below [PeerClient.MAX_BODY], and its encoding short on the event loop. */
+            private const val MACHINES_PER_MESSAGE = 200
 
-            fun of(held: Map<MachineId, ImageCache>): List<ImageCacheHints> {
+            /** The messages that together carry [caches]. */
+            fun of(caches: Map<MachineId, ImageCache>): List<ImageCacheHints> {
                 val sizes = LinkedHashMap<String, Double>()
-                held.values.forEach { sizes.putAll(it.sizesGb) }
-                val places = sizes.keys.withIndex().associate { (place, image) -> image to place }
-                val holders = held.map { (id, it) -> Holder(id, it.incarnation, it.sizesGb.keys.map(places::getValue)) }
-                return holders.chunked(MACHINES_EACH) { ImageCacheHints(sizes.keys.toList(), sizes.values.toList(), it) }
+                caches.values.forEach { sizes.putAll(it.sizesGb) }
+                val indexes = sizes.keys.withIndex().associate { (index, image) -> image to index }
+                val machineCaches = caches.map { (id, it) -> MachineCache(id, it.incarnation, it.sizesGb.keys.map(indexes::getValue)) }
+                return machineCaches.chunked(MACHINES_PER_MESSAGE) { ImageCacheHints(sizes.keys.toList(), sizes.values.toList(), it) }
             }
         }
     }
 
-    /** What came to a follower and is for the leader of [term] to decide. */
+    /** What the follower [from] forwards for the leader of [term] to decide: heartbeats, polls, and results of deliveries. */
     @Serializable
     @SerialName("batch")
     data class FollowerBatch(
         val from: String,
         val term: Long,
-        val whole: List<FullHeartbeatMessage>,
-        val heartbeats: List<UnchangedHeartbeatMessage>,
+        @SerialName("whole")
+        val fullHeartbeats: List<FullHeartbeatMessage>,
+        @SerialName("heartbeats")
+        val unchangedHeartbeats: List<UnchangedHeartbeatMessage>,
         val polls: List<JobId>,
-        val directResults: List<DeliveryResultMessage>,
+        @SerialName("directResults")
+        val deliveryResults: List<DeliveryResultMessage>,
     ) : PeerRequest {
-        fun toReports(): List<ForwardedHeartbeat> =
-            whole.map { ForwardedHeartbeat.Full(it.toHeartbeat()) } + heartbeats.map { it.toHeartbeat() }
+        /** All heartbeats in the order of [HeartbeatQueue.Batch.heartbeats][cleathitch.workers.HeartbeatQueue.Batch.heartbeats]. */
+        fun toHeartbeats(): List<ForwardedHeartbeat> =
+            fullHeartbeats.map { ForwardedHeartbeat.Full(it.toHeartbeat()) } + unchangedHeartbeats.map { it.toHeartbeat() }
 
         companion object {
-            /** The batch's reports hold the whole ones first, and so do the leader's decisions. */
-            fun of(from: String, batch: OutgoingBatch) = FollowerBatch(
-                from,
-                batch.reports.term,
-                batch.reports.reports.filterIsInstance<ForwardedHeartbeat.Full>().map { FullHeartbeatMessage.of(it.report) },
-                batch.reports.reports.filterIsInstance<ForwardedHeartbeat.Unchanged>().map(UnchangedHeartbeatMessage::of),
-                batch.polls,
-                batch.directResults.map { DeliveryResultMessage(it.id, FullHeartbeatMessage.of(it.report)) },
-            )
+            /** The batch holds the full heartbeats first, so the leader's decisions come in the order of the batch. */
+            fun of(from: String, batch: OutgoingBatch): FollowerBatch {
+                val heartbeats = batch.heartbeats.heartbeats
+                return FollowerBatch(
+                    from,
+                    batch.heartbeats.term,
+                    heartbeats.filterIsInstance<ForwardedHeartbeat.Full>().map { FullHeartbeatMessage.of(it.report) },
+                    heartbeats.filterIsInstance<ForwardedHeartbeat.Unchanged>().map(UnchangedHeartbeatMessage::of),
+                    batch.polls,
+                    batch.deliveryResults.map { DeliveryResultMessage(it.id, FullHeartbeatMessage.of(it.heartbeat)) },
+                )
+            }
         }
     }
 
--- a/src/main/kotlin/cleathitch/peers/TaskStatusMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/TaskStatusMessage.kt
@@ -10,7 +10,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
 
-/** One task of a worker's report, as followers send it to the leader. */
+/** One task of a worker's heartbeat, as followers send it to the leader. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 @CborArray
--- a/src/main/kotlin/cleathitch/peers/UnchangedHeartbeatMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/UnchangedHeartbeatMessage.kt
@@ -7,7 +7,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
 
-/** A report that repeats an acknowledged one; see [ForwardedHeartbeat.Unchanged]. */
+/** A heartbeat that repeats an acknowledged one; see [ForwardedHeartbeat.Unchanged]. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 @CborArray
--- a/src/main/kotlin/cleathitch/peers/WorkerCommandMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/WorkerCommandMessage.kt
@@ -9,11 +9,12 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
 
-/** One command to a worker in the leader's decision about its report. */
+/** One command to a worker, in a decision about its heartbeat or in a delivery. [graceS] has a meaning in [Kind.STOP] alone. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 @CborArray
 data class WorkerCommandMessage(val kind: Kind, val job: JobId, val index: Int, val attempt: Long, val graceS: Double) {
+    /** The serial names are the bytes of the message. */
     @Serializable
     enum class Kind {
         @SerialName("start")
@@ -36,15 +37,15 @@
     }
 
     companion object {
-        fun of(order: WorkerCommand): WorkerCommandMessage {
-            val kind = when (order) {
+        fun of(command: WorkerCommand): WorkerCommandMessage {
+            val kind = when (command) {
                 is WorkerCommand.Start -> Kind.START
                 is WorkerCommand.Stop -> Kind.STOP
                 is WorkerCommand.Forget -> Kind.FORGET
             }
-            val graceS = (order as? WorkerCommand.Stop)?.graceS ?: 0.0
-            val task = order.attempt.task
-            return WorkerCommandMessage(kind, task.job, task.index, order.attempt.number, graceS)
+            val graceS = (command as? WorkerCommand.Stop)?.graceS ?: 0.0
+            val task = command.attempt.task
+            return WorkerCommandMessage(kind, task.job, task.index, command.attempt.number, graceS)
         }
     }
 }
--- a/src/main/kotlin/cleathitch/peers/WorkerCommandRoutes.kt
+++ b/src/main/kotlin/cleathitch/peers/WorkerCommandRoutes.kt
@@ -1,20 +1,21 @@
 package cleathitch.peers
 
+import cleathitch.http.ServiceResult
 import cleathitch.scheduler.api.Effect
 import cleathitch.scheduler.model.Heartbeat
 import cleathitch.scheduler.model.MachineId
 
-/** The ways on which commands go to workers. */
+/** The routes on which the leader's commands can reach workers. */
 interface WorkerCommandRoutes {
-    /** Followers that can be reached now. */
+    /** Followers from which the leader has had a sign of life lately. */
     fun reachableFollowers(): List<String>
 
-    /** The follower to which the machine reports, if it is known. */
+    /** The follower that forwards the machine's heartbeats; null if none does. */
     fun followerOf(machine: MachineId): String?
 
-    /** True if the follower has taken the commands and will deliver them. */
+    /** Hands [commands] to [follower]; true if it has taken them and will deliver them. */
     suspend fun toFollower(follower: String, commands: List<DeliveryMessage>): Boolean
 
-    /** The report with which the worker answered; null if it gave no answer. */
-    suspend fun toWorker(command: Effect.ToWorker): Heartbeat?
+    /** Calls the worker directly; the result is the heartbeat with which it answers. */
+    suspend fun toWorker(command: Effect.ToWorker): ServiceResult<Heartbeat>
 }
--- a/src/main/kotlin/cleathitch/workers/HeartbeatQueue.kt
+++ b/src/main/kotlin/cleathitch/workers/HeartbeatQueue.kt
@@ -2,156 +2,167 @@
 
 import cleathitch.scheduler.api.ForwardedHeartbeat
 import cleathitch.scheduler.api.HeartbeatDecision
-import cleathitch.scheduler.model.FencingToken
 import cleathitch.scheduler.model.Heartbeat
 import cleathitch.scheduler.model.MachineId
-import cleathitch.scheduler.model.WorkerCommand
-
-/** What a follower may tell a worker whose report it took in. */
-sealed interface ForwardOutcome {
-    /** The leader's own answer, the only one that renews the worker's lease. */
-    data class Answered(val token: FencingToken, val commands: List<WorkerCommand>) : ForwardOutcome
-
-    /** The leader refused the report, or gave no answer in time. */
-    data object Unanswered : ForwardOutcome
-}
 
 /**
- * The reports that a follower has taken in and that wait for the leader's decision.
+ * The heartbeats that a follower has received and that wait for the leader's decision.
  *
- * At most one report of each machine waits: a worker has one in flight, so an older one has lost its sender. A report
- * that repeats what the leader acknowledged in its present term goes as a heartbeat. The queue has no clock and does
- * no I/O, and it decides nothing about a worker's lease.
+ * At most one heartbeat of each machine waits: a worker has one in flight, so the sender of an older one has given up. A
+ * heartbeat that repeats what the leader acknowledged in its present term is forwarded as [ForwardedHeartbeat.Unchanged]. The
+ * queue has no clock and does no I/O, and it decides nothing about a worker's lease. Confined to the event loop of its owner.
  */
-class HeartbeatQueue(private val answerWithinMs: Long) {
-    internal class Waiting(val report: Heartbeat, val arrivedMs: Long, val reply: (ForwardOutcome) -> Unit)
-
-    /** Reports on their way to the leader of [term], the whole ones before the heartbeats. */
-    class Batch internal constructor(val term: Long, val reports: List<ForwardedHeartbeat>, internal val entries: List<Waiting>) {
+class HeartbeatQueue(private val answerTimeoutMs: Long) {
+    internal class PendingHeartbeat(val heartbeat: Heartbeat, val arrivedMs: Long, val complete: (ForwardOutcome) -> Unit)
+
+    /** Heartbeats on their way to the leader of [term], the full ones before the unchanged ones. */
+    class Batch internal constructor(
+        val term: Long,
+        val heartbeats: List<ForwardedHeartbeat>,
+        internal val entries: List<PendingHeartbeat>,
+    ) {
         internal val oldestMs get() = entries.minOfOrNull { it.arrivedMs }
         val isEmpty get() = entries.isEmpty()
     }
 
-    private val waiting = LinkedHashMap<MachineId, Waiting>()
+    private val waiting = LinkedHashMap<MachineId, PendingHeartbeat>()
     private var term = 0L
 
-    /** The last report of each machine that the leader of [term] answered through this node. */
+    /** The last heartbeat of each machine that the leader of [term] answered through this node. */
     private val acknowledged = HashMap<MachineId, Heartbeat>()
 
     val isEmpty get() = waiting.isEmpty()
-    val isFull get() = waiting.size >= MAX_REPORTS
 
-    /** Takes a report in; [reply] is called once, with the outcome. */
-    fun add(report: Heartbeat, nowMs: Long, reply: (ForwardOutcome) -> Unit) {
-        waiting.put(report.machine, Waiting(report, nowMs, reply))?.reply?.invoke(ForwardOutcome.Unanswered)
+    /** A whole batch waits, so the next one need not wait for more. */
+    val isFull get() = waiting.size >= MAX_HEARTBEATS_PER_BATCH
+
+    /** Adds a heartbeat; [complete] is called once, with the outcome. */
+    fun add(heartbeat: Heartbeat, nowMs: Long, complete: (ForwardOutcome) -> Unit) {
+        val replaced = waiting.put(heartbeat.machine, PendingHeartbeat(heartbeat, nowMs, complete))
+        replaced?.complete?.invoke(ForwardOutcome.Unanswered)
     }
 
     /** The next batch for the leader of [leaderTerm], empty if nothing waits. */
     fun nextBatch(leaderTerm: Long, nowMs: Long): Batch {
         dropExpired(nowMs)
+        forgetAcknowledged(leaderTerm)
+        val chosen = takeForBatch()
+        val fullFirst = chosen.sortedBy { it.forwarded is ForwardedHeartbeat.Unchanged }
+        return Batch(leaderTerm, fullFirst.map { it.forwarded }, fullFirst.map { it.entry })
+    }
+
+    private class BatchEntry(val forwarded: ForwardedHeartbeat, val entry: PendingHeartbeat)
+
+    /** Removes the oldest waiting heartbeats, as many as fit into a batch, and at least one if any waits. */
+    private fun takeForBatch(): List<BatchEntry> {
+        val chosen = ArrayList<BatchEntry>()
+        var bytes = 0
+        for (entry in waiting.values) {
+            val forwarded = forwarded(entry.heartbeat)
+            bytes += estimatedBytes(forwarded)
+            val isFull = chosen.size == MAX_HEARTBEATS_PER_BATCH || bytes > MAX_BATCH_BYTES
+            if (isFull && chosen.isNotEmpty()) break
+            chosen += BatchEntry(forwarded, entry)
+        }
+        chosen.forEach { waiting.remove(it.entry.heartbeat.machine) }
+        return chosen
+    }
+
+    private fun forgetAcknowledged(leaderTerm: Long) {
         if (leaderTerm != term) {
-            // Another leader holds no report of these machines from us, and may hold none at all.
+            // Another leader has received no heartbeat of these machines from us, and may have received none at all.
             acknowledged.clear()
             term = leaderTerm
         }
         if (acknowledged.size > MAX_ACKNOWLEDGED) acknowledged.clear()
-        val chosen = ArrayList<Pair<ForwardedHeartbeat, Waiting>>()
-        var bytes = 0
-        for (entry in waiting.values) {
-            val forwarded = forwarded(entry.report)
-            bytes += estimatedBytes(forwarded)
-            val full = chosen.size == MAX_REPORTS || bytes > MAX_BYTES
-            if (full && chosen.isNotEmpty()) break
-            chosen += forwarded to entry
-        }
-        chosen.forEach { (_, entry) -> waiting.remove(entry.report.machine) }
-        val wholeFirst = chosen.sortedBy { (forwarded, _) -> forwarded is ForwardedHeartbeat.Unchanged }
-        return Batch(leaderTerm, wholeFirst.map { it.first }, wholeFirst.map { it.second })
     }
 
-    /** For how long the leader's decisions about [batch] are of use. */
-    fun timeLeftMs(batch: Batch, nowMs: Long) = (batch.oldestMs ?: nowMs) + answerWithinMs - nowMs
+    /** Milliseconds until the leader's decisions about [batch] come too late for its oldest heartbeat. */
+    fun timeLeftMs(batch: Batch, nowMs: Long) = (batch.oldestMs ?: nowMs) + answerTimeoutMs - nowMs
 
-    /** The leader of [batch]'s term decided; [currentTerm] is that of the leader known by now, if there is one. */
-    fun decided(batch: Batch, decisions: List<HeartbeatDecision>, currentTerm: Long?, nowMs: Long) {
-        if (currentTerm != batch.term || decisions.size != batch.entries.size) return unanswered(batch)
+    /**
+     * Completes [batch] with the leader's [decisions], in the same order. They count only if [currentTerm], that of the leader
+     * known by now, is still the batch's: a later leader may have decided otherwise.
+     */
+    fun completeDecided(batch: Batch, decisions: List<HeartbeatDecision>, currentTerm: Long?, nowMs: Long) {
+        if (currentTerm != batch.term || decisions.size != batch.entries.size) return completeUnanswered(batch)
         for ((entry, decision) in batch.entries.zip(decisions)) {
             when (decision) {
-                is HeartbeatDecision.Answer -> answered(entry, decision, nowMs)
-                HeartbeatDecision.Refuse -> entry.reply(ForwardOutcome.Unanswered)
-                HeartbeatDecision.RequestFull -> sendAgain(entry)
+                is HeartbeatDecision.Answer -> completeAnswered(entry, decision, nowMs)
+                HeartbeatDecision.Refuse -> entry.complete(ForwardOutcome.Unanswered)
+                HeartbeatDecision.RequestFull -> requeueAsFull(entry)
             }
         }
     }
 
-    private fun answered(entry: Waiting, answer: HeartbeatDecision.Answer, nowMs: Long) {
-        acknowledged[entry.report.machine] = entry.report
-        val inTime = nowMs - entry.arrivedMs < answerWithinMs
-        entry.reply(if (inTime) ForwardOutcome.Answered(answer.token, answer.commands) else ForwardOutcome.Unanswered)
+    private fun completeAnswered(entry: PendingHeartbeat, answer: HeartbeatDecision.Answer, nowMs: Long) {
+        acknowledged[entry.heartbeat.machine] = entry.heartbeat
+        val isInTime = nowMs - entry.arrivedMs < answerTimeoutMs
+        entry.complete(if (isInTime) ForwardOutcome.Answered(answer.token, answer.commands) else ForwardOutcome.Unanswered)
     }
 
-    private fun sendAgain(entry: Waiting) {
-        acknowledged.remove(entry.report.machine)
-        // A newer report of the machine may have come meanwhile; then this one has lost its sender.
-        val newer = waiting.putIfAbsent(entry.report.machine, entry)
-        if (newer != null) entry.reply(ForwardOutcome.Unanswered)
+    private fun requeueAsFull(entry: PendingHeartbeat) {
+        acknowledged.remove(entry.heartbeat.machine)
+        // A newer heartbeat of the machine may have come meanwhile; then the sender of this one has given up.
+        val newer = waiting.putIfAbsent(entry.heartbeat.machine, entry)
+        if (newer != null) entry.complete(ForwardOutcome.Unanswered)
     }
 
-    /** No decisions about [batch] came, or none that may be used. */
-    fun unanswered(batch: Batch) {
-        batch.entries.forEach { it.reply(ForwardOutcome.Unanswered) }
+    /** Completes [batch] without decisions: none came, or none that may be used. */
+    fun completeUnanswered(batch: Batch) {
+        batch.entries.forEach { it.complete(ForwardOutcome.Unanswered) }
     }
 
-    /** Nobody leads whom the waiting reports could go to. */
-    fun refuseAll() {
-        val refused = waiting.values.toList()
+    /** Completes every waiting heartbeat without a decision, since there is no leader to forward it to. */
+    fun completeAllUnanswered() {
+        val unanswered = waiting.values.toList()
         waiting.clear()
-        refused.forEach { it.reply(ForwardOutcome.Unanswered) }
+        unanswered.forEach { it.complete(ForwardOutcome.Unanswered) }
     }
 
     private fun dropExpired(nowMs: Long) {
-        val expired = waiting.values.filter { nowMs - it.arrivedMs >= answerWithinMs }
-        expired.forEach { waiting.remove(it.report.machine) }
-        expired.forEach { it.reply(ForwardOutcome.Unanswered) }
+        val expired = waiting.values.filter { nowMs - it.arrivedMs >= answerTimeoutMs }
+        expired.forEach { waiting.remove(it.heartbeat.machine) }
+        expired.forEach { it.complete(ForwardOutcome.Unanswered) }
     }
 
-    private fun forwarded(report: Heartbeat): ForwardedHeartbeat {
-        val base = acknowledged[report.machine]
-        if (base == null || !repeats(report, base)) return ForwardedHeartbeat.Full(report)
+    private fun forwarded(heartbeat: Heartbeat): ForwardedHeartbeat {
+        val base = acknowledged[heartbeat.machine]
+        if (base == null || !repeats(heartbeat, base)) return ForwardedHeartbeat.Full(heartbeat)
         return ForwardedHeartbeat.Unchanged(
-            report.machine,
-            report.incarnation,
-            report.sequenceNumber,
-            report.token,
-            report.preemptionNoticeS,
+            heartbeat.machine,
+            heartbeat.incarnation,
+            heartbeat.sequenceNumber,
+            heartbeat.token,
+            heartbeat.preemptionNoticeS,
             baseSequenceNumber = base.sequenceNumber,
         )
     }
 
-    private fun repeats(report: Heartbeat, base: Heartbeat) =
-        report.copy(sequenceNumber = base.sequenceNumber, token = base.token, preemptionNoticeS = base.preemptionNoticeS) == base
+    private fun repeats(heartbeat: Heartbeat, base: Heartbeat) =
+        heartbeat.copy(sequenceNumber = base.sequenceNumber, token = base.token, preemptionNoticeS = base.preemptionNoticeS) == base
 
     private fun estimatedBytes(forwarded: ForwardedHeartbeat): Int = when (forwarded) {
-        is ForwardedHeartbeat.Unchanged -> HEARTBEAT_BYTES + forwarded.machine.text.length
+        is ForwardedHeartbeat.Unchanged -> UNCHANGED_HEARTBEAT_BYTES + forwarded.machine.text.length
         is ForwardedHeartbeat.Full -> forwarded.report.run {
             val texts = machine.text.length + address.length + type.length + zone.length
             val tasksBytes = tasks.sumOf { TASK_BYTES + it.attempt.task.job.text.length }
-            REPORT_BYTES + BYTES_PER_CHAR * texts + tasksBytes
+            FULL_HEARTBEAT_BYTES + BYTES_PER_CHAR * texts + tasksBytes
         }
     }
 
     companion object {
-        /** So many reports are handed on at once; the estimated bytes bound batches of large reports. */
-        const val MAX_REPORTS = 400
+        /** With [MAX_BATCH_BYTES] as a second bound, for batches of large heartbeats. */
+        const val MAX_HEARTBEATS_PER_BATCH = 400
 
-        /** Half of what a body may hold, since sizes are estimates. A single report always fits by far. */
-        private const val MAX_BYTES = 32 * 1024
+        /** Half of a body, since sizes are estimates. A larger heartbeat is a batch of its own, which fits into a peer's body. */
+        private const val MAX_BATCH_BYTES = 32 * 1024
 
-        /** Machines come and go; forgetting the gone ones all at once costs the present ones one whole report each. */
+        /** Bounds the entries of machines that are gone. Clearing all at once costs each present machine one full heartbeat. */
         private const val MAX_ACKNOWLEDGED = 10_000
 
-        private const val HEARTBEAT_BYTES = 48
-        private const val REPORT_BYTES = 64
+        private const val UNCHANGED_HEARTBEAT_BYTES = 48
+        private const val FULL_HEARTBEAT_BYTES = 64
         private const val TASK_BYTES = 48
         private const val BYTES_PER_CHAR = 4
     }
--- a/src/main/kotlin/cleathitch/workers/WorkerClient.kt
+++ b/src/main/kotlin/cleathitch/workers/WorkerClient.kt
@@ -3,9 +3,10 @@
 import cleathitch.http.Address
 import cleathitch.http.CallResult
 import cleathitch.http.PooledHttpClient
-import cleathitch.http.answerWith
-import cleathitch.protocol.MalformedMessageException
+import cleathitch.http.ServiceError
+import cleathitch.http.ServiceResult
 import cleathitch.protocol.WorkerProtocol
+import cleathitch.protocol.decodeAnswer
 import cleathitch.scheduler.api.Effect
 import cleathitch.scheduler.model.Heartbeat
 import cleathitch.scheduler.model.MachineId
@@ -17,44 +18,60 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Sends orders directly where waiting for the next report would cost, and asks machines that skip reports.
- * Its connections aren't kept, and only [atOnce] are open: with one to each machine of a large fleet
- * beside the one each machine reports on, a node once ran out of sockets after a take-over, and so
- * of ways to renew its lease. An order that waits too long is in the machine's next answer anyway.
+ * Sends commands to workers where waiting for the next heartbeat would cost time, and probes machines whose heartbeats are
+ * overdue. Confined to the event loop of its `vertx`.
+ *
+ * Connections aren't kept alive, and at most [maxConcurrentCalls] are open: with a connection to each machine of a large fleet,
+ * beside the one on which each machine sends its heartbeats, the process runs out of sockets, and can't renew its lease. A
+ * command that waits too long for its turn is in the answer to the machine's next heartbeat anyway.
  */
-class WorkerClient(vertx: Vertx, private val timeoutMs: Long, private val probeMs: Long, atOnce: Int, meters: MeterRegistry) {
+class WorkerClient(
+    vertx: Vertx,
+    private val commandTimeoutMs: Long,
+    private val probeTimeoutMs: Long,
+    maxConcurrentCalls: Int,
+    meters: MeterRegistry,
+) {
     private val client = PooledHttpClient(vertx, "workers", maxConnections = 2, meters, keepAlive = false, logsOutages = false)
-    private val turns = Semaphore(atOnce)
+    private val permits = Semaphore(maxConcurrentCalls)
 
-    /** The machine's report in answer to the command; null if none came. */
-    suspend fun send(command: Effect.ToWorker): Heartbeat? = when (command) {
-        is Effect.SendCommands -> push(command)
-        is Effect.Probe -> inspect(command)
+    /** Sends [command]; the result is the heartbeat with which the worker answers, whether it carried the command out or not. */
+    suspend fun send(command: Effect.ToWorker): ServiceResult<Heartbeat> {
+        val text = addressOf(command)
+        val address = Address.parse(text) ?: return ServiceResult.Failure(ServiceError.InvalidAddress(text))
+        val result = when (command) {
+            is Effect.SendCommands -> sendCommands(address, command)
+            is Effect.Probe -> probe(address)
+        }
+        if (result is ServiceResult.Failure) logIfMalformed(command.machine, result.error)
+        return result
     }
 
-    /** The machine's report after the orders, whether it carried them out or not; null if none came. */
-    private suspend fun push(push: Effect.SendCommands): Heartbeat? {
-        val address = Address.parse(push.address) ?: return null
-        val body = WorkerProtocol.directCommands(push.token, push.incarnation, push.commands)
-        val result = turns.withPermit { client.call(address, HttpMethod.POST, "/do", body, timeoutMs) }
-        val answer = result.answerWith(200) ?: result.answerWith(409)
-        return answer?.let { report(push.machine, it) }
+    private fun addressOf(command: Effect.ToWorker) = when (command) {
+        is Effect.SendCommands -> command.address
+        is Effect.Probe -> command.address
     }
 
-    private suspend fun inspect(inspect: Effect.Probe): Heartbeat? {
-        val address = Address.parse(inspect.address) ?: return null
-        val result = turns.withPermit { client.call(address, HttpMethod.GET, "/inspect", null, probeMs) }
-        return result.answerWith(200)?.let { report(inspect.machine, it) }
+    private suspend fun sendCommands(address: Address, command: Effect.SendCommands): ServiceResult<Heartbeat> {
+        val body = WorkerProtocol.directCommands(command.token, command.incarnation, command.commands)
+        // A worker that rejects the token or the incarnation answers with its heartbeat too.
+        return call(address, HttpMethod.POST, "/do", body, commandTimeoutMs).decodeAnswer(OK, CONFLICT, decode = WorkerProtocol::heartbeat)
     }
 
-    private fun report(machine: MachineId, answer: CallResult.Answered): Heartbeat? = try {
-        WorkerProtocol.heartbeat(answer.body)
-    } catch (e: MalformedMessageException) {
-        log.error("a garbled report from machine {}: {}", machine, e.message)
-        null
+    private suspend fun probe(address: Address): ServiceResult<Heartbeat> =
+        call(address, HttpMethod.GET, "/inspect", null, probeTimeoutMs).decodeAnswer(OK, decode = WorkerProtocol::heartbeat)
+
+    private suspend fun call(address: Address, method: HttpMethod, path: String, body: ByteArray?, timeoutMs: Long): CallResult =
+        permits.withPermit { client.call(address, method, path, body, timeoutMs) }
+
+    private fun logIfMalformed(machine: MachineId, error: ServiceError) {
+        if (error !is ServiceError.MalformedAnswer) return
+        log.error("event=malformed_answer client=workers machine={} error=\"{}\"", machine, error.message)
     }
 
     private companion object {
         val log = LoggerFactory.getLogger("cleathitch.workers")
+        const val OK = 200
+        const val CONFLICT = 409
     }
 }
--- a/src/main/kotlin/cleathitch/workers/WorkerDistribution.kt
+++ b/src/main/kotlin/cleathitch/workers/WorkerDistribution.kt
@@ -3,46 +3,47 @@
 import cleathitch.scheduler.model.MachineId
 
 /**
- * Spreads the workers that come to the leader over its followers, which take reports in and hand them on.
+ * Spreads the workers that send heartbeats to the leader over its followers, which forward heartbeats in batches.
  *
- * Each follower gets new workers at a bounded pace: one that has just started is slow, and workers that wait too long for
- * its answers would come back all at once. A worker that comes back soon after it was sent away couldn't reach that
- * follower, and is served by the leader itself until it is sent to another one.
+ * Each follower gets new workers at a bounded rate: one that has just started is slow, and workers that wait too long for its
+ * answers would return all at once. A worker that returns soon after it was redirected couldn't reach that follower, and is
+ * served by the leader itself until it is redirected to another one. Confined to the leader's event loop.
  */
-class WorkerDistribution(private val reportMs: Long) {
-    private class Sent(val follower: String, val atMs: Long)
+class WorkerDistribution(private val heartbeatMs: Long) {
+    private class Redirect(val follower: String, val atMs: Long)
 
-    private val sent = HashMap<MachineId, Sent>()
-    private val lastSentMs = HashMap<String, Long>()
+    private val redirects = HashMap<MachineId, Redirect>()
+    private val lastRedirectMs = HashMap<String, Long>()
 
-    /** The follower that should serve [machine], or null if the leader should for now. */
+    /** The follower to which [machine] is redirected, or null if the leader serves it for now. */
     fun followerFor(machine: MachineId, followers: List<String>, nowMs: Long): String? {
-        if (keepsWith(machine, followers)) return null
-        val last = sent[machine]
-        if (last != null && nowMs - last.atMs < reportMs * RETRY_REPORTS) return null
+        if (isServedByLeader(machine, followers)) return null
+        val last = redirects[machine]
+        if (last != null && nowMs - last.atMs < heartbeatMs * RETRY_HEARTBEATS) return null
         val others = followers.filter { it != last?.follower }.ifEmpty { followers }
-        val follower = others.minByOrNull { lastSentMs[it] ?: Long.MIN_VALUE } ?: return null
-        if (nowMs - (lastSentMs[follower] ?: Long.MIN_VALUE / 2) < reportMs / WORKERS_PER_REPORT) return null
-        if (sent.size > MAX_SENT) sent.clear()
-        sent[machine] = Sent(follower, nowMs)
-        lastSentMs[follower] = nowMs
+        val follower = others.minByOrNull { lastRedirectMs[it] ?: Long.MIN_VALUE } ?: return null
+        if (nowMs - (lastRedirectMs[follower] ?: Long.MIN_VALUE / 2) < heartbeatMs / WORKERS_PER_HEARTBEAT_PERIOD) return null
+        if (redirects.size > MAX_REDIRECTS) redirects.clear()
+        redirects[machine] = Redirect(follower, nowMs)
+        lastRedirectMs[follower] = nowMs
         return follower
     }
 
-    /** With a single follower the leader takes a part itself, since the follower alone would do more than the leader. */
-    private fun keepsWith(machine: MachineId, followers: List<String>) =
-        followers.size == 1 && Math.floorMod(machine.hashCode(), KEPT_PART) == 0
+    /** With a single follower the leader serves a share itself, since the follower alone would have more work than the leader. */
+    private fun isServedByLeader(machine: MachineId, followers: List<String>) =
+        followers.size == 1 && Math.floorMod(machine.hashCode(), LEADER_SHARE) == 0
 
     private companion object {
-        /** A worker that comes back within so many report periods couldn't reach the follower; then it tries again. */
-        const val RETRY_REPORTS = 5
+        /** A worker that returns within this many heartbeat periods couldn't reach the follower; after them it is redirected again. */
+        const val RETRY_HEARTBEATS = 5
 
-        /** So many workers are sent to a follower within a report period. */
-        const val WORKERS_PER_REPORT = 150
+        /** Workers that are redirected to one follower within a heartbeat period. */
+        const val WORKERS_PER_HEARTBEAT_PERIOD = 150
 
-        const val KEPT_PART = 3
+        /** One worker in this many stays with the leader. */
+        const val LEADER_SHARE = 3
 
-        /** Machines come and go; forgetting the gone ones all at once costs the present ones one redirect. */
-        const val MAX_SENT = 100_000
+        /** Bounds the entries of machines that are gone. Clearing all at once costs each present machine one redirect. */
+        const val MAX_REDIRECTS = 100_000
     }
 }
--- a/src/test/kotlin/cleathitch/formats/PeerFormatTest.kt
+++ b/src/test/kotlin/cleathitch/formats/PeerFormatTest.kt
@@ -40,7 +40,7 @@
         "request-images" to PeerRequest.ImageCacheHints(
             listOf("img-1", "img-2"),
             listOf(0.5, 3.25),
-            listOf(PeerRequest.ImageCacheHints.Holder(machine, 2, listOf(1, 0))),
+            listOf(PeerRequest.ImageCacheHints.MachineCache(machine, 2, listOf(1, 0))),
         ),
         "request-batch" to PeerRequest.FollowerBatch(
             "n1",
--- a/src/test/kotlin/cleathitch/loopback/ConnectionLeakTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/ConnectionLeakTest.kt
@@ -1,6 +1,6 @@
 package cleathitch.loopback
 
-import cleathitch.cloud.CallPacer
+import cleathitch.cloud.CallRateLimiter
 import cleathitch.cloud.CloudClient
 import cleathitch.http.StubServer
 import cleathitch.metrics.MetricsText
@@ -43,15 +43,16 @@
 
     private val state = KeyValueStoreClient(vertx, server.address, TIMEOUT_MS, meters = meters)
     private val peers = PeerClient(vertx, meters)
-    private val workers = WorkerClient(vertx, TIMEOUT_MS, TIMEOUT_MS, atOnce = CALLS_AT_ONCE / 2, meters)
-    private val cloud = CloudClient(vertx, server.address, CallPacer(CLOUD_RPS, ::steadyMs), TIMEOUT_MS, ProcessingTimes(meters), meters)
+    private val workers = WorkerClient(vertx, TIMEOUT_MS, TIMEOUT_MS, maxConcurrentCalls = CALLS_AT_ONCE / 2, meters)
+    private val cloud =
+        CloudClient(vertx, server.address, CallRateLimiter(CLOUD_RPS, ::steadyMs), TIMEOUT_MS, ProcessingTimes(meters), meters)
 
     private val calls: Map<String, suspend () -> Any?> = mapOf(
         "state" to { state.extend(lease = 1) },
         "state-watch" to { state.follow("x", since = 1, waitMs = 0) },
         "peers" to { peers.ask(server.address, byteArrayOf(1), TIMEOUT_MS) },
         "workers" to { workers.send(Effect.Probe(MachineId("vm-000001"), server.address.toString())) },
-        "cloud" to { cloud.types() },
+        "cloud" to { cloud.machineTypes() },
     )
 
     @AfterEach
--- a/src/test/kotlin/cleathitch/peers/LeaderBatcherTest.kt
+++ b/src/test/kotlin/cleathitch/peers/LeaderBatcherTest.kt
@@ -15,25 +15,24 @@
 import kotlinx.coroutines.runBlocking
 import kotlinx.coroutines.withTimeout
 import org.junit.jupiter.api.Assertions.assertEquals
-import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Test
 
 /** Those who wait for a follower's batch get an answer, whatever becomes of it. */
 class LeaderBatcherTest {
     private val job = JobId("j-000001")
     private val done = UserReply.Status(job, JobState.DONE, 1, 0)
-    private val report =
+    private val heartbeat =
         Heartbeat(MachineId("vm-000001"), "10.0.0.1:9000", "m4", "a", false, 1, 7, FencingToken.first(9), null, emptyList())
     private var leader: KnownLeader? = KnownLeader("n1", 9)
     private var send: suspend (OutgoingBatch) -> BatchResult = { answered(it) }
-    private val batches = LeaderBatcher(intervalMs = 1, unreachableMs = 1000, ::nowMs, { leader }, { _, batch, _ -> send(batch) })
+    private val batcher = LeaderBatcher(intervalMs = 1, unreachableMs = 1000, ::nowMs, { leader }, { _, batch, _ -> send(batch) })
 
     private fun nowMs() = System.nanoTime() / 1_000_000
 
     private fun answered(batch: OutgoingBatch) = BatchResult.Answered(emptyList(), batch.polls.map { done })
 
     private fun whileRunning(test: suspend () -> Unit) = runBlocking {
-        val running = launch { batches.run() }
+        val running = launch { batcher.run() }
         withTimeout(PATIENCE_MS) { test() }
         running.cancelAndJoin()
     }
@@ -42,20 +41,20 @@
     fun `a batch that fails is unanswered, and the next one is sent`() = whileRunning {
         send = { throw IllegalArgumentException("garbled") }
         coroutineScope {
-            val status = async { batches.status(job) }
-            val outcome = async { batches.decide(report) }
-            assertNull(status.await())
+            val status = async { batcher.forwardPoll(job) }
+            val outcome = async { batcher.forwardHeartbeat(heartbeat) }
+            assertEquals(PollOutcome.Unanswered(PollOutcome.Reason.NO_ANSWER), status.await())
             assertEquals(ForwardOutcome.Unanswered, outcome.await())
         }
         send = { answered(it) }
-        assertEquals(done, batches.status(job))
+        assertEquals(PollOutcome.Answered(done), batcher.forwardPoll(job))
     }
 
     @Test
     fun `without a leader everything that waits is refused at once`() = whileRunning {
         leader = null
-        assertNull(batches.status(job))
-        assertEquals(ForwardOutcome.Unanswered, batches.decide(report))
+        assertEquals(PollOutcome.Unanswered(PollOutcome.Reason.NO_LEADER), batcher.forwardPoll(job))
+        assertEquals(ForwardOutcome.Unanswered, batcher.forwardHeartbeat(heartbeat))
     }
 
     /** One batch is under way at a time, so those who ask meanwhile neither take nor lose the place of those who asked before. */
@@ -69,10 +68,10 @@
             val polls = List(POLLS) { number ->
                 async {
                     delay(number.toLong())
-                    batches.status(job)
+                    batcher.forwardPoll(job)
                 }
             }
-            polls.forEach { assertEquals(done, it.await()) }
+            polls.forEach { assertEquals(PollOutcome.Answered(done), it.await()) }
         }
     }
 
@@ -84,12 +83,12 @@
             answered(it)
         }
         coroutineScope {
-            val polls = List(POLLS) { async { batches.status(job) } }
+            val polls = List(POLLS) { async { batcher.forwardPoll(job) } }
             delay(BATCH_MS / 2)
             polls.filterIndexed { number, _ -> number % 2 == 0 }.forEach { it.cancel() }
-            polls.filterIndexed { number, _ -> number % 2 == 1 }.forEach { assertEquals(done, it.await()) }
+            polls.filterIndexed { number, _ -> number % 2 == 1 }.forEach { assertEquals(PollOutcome.Answered(done), it.await()) }
         }
-        assertEquals(done, batches.status(job))
+        assertEquals(PollOutcome.Answered(done), batcher.forwardPoll(job))
     }
 
     private companion object {
--- a/src/test/kotlin/cleathitch/peers/PeerMessagesTest.kt
+++ b/src/test/kotlin/cleathitch/peers/PeerMessagesTest.kt
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Test
 
-/** What nodes say to each other arrives as it was sent, and what is garbled is told as such. */
+/** What nodes say to each other arrives as it was sent, and malformed messages are rejected. */
 class PeerMessagesTest {
     private val attempt = AttemptId(TaskId(JobId("j-000412"), 3), 7)
     private val token = FencingToken.first(9).next()
@@ -29,16 +29,16 @@
         TaskStatus(attempt, TaskState.RUNNING),
         TaskStatus(attempt.copy(number = 6), TaskState.EXITED, ExitReason.STOPPED, saved = true),
     )
-    private val report = Heartbeat(MachineId("vm-1"), "10.1.0.7:9000", "m4", "a", true, 2, 40, token, 4.5, tasks)
+    private val heartbeat = Heartbeat(MachineId("vm-1"), "10.1.0.7:9000", "m4", "a", true, 2, 40, token, 4.5, tasks)
     private val commands = listOf(WorkerCommand.Start(attempt), WorkerCommand.Stop(attempt, 2.5), WorkerCommand.Forget(attempt))
 
     private fun batch(): PeerRequest.FollowerBatch {
-        val queue = HeartbeatQueue(answerWithinMs = 3000)
-        queue.add(report, nowMs = 0) {}
-        queue.decided(queue.nextBatch(9, 0), listOf(HeartbeatDecision.Answer(token, commands)), currentTerm = 9, nowMs = 0)
-        queue.add(report.copy(sequenceNumber = 41, preemptionNoticeS = null), nowMs = 0) {}
-        queue.add(report.copy(machine = MachineId("vm-2")), nowMs = 0) {}
-        val outgoing = OutgoingBatch(queue.nextBatch(9, 0), listOf(JobId("j-1"), JobId("j-2")), listOf(DeliveryResult(9, 5, report)))
+        val queue = HeartbeatQueue(answerTimeoutMs = 3000)
+        queue.add(heartbeat, nowMs = 0) {}
+        queue.completeDecided(queue.nextBatch(9, 0), listOf(HeartbeatDecision.Answer(token, commands)), currentTerm = 9, nowMs = 0)
+        queue.add(heartbeat.copy(sequenceNumber = 41, preemptionNoticeS = null), nowMs = 0) {}
+        queue.add(heartbeat.copy(machine = MachineId("vm-2")), nowMs = 0) {}
+        val outgoing = OutgoingBatch(queue.nextBatch(9, 0), listOf(JobId("j-1"), JobId("j-2")), listOf(DeliveryResult(9, 5, heartbeat)))
         return PeerRequest.FollowerBatch.of("n1", outgoing)
     }
 
@@ -57,9 +57,9 @@
     fun `a batch arrives as it was sent`() {
         val received = PeerCodec.decodeRequest(PeerCodec.encode(batch())) as PeerRequest.FollowerBatch
         assertEquals(batch(), received)
-        val heartbeat = ForwardedHeartbeat.Unchanged(report.machine, 2, 41, token, preemptionNoticeS = null, baseSequenceNumber = 40)
-        assertEquals(listOf(ForwardedHeartbeat.Full(report.copy(machine = MachineId("vm-2"))), heartbeat), received.toReports())
-        assertEquals(report, received.directResults.single().report.toHeartbeat())
+        val unchanged = ForwardedHeartbeat.Unchanged(heartbeat.machine, 2, 41, token, preemptionNoticeS = null, baseSequenceNumber = 40)
+        assertEquals(listOf(ForwardedHeartbeat.Full(heartbeat.copy(machine = MachineId("vm-2"))), unchanged), received.toHeartbeats())
+        assertEquals(heartbeat, received.deliveryResults.single().heartbeat.toHeartbeat())
     }
 
     @Test
@@ -76,16 +76,16 @@
 
     @Test
     fun `commands arrive as they were sent`() {
-        val push = Effect.SendCommands(report.machine, report.address, 2, token, commands)
-        val inspect = Effect.Probe(report.machine, report.address)
-        val sent = PeerRequest.DeliverCommands("n1", 9, listOf(DeliveryMessage.of(1, push), DeliveryMessage.of(2, inspect)))
+        val command = Effect.SendCommands(heartbeat.machine, heartbeat.address, 2, token, commands)
+        val probe = Effect.Probe(heartbeat.machine, heartbeat.address)
+        val sent = PeerRequest.DeliverCommands("n1", 9, listOf(DeliveryMessage.of(1, command), DeliveryMessage.of(2, probe)))
         val received = PeerCodec.decodeRequest(PeerCodec.encode(sent)) as PeerRequest.DeliverCommands
-        assertEquals(listOf(push, inspect), received.commands.map { it.toCommand() })
+        assertEquals(listOf(command, probe), received.commands.map { it.toCommand() })
     }
 
-    /** Whatever else is thrown would end the coroutine that hands the reports on, and with it a follower's service. */
+    /** Whatever else is thrown would end the coroutine that forwards heartbeats, and with it a follower's service. */
     @Test
-    fun `messages that are cut off are told as garbled, wherever they end`() {
+    fun `messages that are cut off are rejected, wherever they end`() {
         val request = PeerCodec.encode(batch())
         for (size in request.indices) assertThrows(SerializationException::class.java) { PeerCodec.decodeRequest(request.copyOf(size)) }
         val answer = PeerCodec.encode(reply)
--- a/src/test/kotlin/cleathitch/peers/WorkerCommandDeliveryTest.kt
+++ b/src/test/kotlin/cleathitch/peers/WorkerCommandDeliveryTest.kt
@@ -1,5 +1,8 @@
 package cleathitch.peers
 
+import cleathitch.http.CallFailure
+import cleathitch.http.ServiceError
+import cleathitch.http.ServiceResult
 import cleathitch.scheduler.api.Effect
 import cleathitch.scheduler.api.Input
 import cleathitch.scheduler.model.AttemptId
@@ -39,17 +42,18 @@
             return followersTakeCommands
         }
 
-        override suspend fun toWorker(command: Effect.ToWorker): Heartbeat? {
+        override suspend fun toWorker(command: Effect.ToWorker): ServiceResult<Heartbeat> {
             direct += command.machine
-            return if (workersAnswer) report(command.machine) else null
+            if (!workersAnswer) return ServiceResult.Failure(ServiceError.NoAnswer(CallFailure.NO_ANSWER_IN_TIME))
+            return ServiceResult.Success(heartbeat(command.machine))
         }
     }
-    private val delivery = WorkerCommandDelivery(routes, openMs = 6000, { nowMs }, { posted += it })
+    private val delivery = WorkerCommandDelivery(routes, resultTimeoutMs = 6000, { nowMs }, { posted += it })
 
-    private fun report(machine: MachineId) =
+    private fun heartbeat(machine: MachineId) =
         Heartbeat(machine, "10.0.0.1:9000", "m4", "a", false, 1, 7, FencingToken.first(9), null, emptyList())
 
-    private fun push(machine: Int) = Effect.SendCommands(
+    private fun commandTo(machine: Int) = Effect.SendCommands(
         MachineId("vm-$machine"),
         "10.0.0.1:9000",
         1,
@@ -59,18 +63,18 @@
 
     private fun deliver(vararg commands: Effect.ToWorker) = runBlocking { delivery.deliver(this, commands.toList()) }
 
-    private fun result(id: Long, machine: Int) = DeliveryResultMessage(id, FullHeartbeatMessage.of(report(MachineId("vm-$machine"))))
+    private fun result(id: Long, machine: Int) = DeliveryResultMessage(id, FullHeartbeatMessage.of(heartbeat(MachineId("vm-$machine"))))
 
     @Test
     fun `commands go through the followers to which the workers report, in one request each`() {
-        deliver(push(1), push(2), push(3))
+        deliver(commandTo(1), commandTo(2), commandTo(3))
         assertEquals(mapOf("n1" to 2, "n2" to 1), throughFollowers.associate { it.first to it.second.size })
         assertEquals(emptyList<MachineId>(), direct)
     }
 
     @Test
     fun `commands go directly where no reachable follower is known`() {
-        deliver(push(4), push(5))
+        deliver(commandTo(4), commandTo(5))
         assertEquals(setOf("vm-4", "vm-5"), direct.map { it.text }.toSet())
         assertEquals(2, posted.count { it is Input.ProbeAnswered })
     }
@@ -78,38 +82,38 @@
     @Test
     fun `commands that a follower doesn't take go directly`() {
         followersTakeCommands = false
-        deliver(push(1), push(2))
+        deliver(commandTo(1), commandTo(2))
         assertEquals(listOf("vm-1", "vm-2"), direct.map { it.text })
     }
 
     @Test
     fun `a worker that gives no answer is told as such`() {
         workersAnswer = false
-        deliver(push(5))
+        deliver(commandTo(5))
         assertEquals(listOf<Input>(Input.DirectCallUnanswered(MachineId("vm-5"))), posted)
     }
 
     @Test
     fun `an answer through a follower counts once, and only from the machine that was asked`() {
-        deliver(push(1), push(3))
+        deliver(commandTo(1), commandTo(3))
         val (first, second) = throughFollowers.flatMap { it.second }.map { it.id }
-        delivery.answered(listOf(result(first, machine = 1), result(first, machine = 1), result(second, machine = 1)))
-        assertEquals(listOf<Input>(Input.ProbeAnswered(report(MachineId("vm-1")))), posted)
+        delivery.onDeliveryResults(listOf(result(first, machine = 1), result(first, machine = 1), result(second, machine = 1)))
+        assertEquals(listOf<Input>(Input.ProbeAnswered(heartbeat(MachineId("vm-1")))), posted)
     }
 
     /** By then the machine may be gone: a batch that was held up on its way shows nothing about it. */
     @Test
     fun `an answer that comes late doesn't count`() {
-        deliver(push(1))
+        deliver(commandTo(1))
         val id = throughFollowers.single().second.single().id
         nowMs = 6000
-        delivery.answered(listOf(result(id, machine = 1)))
+        delivery.onDeliveryResults(listOf(result(id, machine = 1)))
         assertEquals(emptyList<Input>(), posted)
     }
 
-    /** A machine that skips reports may have lost its follower: it is asked on more than one way. */
+    /** A machine whose heartbeats are overdue may have lost its follower: it is probed on more than one route. */
     @Test
-    fun `questions take turns between the followers and this node`() {
+    fun `probes take turns between the followers and this node`() {
         repeat(3) { deliver(Effect.Probe(MachineId("vm-1"), "10.0.0.1:9000")) }
         assertEquals(setOf("n1", "n2"), throughFollowers.map { it.first }.toSet())
         assertEquals(1, direct.size)
--- a/src/test/kotlin/cleathitch/protocol/ProtocolCodecTest.kt
+++ b/src/test/kotlin/cleathitch/protocol/ProtocolCodecTest.kt
@@ -163,7 +163,7 @@
             MachineId("vm-2") to ImageCache(1, mapOf("b" to 0.5)),
         )
         val part = PeerRequest.ImageCacheHints.of(held).single()
-        assertEquals(held, (PeerCodec.decodeRequest(PeerCodec.encode(part)) as PeerRequest.ImageCacheHints).held())
+        assertEquals(held, (PeerCodec.decodeRequest(PeerCodec.encode(part)) as PeerRequest.ImageCacheHints).toImageCaches())
         val leads = PeerRequest.AnnounceLeader("n0", "n0", 9)
         assertEquals(leads, PeerCodec.decodeRequest(PeerCodec.encode(leads)))
         assertThrows(SerializationException::class.java) { PeerCodec.decodeRequest(byteArrayOf(1, 2, 3)) }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
@@ -193,11 +193,11 @@
         private fun forwardReports() {
             if (scheduler != null || openBatch != null) return
             // It may as well take a deposed leader for the present one.
-            val leader = nodes.filter { it.scheduler != null }.randomOrNull(random) ?: return forwarding.refuseAll()
+            val leader = nodes.filter { it.scheduler != null }.randomOrNull(random) ?: return forwarding.completeAllUnanswered()
             val batch = forwarding.nextBatch(leader.term, steadyMs())
             if (batch.isEmpty) return
             openBatch = batch
-            after(maxOf(1, forwarding.timeLeftMs(batch, steadyMs()))) { close(batch) { forwarding.unanswered(batch) } }
+            after(maxOf(1, forwarding.timeLeftMs(batch, steadyMs()))) { close(batch) { forwarding.completeUnanswered(batch) } }
             val mine = life
             send {
                 leader.decide(batch) { decisions ->
@@ -205,7 +205,7 @@
                         if (life ==
                             mine
                         ) {
-                            close(batch) { forwarding.decided(batch, decisions, this@SimulatedCluster.leader?.term, steadyMs()) }
+                            close(batch) { forwarding.completeDecided(batch, decisions, this@SimulatedCluster.leader?.term, steadyMs()) }
                         }
                     }
                 }
@@ -224,7 +224,7 @@
             if (scheduler == null || term != batch.term) return
             val request = RequestId(++requests)
             batchAnswers[request] = { answer(it.decisions) }
-            take(Input.FollowerBatchReceived(request, batch.reports))
+            take(Input.FollowerBatchReceived(request, batch.heartbeats))
         }
 
         private var inFlight: Commit? = null
--- a/src/test/kotlin/cleathitch/workers/WorkerDistributionTest.kt
+++ b/src/test/kotlin/cleathitch/workers/WorkerDistributionTest.kt
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Workers that come to the leader; reports come every 6 s. */
+/** Workers that send heartbeats to the leader, every 6 s. */
 class WorkerDistributionTest {
-    private val distribution = WorkerDistribution(reportMs = 6000)
+    private val distribution = WorkerDistribution(heartbeatMs = 6000)
     private val followers = listOf("n1", "n2", "n3")
     private fun machine(number: Int) = MachineId("vm-%06d".format(number))
 
