--- a/src/main/kotlin/cleathitch/protocol/MessageCodec.kt
+++ b/src/main/kotlin/cleathitch/protocol/MessageCodec.kt
@@ -10,7 +10,7 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory
 import java.io.IOException
 
-/** A message that breaks its protocol: what is wrong, and in which field. Nothing of it may be used. */
+/** A message that breaks its protocol: what is wrong, and in which field. Nothing of such a message may be used. */
 class MalformedMessageException(message: String) : Exception(message) {
     // Thrown for input that can't be parsed, where the stack says nothing; filling it in would make a flood of bad input cost more.
     override fun fillInStackTrace(): Throwable = this
@@ -20,7 +20,7 @@
 object MessageCodec {
     private val mapper = ObjectMapper(MessagePackFactory()).enable(DeserializationFeature.FAIL_ON_READING_DUP_TREE_KEY)
 
-    /** The largest body of a request, in bytes, as the protocol limits it. */
+    /** The largest body of a request of a worker or a user, in bytes. */
     const val MAX_BODY = 64 * 1024
 
     /** An empty message, to be filled and passed to [encode]. */
--- /dev/null
+++ b/src/test/kotlin/cleathitch/http/CallOutcomeTest.kt
@@ -0,0 +1,23 @@
+package cleathitch.http
+
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Test
+
+/** Metrics and outage log agree on what counts as a refusal. */
+class CallOutcomeTest {
+    private fun outcome(status: Int) = CallOutcome.of(CallResult.Answered(status, ByteArray(0)))
+
+    @Test
+    fun `too many requests and server errors are refusals, other statuses are answers`() {
+        listOf(429, 500, 503, 599).forEach { assertEquals(CallOutcome.Refused(it), outcome(it)) }
+        listOf(200, 204, 400, 404, 409, 421, 428, 430, 499).forEach { assertEquals(CallOutcome.Answered, outcome(it)) }
+    }
+
+    @Test
+    fun `outcomes have the tags that operators know`() {
+        assertEquals("answered", outcome(200).metricTag)
+        assertEquals("refused", outcome(503).metricTag)
+        val failures = CallFailure.entries.map { CallOutcome.of(CallResult.Failed(it)).metricTag }
+        assertEquals(listOf("no_connection_in_time", "connect_failed", "no_answer_in_time", "connection_lost"), failures)
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/cleathitch/protocol/AnswerDecodingTest.kt
@@ -0,0 +1,33 @@
+package cleathitch.protocol
+
+import cleathitch.http.CallFailure
+import cleathitch.http.CallResult
+import cleathitch.http.ServiceError
+import cleathitch.http.ServiceResult
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Test
+
+/** An answer that can't be used comes with the reason. */
+class AnswerDecodingTest {
+    private val body = MessageCodec.encode(MessageCodec.newMap().put("arriendo", 7))
+
+    private fun decode(result: CallResult) = result.decodeAnswer(200, 409, decode = KeyValueStoreProtocol::lease)
+
+    private fun failure(error: ServiceError) = ServiceResult.Failure(error)
+
+    @Test
+    fun `an answer of each expected status is decoded`() {
+        listOf(200, 409).forEach { assertEquals(ServiceResult.Success(7L), decode(CallResult.Answered(it, body))) }
+    }
+
+    @Test
+    fun `every failure says why`() {
+        val failed = decode(CallResult.Failed(CallFailure.CONNECT_FAILED))
+        assertEquals(failure(ServiceError.NoAnswer(CallFailure.CONNECT_FAILED)), failed)
+        assertEquals(failure(ServiceError.UnexpectedStatus(503)), decode(CallResult.Answered(503, body)))
+        val empty = decode(CallResult.Answered(200, ByteArray(0)))
+        assertEquals(failure(ServiceError.MalformedAnswer("the body is empty")), empty)
+        assertNull(empty.valueOrNull())
+    }
+}
