--- a/src/main/kotlin/cleathitch/controller/Controller.kt
+++ b/src/main/kotlin/cleathitch/controller/Controller.kt
@@ -92,7 +92,7 @@
             LogStorage(store, PREFIX, LEADER_KEY, term, processingTimes, steadyMs),
             machineTypes.machineTypes,
             imageCacheHints.snapshot(),
-            newDelivery = { enqueue -> WorkerCommandDelivery(routes, openMs = reportMs, steadyMs, enqueue) },
+            newDelivery = { enqueue -> WorkerCommandDelivery(routes, resultTimeoutMs = reportMs, steadyMs, enqueue) },
             imageCacheHints::share,
             stepDown,
         )
--- a/src/main/kotlin/cleathitch/controller/HeartbeatRouter.kt
+++ b/src/main/kotlin/cleathitch/controller/HeartbeatRouter.kt
@@ -33,7 +33,7 @@
         if (role.activeTerm?.isReady == false || role.activeTerm == null && role.leader == null) return HttpReply(503)
         if (role.activeTerm == null && batches.leaderUnreachable) return reportTo(role.leader)
         val heartbeat = try {
-            processingTimes.measure(ProcessingStage.HEARTBEAT_DECODING) { WorkerProtocol.report(body) }
+            processingTimes.measure(ProcessingStage.HEARTBEAT_DECODING) { WorkerProtocol.heartbeat(body) }
         } catch (e: MalformedMessageException) {
             log.error("event=malformed_heartbeat error={}", logValue(e.message.orEmpty()))
             return HttpReply(400, UserProtocol.error(e.message.orEmpty()))
@@ -54,12 +54,12 @@
         }
     }
 
-    private suspend fun forward(heartbeat: Heartbeat): HttpReply = when (val outcome = batches.decide(heartbeat)) {
+    private suspend fun forward(heartbeat: Heartbeat): HttpReply = when (val outcome = batches.forwardHeartbeat(heartbeat)) {
         is ForwardOutcome.Answered -> HttpReply(200, WorkerProtocol.answer(outcome.token, outcome.commands))
         ForwardOutcome.Unanswered -> HttpReply(503)
     }
 
-    private fun reportTo(controller: String?) = HttpReply(421, WorkerProtocol.elsewhere(controller))
+    private fun reportTo(controller: String?) = HttpReply(421, WorkerProtocol.redirect(controller))
 
     private companion object {
         val log = LoggerFactory.getLogger("cleathitch.controller")
--- a/src/main/kotlin/cleathitch/controller/ImageCacheHintSharing.kt
+++ b/src/main/kotlin/cleathitch/controller/ImageCacheHintSharing.kt
@@ -28,7 +28,7 @@
     /** Keeps the hints of the present leader. */
     fun record(hints: PeerRequest.ImageCacheHints) {
         if (received.size > MAX_MACHINES) received.clear()
-        received += hints.held()
+        received += hints.toImageCaches()
     }
 
     /** A copy of the hints that earlier leaders have sent. */
--- a/src/main/kotlin/cleathitch/controller/MachineTypeDiscovery.kt
+++ b/src/main/kotlin/cleathitch/controller/MachineTypeDiscovery.kt
@@ -13,7 +13,7 @@
     /** Asks until the cloud names at least one type. */
     suspend fun run() {
         while (machineTypes.isEmpty()) {
-            machineTypes = cloud.types().orEmpty()
+            machineTypes = cloud.machineTypes().valueOrNull().orEmpty()
             if (machineTypes.isEmpty()) delay(retryMs)
         }
     }
--- a/src/main/kotlin/cleathitch/controller/PeerRequestHandler.kt
+++ b/src/main/kotlin/cleathitch/controller/PeerRequestHandler.kt
@@ -50,8 +50,8 @@
         role.stepDownIfOlderThan(batch.term, batch.from)
         val term = role.activeTerm?.takeIf { it.term.revision == batch.term && it.isReady } ?: return reply(503)
         contacts.recordContact(batch.from)
-        term.recordDeliveryResults(batch.directResults)
-        val heartbeats = processingTimes.measure(ProcessingStage.BATCH_DECODING) { batch.toReports() }
+        term.recordDeliveryResults(batch.deliveryResults)
+        val heartbeats = processingTimes.measure(ProcessingStage.BATCH_DECODING) { batch.toHeartbeats() }
         contacts.recordHeartbeats(batch.from, heartbeats.map { it.machine })
         return when (val outcome = term.requests.followerBatch(heartbeats, batch.polls)) {
             is RequestOutcome.Answered -> reply(outcome.answer)
@@ -69,8 +69,8 @@
     }
 
     private suspend fun deliver(term: Long, command: DeliveryMessage) {
-        val heartbeat = workers.send(command.toCommand())
-        if (heartbeat != null) batches.tell(DeliveryResult(term, command.id, heartbeat))
+        val heartbeat = workers.send(command.toCommand()).valueOrNull()
+        if (heartbeat != null) batches.forwardDeliveryResult(DeliveryResult(term, command.id, heartbeat))
     }
 
     private fun reply(status: Int) = PeerReply(status, leader = role.leader, term = role.leaderTerm)
--- a/src/main/kotlin/cleathitch/controller/UserRequestRouter.kt
+++ b/src/main/kotlin/cleathitch/controller/UserRequestRouter.kt
@@ -45,7 +45,7 @@
     /** Polls go to the leader in batches. */
     private suspend fun poll(job: JobId): HttpReply {
         if (role.knownLeader() == null || batches.leaderUnreachable) return unreachableLeader()
-        return batches.status(job)?.let(UserProtocol::reply) ?: unreachableLeader()
+        return batches.forwardPoll(job).replyOrNull()?.let(UserProtocol::reply) ?: unreachableLeader()
     }
 
     private suspend fun forward(method: String, path: String, body: ByteArray): HttpReply {
@@ -55,7 +55,7 @@
         return HttpReply(reply.status, reply.body, reply.retryAfterS)
     }
 
-    private fun unreachableLeader() = UserProtocol.elsewhere("no way to the leader")
+    private fun unreachableLeader() = UserProtocol.unavailableHere("no way to the leader")
 
     private companion object {
         /** Users wait 2 s for an answer; the rest of that is for the way to this controller and back. */
--- a/src/main/kotlin/cleathitch/election/LeaderRecord.kt
+++ b/src/main/kotlin/cleathitch/election/LeaderRecord.kt
@@ -3,8 +3,8 @@
 import cleathitch.protocol.KeyValueStoreProtocol
 import cleathitch.protocol.MalformedMessageException
 import cleathitch.protocol.MessageCodec
-import cleathitch.protocol.text
-import cleathitch.protocol.whole
+import cleathitch.protocol.requiredText
+import cleathitch.protocol.requiredLong
 import com.fasterxml.jackson.databind.node.ObjectNode
 
 /** The value of the leader's key: who leads, in which [incarnation] of its process, under which [lease]. */
@@ -21,7 +21,7 @@
 
         /** The record that [entry] holds, null if it is malformed. */
         fun decode(entry: KeyValueStoreProtocol.Entry): LeaderRecord? = try {
-            LeaderRecord(entry.value.text(MEMBER), entry.value.text(INCARNATION), entry.value.whole(LEASE))
+            LeaderRecord(entry.value.requiredText(MEMBER), entry.value.requiredText(INCARNATION), entry.value.requiredLong(LEASE))
         } catch (_: MalformedMessageException) {
             null
         }
--- a/src/main/kotlin/cleathitch/leader/CloudPolling.kt
+++ b/src/main/kotlin/cleathitch/leader/CloudPolling.kt
@@ -18,7 +18,7 @@
     private suspend fun pollMachineTypes() {
         val periodMs = (deployment.leaseS * MS_PER_SECOND).toLong()
         while (true) {
-            cloud.types()?.let { enqueue(Input.MachineTypesListed(it)) }
+            cloud.machineTypes().valueOrNull()?.let { enqueue(Input.MachineTypesListed(it)) }
             delay(periodMs)
         }
     }
@@ -27,7 +27,7 @@
     private suspend fun pollMachines() {
         val periodMs = (maxOf(deployment.listLagS, deployment.reportS) * MS_PER_SECOND).toLong()
         while (true) {
-            cloud.machines()?.let { enqueue(Input.MachinesListed(it)) }
+            cloud.machines().valueOrNull()?.let { enqueue(Input.MachinesListed(it)) }
             delay(periodMs)
         }
     }
--- a/src/main/kotlin/cleathitch/leader/EffectExecutor.kt
+++ b/src/main/kotlin/cleathitch/leader/EffectExecutor.kt
@@ -76,7 +76,7 @@
     }
 
     private fun terminate(effect: Effect.TerminateMachines) = scope.launch {
-        if (cloud.giveBack(effect.machines)) enqueue(Input.MachinesTerminated(effect.machines))
+        if (cloud.terminate(effect.machines)) enqueue(Input.MachinesTerminated(effect.machines))
     }
 
     private fun write(effect: Effect.Log) = when (effect.level) {
--- a/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
+++ b/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
@@ -59,7 +59,7 @@
         get() = if (isReady) "phase=leading queued_requests=${queue.queuedRequests}" else "phase=recovering storage=${logValue(storage.loadProgress.toString())}"
 
     /** Takes in what workers answered to commands that a follower delivered. */
-    fun recordDeliveryResults(results: List<DeliveryResultMessage>) = delivery.answered(results)
+    fun recordDeliveryResults(results: List<DeliveryResultMessage>) = delivery.onDeliveryResults(results)
 
     /** Ends every pending request. */
     fun end() = requests.close()
--- a/src/main/kotlin/cleathitch/storage/LogCodec.kt
+++ b/src/main/kotlin/cleathitch/storage/LogCodec.kt
@@ -3,8 +3,8 @@
 import cleathitch.protocol.KeyValueStoreProtocol
 import cleathitch.protocol.MalformedMessageException
 import cleathitch.protocol.MessageCodec
-import cleathitch.protocol.text
-import cleathitch.protocol.whole
+import cleathitch.protocol.requiredText
+import cleathitch.protocol.requiredLong
 import cleathitch.scheduler.log.FinishedJobsSnapshot
 import cleathitch.scheduler.log.InventorySnapshot
 import cleathitch.scheduler.log.JobSnapshot
@@ -56,7 +56,7 @@
     }
 
     /** The head that [node] holds; throws [MalformedMessageException] if it isn't one. */
-    fun head(node: JsonNode) = StoredValue.Head(LogIndex(node.whole(HEAD_INDEX_FIELD)), Term(node.whole(HEAD_TERM_FIELD)))
+    fun head(node: JsonNode) = StoredValue.Head(LogIndex(node.requiredLong(HEAD_INDEX_FIELD)), Term(node.requiredLong(HEAD_TERM_FIELD)))
 
     /**
      * Puts together what stands under the deployment's keys; the keys of [entries] are those of [cleathitch.scheduler.log.LogKeys].
@@ -74,7 +74,7 @@
 
     /** The value whose [parts] are given in their order. */
     internal fun <T> decode(serializer: KSerializer<T>, parts: List<JsonNode>): T {
-        val text = parts.joinToString("") { it.text(CBOR_FIELD) }
+        val text = parts.joinToString("") { it.requiredText(CBOR_FIELD) }
         return cbor.decodeFromByteArray(serializer, Base64.getDecoder().decode(text))
     }
 }
--- a/src/test/kotlin/cleathitch/loopback/ConnectionLeakTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/ConnectionLeakTest.kt
@@ -1,6 +1,6 @@
 package cleathitch.loopback
 
-import cleathitch.cloud.CallPacer
+import cleathitch.cloud.CallRateLimiter
 import cleathitch.cloud.CloudClient
 import cleathitch.http.StubServer
 import cleathitch.metrics.MetricsText
@@ -43,9 +43,9 @@
 
     private val state = KeyValueStoreClient(vertx, server.address, TIMEOUT_MS, meters = meters)
     private val peers = PeerClient(vertx, meters)
-    private val workers = WorkerClient(vertx, TIMEOUT_MS, TIMEOUT_MS, atOnce = CONCURRENT_CALLS / 2, meters)
+    private val workers = WorkerClient(vertx, TIMEOUT_MS, TIMEOUT_MS, maxConcurrentCalls = CONCURRENT_CALLS / 2, meters)
     private val cloud =
-        CloudClient(vertx, server.address, CallPacer(CLOUD_CALLS_PER_S, ::steadyMs), TIMEOUT_MS, ProcessingTimes(meters), meters)
+        CloudClient(vertx, server.address, CallRateLimiter(CLOUD_CALLS_PER_S, ::steadyMs), TIMEOUT_MS, ProcessingTimes(meters), meters)
 
     /** One call of each client, by the client's name in the metrics. */
     private val calls: Map<String, suspend () -> Any?> = mapOf(
@@ -53,7 +53,7 @@
         "state-watch" to { state.watch("x", since = 1, waitMs = 0) },
         "peers" to { peers.ask(server.address, byteArrayOf(1), TIMEOUT_MS) },
         "workers" to { workers.send(Effect.Probe(MachineId("vm-000001"), server.address.toString())) },
-        "cloud" to { cloud.types() },
+        "cloud" to { cloud.machineTypes() },
     )
 
     @AfterEach
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedController.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedController.kt
@@ -118,7 +118,7 @@
     fun receive(batch: HeartbeatQueue.Batch, answer: (List<HeartbeatDecision>) -> Unit) {
         if (!leadsIn(batch.term)) return
         val request = cluster.pendingRequests.ofFollowerBatch { answer(it.decisions) }
-        handle(Input.FollowerBatchReceived(request, batch.reports))
+        handle(Input.FollowerBatchReceived(request, batch.heartbeats))
     }
 
     private fun clockReading() = ClockReading(steadyMs(), events.nowMs)
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedForwarder.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedForwarder.kt
@@ -23,17 +23,17 @@
     fun forward() {
         if (openBatch != null) return
         // A follower may take a deposed leader for the present one.
-        val leader = cluster.randomLeader() ?: return queue.refuseAll()
+        val leader = cluster.randomLeader() ?: return queue.completeAllUnanswered()
         val batch = queue.nextBatch(leader.term, follower.steadyMs())
         if (batch.isEmpty) return
         openBatch = batch
-        cluster.events.after(maxOf(1, queue.timeLeftMs(batch, follower.steadyMs()))) { close(batch) { queue.unanswered(batch) } }
+        cluster.events.after(maxOf(1, queue.timeLeftMs(batch, follower.steadyMs()))) { close(batch) { queue.completeUnanswered(batch) } }
         val sendingRun = follower.processRun
         cluster.network.send {
             leader.receive(batch) { decisions ->
                 cluster.network.send {
                     if (follower.processRun == sendingRun) {
-                        close(batch) { queue.decided(batch, decisions, cluster.leader?.term, follower.steadyMs()) }
+                        close(batch) { queue.completeDecided(batch, decisions, cluster.leader?.term, follower.steadyMs()) }
                     }
                 }
             }
