--- a/src/main/kotlin/cleathitch/peers/PeerRequest.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerRequest.kt
@@ -76,7 +76,7 @@
             fun of(from: String, batch: OutgoingBatch) = FollowerBatch(
                 from,
                 batch.reports.term,
-                batch.reports.reports.filterIsInstance<ForwardedHeartbeat.Full>().map { FullHeartbeatMessage.of(it.report) },
+                batch.reports.reports.filterIsInstance<ForwardedHeartbeat.Full>().map { FullHeartbeatMessage.of(it.heartbeat) },
                 batch.reports.reports.filterIsInstance<ForwardedHeartbeat.Unchanged>().map(UnchangedHeartbeatMessage::of),
                 batch.polls,
                 batch.directResults.map { DeliveryResultMessage(it.id, FullHeartbeatMessage.of(it.report)) },
--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -138,7 +138,7 @@
             is Input.Cancel -> jobRequests.abort(input)
             is Input.HeartbeatReceived -> heartbeats.heartbeatReceived(input)
             is Input.FollowerBatchReceived -> followerBatchReceived(input)
-            is Input.ProbeAnswered -> heartbeats.probeAnswered(input.report)
+            is Input.ProbeAnswered -> heartbeats.probeAnswered(input.heartbeat)
             is Input.DirectCallUnanswered -> heartbeats.directCallUnanswered(input.machine)
             is Input.LeaseRenewed -> lease.renew(input.untilMs)
             is Input.CommitSucceeded -> commitSucceeded(input)
@@ -152,7 +152,7 @@
     }
 
     private fun followerBatchReceived(input: Input.FollowerBatchReceived) {
-        val decisions = input.reports.map(heartbeats::decideForwarded)
+        val decisions = input.heartbeats.map(heartbeats::decideForwarded)
         val statuses = input.polls.map {
             if (hasSteppedDown) UserReply.Unavailable("not the leader any more") else jobRequests.currentStatus(it)
         }
--- a/src/main/kotlin/cleathitch/scheduler/api/Effect.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/Effect.kt
@@ -8,22 +8,30 @@
 import cleathitch.scheduler.model.RequestId
 import cleathitch.scheduler.model.WorkerCommand
 
-/** What the engine wants done, in this order. */
+/** What the scheduler wants done, to be executed in the order given. */
 sealed interface Effect {
+    /** Answers a user's submission, poll or cancellation. */
     data class Answer(val request: RequestId, val reply: UserReply) : Effect
+
+    /** Answers a worker's heartbeat, which renews its lease, with [commands] under [token]. */
     data class AnswerHeartbeat(val request: RequestId, val token: FencingToken, val commands: List<WorkerCommand>) : Effect
+
+    /** Turns a worker's heartbeat down, so that its lease isn't renewed. */
     data class RefuseHeartbeat(val request: RequestId) : Effect
 
-    /** The decisions about a follower's reports and the answers to its polls, each in the order of the batch. */
+    /** Answers a follower's batch: the decisions about its heartbeats and the answers to its polls, each in the batch's order. */
     data class AnswerFollower(val request: RequestId, val decisions: List<HeartbeatDecision>, val statuses: List<UserReply> = emptyList()) :
         Effect
+
+    /** Commits changes to the key-value store. At most one commit is in flight. */
     data class Write(val commit: Commit) : Effect
 
-    /** Something that goes to a worker other than as the answer to its report. */
+    /** A direct call to a worker, other than the answer to its heartbeat. */
     sealed interface ToWorker : Effect {
         val machine: MachineId
     }
 
+    /** Sends commands to a worker; they count only in its session [incarnation], and under [token]. */
     data class SendCommands(
         override val machine: MachineId,
         val address: String,
@@ -32,15 +40,21 @@
         val commands: List<WorkerCommand>,
     ) : ToWorker
 
-    /** Asks a machine for its report. */
+    /** Asks a worker for a heartbeat. */
     data class Probe(override val machine: MachineId, val address: String) : ToWorker
+
+    /** Asks the cloud for machines. The cloud treats a repeated request as the same rental. */
     data class Rent(val asked: Event.RentalRequested) : Effect
+
+    /** Asks the cloud to terminate machines. */
     data class TerminateMachines(val machines: List<MachineId>) : Effect
 
-    /** For the followers, of which one may lead next. */
+    /** Shares the machines' image caches with the followers, one of which may lead next. */
     data class ShareImageCacheHints(val images: Map<MachineId, ImageCache>) : Effect
 
-    /** Gives the term up; [transferLeadership] leaves the next one to others, who are better placed. */
+    /** Gives the term up; [transferLeadership] leaves the next one to other nodes, which are better placed. */
     data class StepDown(val reason: String, val transferLeadership: Boolean = false) : Effect
+
+    /** Writes a log line. */
     data class Log(val level: LogLevel, val text: String) : Effect
 }
--- a/src/main/kotlin/cleathitch/scheduler/api/ForwardedHeartbeat.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/ForwardedHeartbeat.kt
@@ -4,18 +4,18 @@
 import cleathitch.scheduler.model.Heartbeat
 import cleathitch.scheduler.model.MachineId
 
-/** A worker's report as a follower passes it on to the leader. */
+/** A worker's heartbeat as a follower passes it on to the leader. */
 sealed interface ForwardedHeartbeat {
     val machine: MachineId
 
-    /** The report as the worker sent it. */
-    data class Full(val report: Heartbeat) : ForwardedHeartbeat {
-        override val machine get() = report.machine
+    /** The heartbeat as the worker sent it. */
+    data class Full(val heartbeat: Heartbeat) : ForwardedHeartbeat {
+        override val machine get() = heartbeat.machine
     }
 
     /**
-     * A report that equals an earlier one of the same session in everything but its sequence number, version and
-     * spot notice. [baseSequenceNumber] is the sequence number of that earlier report, which this leader acknowledged.
+     * A heartbeat that equals an earlier one of the same session, its base, in everything but sequence number, token and
+     * preemption notice. [baseSequenceNumber] is the base's sequence number; this leader has acknowledged the base.
      */
     data class Unchanged(
         override val machine: MachineId,
--- a/src/main/kotlin/cleathitch/scheduler/api/HeartbeatDecision.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/HeartbeatDecision.kt
@@ -3,13 +3,14 @@
 import cleathitch.scheduler.model.FencingToken
 import cleathitch.scheduler.model.WorkerCommand
 
-/** What the leader decided about one report. Only an [Answer] may renew a worker's lease. */
+/** What the leader decided about one heartbeat. Only an [Answer] may renew a worker's lease. */
 sealed interface HeartbeatDecision {
+    /** The worker is answered with [commands] under [token]. */
     data class Answer(val token: FencingToken, val commands: List<WorkerCommand>) : HeartbeatDecision
 
     /** The worker must not get an answer that renews its lease. */
     data object Refuse : HeartbeatDecision
 
-    /** The leader doesn't hold the heartbeat's base, and decides once it has the whole report. */
+    /** The leader doesn't hold the base of an unchanged heartbeat, and decides once it has the full one. */
     data object RequestFull : HeartbeatDecision
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatIntake.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatIntake.kt
@@ -29,7 +29,7 @@
 ) {
     /** A heartbeat that a worker sent to this node itself. */
     fun heartbeatReceived(input: Input.HeartbeatReceived) {
-        when (val decision = decide(input.report)) {
+        when (val decision = decide(input.heartbeat)) {
             is HeartbeatDecision.Answer -> context.emit(Effect.AnswerHeartbeat(input.request, decision.token, decision.commands))
             HeartbeatDecision.Refuse, HeartbeatDecision.RequestFull -> context.emit(Effect.RefuseHeartbeat(input.request))
         }
@@ -41,7 +41,7 @@
     fun decideForwarded(forwarded: ForwardedHeartbeat): HeartbeatDecision {
         if (context.hasSteppedDown || !context.mayAnswerMachines()) return HeartbeatDecision.Refuse
         val decision = when (forwarded) {
-            is ForwardedHeartbeat.Full -> decide(forwarded.report)
+            is ForwardedHeartbeat.Full -> decide(forwarded.heartbeat)
             is ForwardedHeartbeat.Unchanged -> decideUnchanged(forwarded)
         }
         if (decision is HeartbeatDecision.Answer) {
--- a/src/main/kotlin/cleathitch/workers/HeartbeatQueue.kt
+++ b/src/main/kotlin/cleathitch/workers/HeartbeatQueue.kt
@@ -133,7 +133,7 @@
 
     private fun estimatedBytes(forwarded: ForwardedHeartbeat): Int = when (forwarded) {
         is ForwardedHeartbeat.Unchanged -> HEARTBEAT_BYTES + forwarded.machine.text.length
-        is ForwardedHeartbeat.Full -> forwarded.report.run {
+        is ForwardedHeartbeat.Full -> forwarded.heartbeat.run {
             val texts = machine.text.length + address.length + type.length + zone.length
             val tasksBytes = tasks.sumOf { TASK_BYTES + it.attempt.task.job.text.length }
             REPORT_BYTES + BYTES_PER_CHAR * texts + tasksBytes
