--- a/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
+++ b/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
@@ -116,7 +116,9 @@
             val machines = LinkedHashSet<Machine>()
             for (victim in roomMade.victims) {
                 victim.requestStop(StopCause.PREEMPTED)
-                context.logEvent(LogLevel.DEBUG) { "task ${victim.id} on machine ${victim.machine} makes room for job ${job.id}" }
+                context.logEvent(LogLevel.DEBUG) {
+                    "event=attempt_preempted attempt=${victim.id} machine=${victim.machine} for_job=${job.id}"
+                }
                 inventory.machines[victim.machine]?.let { machines += it }
             }
             machines.forEach(dispatcher::push)
@@ -142,7 +144,9 @@
         val seq = context.append(Event.AttemptStarted(job.id, index, number, machine.id))
         machine.recordUse(context.now.steadyMs)
         dispatcher.pushAfter(seq, machine.id)
-        context.logEvent(LogLevel.DEBUG) { "task ${job.id}/$index#${job.lastNumber} goes to machine ${machine.id} with record $seq" }
+        context.logEvent(LogLevel.DEBUG) {
+            "event=attempt_started attempt=${job.id}/$index#${job.lastNumber} machine=${machine.id} record=${seq.number}"
+        }
     }
 
     private companion object {
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
@@ -10,7 +10,13 @@
  * A job from its acceptance until nothing of it runs any more. Owned by [JobTable], which applies the events to it; confined
  * to the leader's event loop.
  */
-class Job(val spec: JobSpec, val wallMs: Long, val acceptedSeq: LogIndex) {
+class Job(
+    val spec: JobSpec,
+    /** The wall clock's time of the acceptance, from which the job's age is counted across terms. */
+    val wallMs: Long,
+    /** The record that accepts the job: nothing of it is shown to users before that is committed. */
+    val acceptedSeq: LogIndex,
+) {
     val id: JobId get() = spec.id
 
     private val completedTasks = BitSet()
--- a/src/main/kotlin/cleathitch/scheduler/machines/CommandDispatcher.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/CommandDispatcher.kt
@@ -110,14 +110,20 @@
         committed.values.flatMapTo(LinkedHashSet()) { it }.forEach { id -> inventory.machines[id]?.let(::push) }
     }
 
+    private fun describe(command: WorkerCommand) = when (command) {
+        is WorkerCommand.Start -> "command=start attempt=${command.attempt}"
+        is WorkerCommand.Stop -> "command=stop attempt=${command.attempt} grace_s=${command.graceS}"
+        is WorkerCommand.Forget -> "command=forget attempt=${command.attempt}"
+    }
+
     /** Nothing is sent when the current range of tokens is used up: a message without a new token couldn't be fenced. */
     private fun commandsFor(machine: Machine) = if (token.countLeft == 0L) emptyList() else workerReconciler.commandsFor(machine)
 
     private fun recordSent(machine: Machine, commands: List<WorkerCommand>) {
         for (command in commands) {
             context.logEvent(LogLevel.DEBUG) {
-                "$command to machine ${machine.id} session ${machine.incarnation} under version $token; " +
-                    "records up to ${decisionLog.committed} are committed"
+                "event=command_sent ${describe(command)} machine=${machine.id} " +
+                    "incarnation=${machine.incarnation} token=$token committed=${decisionLog.committed.number}"
             }
             if (command is WorkerCommand.Start) {
                 jobTable.attempt(command.attempt)?.recordSent(token, machine.incarnation)
--- a/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatIntake.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatIntake.kt
@@ -45,9 +45,7 @@
             is ForwardedHeartbeat.Unchanged -> decideUnchanged(forwarded)
         }
         if (decision is HeartbeatDecision.Answer) {
-            directReachability.recordForwardedHeartbeat(
-                inventory.machines.getValue(forwarded.machine),
-            )
+            directReachability.recordForwardedHeartbeat(inventory.machines.getValue(forwarded.machine))
         }
         return decision
     }
@@ -119,7 +117,9 @@
 
     private fun recordUp(machine: Machine) {
         machine.recordUp(context.now.steadyMs)
-        context.logEvent(LogLevel.INFO) { "machine ${machine.id} ${machine.offer} is up" }
+        context.logEvent(LogLevel.INFO) {
+            "event=machine_up machine=${machine.id} type=${machine.offer.type} zone=${machine.offer.zone} spot=${machine.offer.spot}"
+        }
     }
 
     /** Stops what can save its progress on a machine that is about to be preempted, so that it is saved in time. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatReconciler.kt
@@ -84,7 +84,7 @@
         machine.recordImage(attempt.job.spec.image, attempt.job.spec.imageGb)
         if (attempt.runningSinceMs != null) return
         attempt.recordRunning(context.now.steadyMs)
-        context.logEvent(LogLevel.DEBUG) { "task ${attempt.id} runs on machine ${machine.id}" }
+        context.logEvent(LogLevel.DEBUG) { "event=attempt_running attempt=${attempt.id} machine=${machine.id}" }
     }
 
     private fun recordExit(machine: Machine, attempt: Attempt, task: TaskStatus) {
@@ -95,7 +95,7 @@
                 machine.recordTaskFailure()
                 delayRetry(job)
                 context.logEvent(LogLevel.INFO) {
-                    "task ${attempt.id} failed on machine ${machine.id} (failure ${machine.faults} there)"
+                    "event=attempt_failed attempt=${attempt.id} machine=${machine.id} failures_on_machine=${machine.faults}"
                 }
             }
             ExitReason.UNKNOWN -> delayRetry(job)
@@ -103,7 +103,9 @@
             ExitReason.BUSY, ExitReason.STOPPED, ExitReason.PEERS_MISSING, null -> Unit
         }
         if (task.exitReason != ExitReason.DONE) {
-            context.logEvent(LogLevel.DEBUG) { "task ${attempt.id} ended on machine ${machine.id}: ${task.exitReason}" }
+            context.logEvent(LogLevel.DEBUG) {
+                "event=attempt_exited attempt=${attempt.id} machine=${machine.id} reason=${task.exitReason}"
+            }
         }
         recordTermination(attempt)
     }
@@ -112,13 +114,13 @@
     private fun recordCompletion(machine: Machine, job: Job, attempt: AttemptId) {
         val index = attempt.task.index
         if (job.isDone(index)) return
-        context.logEvent(LogLevel.DEBUG) { "task $attempt is done" }
+        context.logEvent(LogLevel.DEBUG) { "event=task_completed attempt=$attempt machine=${machine.id}" }
         workerReconciler.recordOutcome(machine.id, attempt, context.append(Event.TaskCompleted(job.id, index, attempt.number)))
         job.recordSuccess()
         job.liveAttempts[index]?.requestStop(StopCause.STRAY)
         if (jobTable.attemptsOn(machine.id).isEmpty()) machine.recordUse(context.now.steadyMs)
         job.stopIfOver()
-        if (job.finishedSeq != null) context.logEvent(LogLevel.DEBUG) { "job ${job.id} is done" }
+        if (job.finishedSeq != null) context.logEvent(LogLevel.DEBUG) { "event=job_completed job=${job.id}" }
     }
 
     /** A failing job is tried ever more rarely, down to once in a worker's lease. */
