--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -9,7 +9,6 @@
 import cleathitch.scheduler.capacity.CloudInventoryIntake
 import cleathitch.scheduler.capacity.CloudRequests
 import cleathitch.scheduler.capacity.FleetScaling
-import cleathitch.scheduler.jobs.Attempt
 import cleathitch.scheduler.jobs.JobTable
 import cleathitch.scheduler.jobs.Quota
 import cleathitch.scheduler.log.DecisionLog
@@ -62,7 +61,6 @@
     private val decisionLog = DecisionLog(deployment, sizes)
     private val lease = TermLease(context, timings, inventory, start, isFirstTerm = recovered.head == LogIndex.NONE)
     private val logWriter = LogWriter(context, deployment, timings, term, decisionLog, jobTable, inventory, start)
-    private val jobRequests = JobRequests(context, jobTable, decisionLog, inventory, quota, deployment.teams, timings.intakeMs)
 
     private val registry = MachineRegistry(context, deployment, timings, inventory, start)
     private val cloudRequests = CloudRequests(
@@ -78,6 +76,8 @@
     private val failureDetector = FailureDetector(context, inventory, jobTable, timings, start.steadyMs, cloudRequests::retire)
     private val workerReconciler = WorkerReconciler(jobTable, decisionLog)
     private val dispatcher = CommandDispatcher(context, term, jobTable, inventory, decisionLog, workerReconciler, failureDetector)
+    private val jobRequests =
+        JobRequests(context, jobTable, decisionLog, inventory, quota, deployment.teams, timings.intakeMs, dispatcher::stopAfter)
     private val reconciler =
         HeartbeatReconciler(context, deployment, timings, inventory, jobTable, workerReconciler, failureDetector)
     private val directReachability = DirectReachability(timings.probeMs)
@@ -185,13 +185,12 @@
         override val listeningSinceMs get() = lease.listeningSinceMs
         override val hasSteppedDown get() = this@Scheduler.hasSteppedDown
 
-        override fun leaseHeld() = lease.isHeld()
+        override fun isLeaseHeld() = lease.isHeld()
         override fun mayAnswerMachines() = lease.mayAnswerMachines()
         override fun mayPlace() = lease.mayPlace()
         override fun isSettled() = lease.isSettled()
-        override fun stalled() = logWriter.isStalled()
+        override fun isStalled() = logWriter.isStalled()
         override fun append(event: Event) = logWriter.append(event)
-        override fun stopAfter(seq: LogIndex, attempts: Collection<Attempt>) = dispatcher.stopAfter(seq, attempts)
         override fun isLogged(level: LogLevel) = level <= logLevel
 
         override fun emit(effect: Effect) {
--- a/src/main/kotlin/cleathitch/scheduler/api/SchedulerContext.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerContext.kt
@@ -1,6 +1,5 @@
 package cleathitch.scheduler.api
 
-import cleathitch.scheduler.jobs.Attempt
 import cleathitch.scheduler.log.Event
 import cleathitch.scheduler.log.LogIndex
 import cleathitch.scheduler.model.ClockReading
@@ -17,7 +16,7 @@
     val hasSteppedDown: Boolean
 
     /** Whether the leader's lease still runs; without it nothing may be decided, and no user answered. */
-    fun leaseHeld(): Boolean
+    fun isLeaseHeld(): Boolean
 
     /** Whether heartbeats may be answered: during the lease and for a grace period beyond it. */
     fun mayAnswerMachines(): Boolean
@@ -29,14 +28,11 @@
     fun isSettled(): Boolean
 
     /** Whether the key-value store leaves a commit without an answer for long. */
-    fun stalled(): Boolean
+    fun isStalled(): Boolean
 
     /** Applies the event in memory and queues it for the log; returns the index of the record that will hold it. */
     fun append(event: Event): LogIndex
 
-    /** Sends the stops of these attempts as soon as the record is committed. */
-    fun stopAfter(seq: LogIndex, attempts: Collection<Attempt>)
-
     /** Adds an effect to those of the batch. */
     fun emit(effect: Effect)
 
--- a/src/main/kotlin/cleathitch/scheduler/machines/MachineWatch.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/MachineWatch.kt
@@ -27,7 +27,7 @@
     /** Watches every machine once; the caller keeps the period. */
     fun watch() {
         endExpiredLeases()
-        if (context.leaseHeld() && context.now.steadyMs - startedMs < timings.failoverMs) failureDetector.probeUnseen()
+        if (context.isLeaseHeld() && context.now.steadyMs - startedMs < timings.failoverMs) failureDetector.probeUnseen()
         if (!context.isSettled()) return
         inventory.machines.values.forEach(failureDetector::expectIfRunning)
         transferLeadershipIfUnreachable()
--- a/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
@@ -7,6 +7,7 @@
 import cleathitch.scheduler.api.SchedulerContext
 import cleathitch.scheduler.api.UserReply
 import cleathitch.scheduler.api.logEvent
+import cleathitch.scheduler.jobs.Attempt
 import cleathitch.scheduler.jobs.Job
 import cleathitch.scheduler.jobs.JobTable
 import cleathitch.scheduler.jobs.Quota
@@ -31,6 +32,8 @@
     private val quota: Quota,
     private val teams: Map<String, Team>,
     private val intakeMs: Long,
+    /** Sends the stops of attempts as soon as a record is committed. */
+    private val stopAfter: (LogIndex, Collection<Attempt>) -> Unit,
 ) {
     private class Gate(val seq: LogIndex, val answer: Effect.Answer, val giveUpMs: Long)
 
@@ -67,14 +70,14 @@
 
     fun submit(command: Input.Submit) {
         val (request, spec) = command
-        if (!context.leaseHeld()) return answer(request, UserReply.Unavailable("no lease"))
+        if (!context.isLeaseHeld()) return answer(request, UserReply.Unavailable("no lease"))
         jobTable.finalState(spec.id)?.let { return answer(request, UserReply.Accepted(spec.id, shown(it), known = true)) }
         jobTable.job(spec.id)?.let { job ->
             return gate(job.acceptedSeq, Effect.Answer(request, UserReply.Accepted(job.id, shownState(job), known = true)))
         }
         if (fleet.types.isEmpty()) return answer(request, UserReply.Unavailable("machine types aren't known yet"))
         neverRuns(spec)?.let { return answer(request, UserReply.Unsatisfiable(it)) }
-        if (context.stalled()) return answer(request, UserReply.Unavailable("the state service doesn't answer"))
+        if (context.isStalled()) return answer(request, UserReply.Unavailable("the state service doesn't answer"))
         val seq = context.append(Event.JobAccepted(spec, context.now.wallMs))
         context.logEvent(LogLevel.DEBUG) { "job ${spec.id} class ${spec.className} team ${spec.team}: ${spec.tasks} tasks taken in" }
         gate(seq, Effect.Answer(request, UserReply.Accepted(spec.id, JobState.QUEUED, known = false)))
@@ -93,14 +96,14 @@
 
     fun poll(command: Input.Poll) {
         val (request, id) = command
-        if (!context.leaseHeld()) return answer(request, UserReply.Unavailable("no lease"))
+        if (!context.isLeaseHeld()) return answer(request, UserReply.Unavailable("no lease"))
         val acceptedSeq = jobTable.job(id)?.acceptedSeq ?: LogIndex.NONE
         gate(acceptedSeq, Effect.Answer(request, status(id)))
     }
 
     /** The job's status if it can be told at once; a poll of many that share an answer must not wait for a commit. */
     fun currentStatus(id: JobId): UserReply {
-        if (!context.leaseHeld()) return UserReply.Unavailable("no lease")
+        if (!context.isLeaseHeld()) return UserReply.Unavailable("no lease")
         val acceptedSeq = jobTable.job(id)?.acceptedSeq ?: LogIndex.NONE
         return if (acceptedSeq <= decisionLog.committed) status(id) else UserReply.Unavailable("the job isn't recorded yet")
     }
@@ -119,14 +122,14 @@
 
     fun abort(command: Input.Cancel) {
         val (request, id) = command
-        if (!context.leaseHeld()) return answer(request, UserReply.Unavailable("no lease"))
+        if (!context.isLeaseHeld()) return answer(request, UserReply.Unavailable("no lease"))
         jobTable.finalState(id)?.let { return answer(request, UserReply.Cancelled(id, shown(it))) }
         val job = jobTable.job(id) ?: return answer(request, UserReply.NotFound)
         if (!job.isOver) {
-            if (context.stalled()) return answer(request, UserReply.Unavailable("the state service doesn't answer"))
+            if (context.isStalled()) return answer(request, UserReply.Unavailable("the state service doesn't answer"))
             val seq = context.append(Event.JobCancelled(id))
             job.stopIfOver()
-            context.stopAfter(seq, job.liveAttempts.values)
+            stopAfter(seq, job.liveAttempts.values)
             context.logEvent(LogLevel.DEBUG) { "job $id cancelled" }
         }
         val state = if (job.isCancelled) JobState.CANCELLED else JobState.DONE
