--- a/src/main/kotlin/cleathitch/peers/PeerRequest.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerRequest.kt
@@ -84,7 +84,7 @@
                 return FollowerBatch(
                     from,
                     batch.heartbeats.term,
-                    heartbeats.filterIsInstance<ForwardedHeartbeat.Full>().map { FullHeartbeatMessage.of(it.report) },
+                    heartbeats.filterIsInstance<ForwardedHeartbeat.Full>().map { FullHeartbeatMessage.of(it.heartbeat) },
                     heartbeats.filterIsInstance<ForwardedHeartbeat.Unchanged>().map(UnchangedHeartbeatMessage::of),
                     batch.polls,
                     batch.deliveryResults.map { DeliveryResultMessage(it.id, FullHeartbeatMessage.of(it.heartbeat)) },
--- a/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatIntake.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatIntake.kt
@@ -29,7 +29,7 @@
 ) {
     /** A heartbeat that a worker sent to this node itself. */
     fun heartbeatReceived(input: Input.HeartbeatReceived) {
-        when (val decision = decide(input.report)) {
+        when (val decision = decide(input.heartbeat)) {
             is HeartbeatDecision.Answer -> context.emit(Effect.AnswerHeartbeat(input.request, decision.token, decision.commands))
             HeartbeatDecision.Refuse, HeartbeatDecision.RequestFull -> context.emit(Effect.RefuseHeartbeat(input.request))
         }
@@ -41,13 +41,11 @@
     fun decideForwarded(forwarded: ForwardedHeartbeat): HeartbeatDecision {
         if (context.hasSteppedDown || !context.mayAnswerMachines()) return HeartbeatDecision.Refuse
         val decision = when (forwarded) {
-            is ForwardedHeartbeat.Full -> decide(forwarded.report)
+            is ForwardedHeartbeat.Full -> decide(forwarded.heartbeat)
             is ForwardedHeartbeat.Unchanged -> decideUnchanged(forwarded)
         }
         if (decision is HeartbeatDecision.Answer) {
-            directReachability.recordForwardedHeartbeat(
-                inventory.machines.getValue(forwarded.machine),
-            )
+            directReachability.recordForwardedHeartbeat(inventory.machines.getValue(forwarded.machine))
         }
         return decision
     }
@@ -119,7 +117,9 @@
 
     private fun recordUp(machine: Machine) {
         machine.recordUp(context.now.steadyMs)
-        context.logEvent(LogLevel.INFO) { "machine ${machine.id} ${machine.offer} is up" }
+        context.logEvent(LogLevel.INFO) {
+            "event=machine_up machine=${machine.id} type=${machine.offer.type} zone=${machine.offer.zone} spot=${machine.offer.spot}"
+        }
     }
 
     /** Stops what can save its progress on a machine that is about to be preempted, so that it is saved in time. */
