--- /dev/null
+++ b/src/test/kotlin/cleathitch/scheduler/log/DecisionLogTest.kt
@@ -0,0 +1,180 @@
+package cleathitch.scheduler.log
+
+import cleathitch.scheduler.model.AttemptId
+import cleathitch.scheduler.model.JobId
+import cleathitch.scheduler.model.MachineId
+import cleathitch.scheduler.model.TaskId
+import cleathitch.scheduler.model.Term
+import cleathitch.scheduler.simulation.SimulatedCluster
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertThrows
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+/** [DecisionLog] and its compaction, with made-up jobs and sizes. */
+class DecisionLogTest {
+    private val deployment = SimulatedCluster.standard
+    private val jobs = FakeJobs()
+    private val decisionLog = DecisionLog(deployment, FixedSizes)
+    private val spec = SimulatedCluster.job(1)
+    private val otherSpec = SimulatedCluster.job(2)
+    private val start = Event.AttemptStarted(spec.id, 0, 1, MachineId("vm-000001"))
+
+    private object FixedSizes : SizeEstimator {
+        override fun sizeOf(event: Event) = EVENT_BYTES
+        override fun sizeOf(snapshot: JobSnapshot) = SNAPSHOT_BYTES
+    }
+
+    private class FakeJobs : LoggedJobs {
+        val unobservedStarts = HashSet<AttemptId>()
+        val finished = HashSet<JobId>()
+        val archived = ArrayList<JobId>()
+
+        override fun isStartUnobserved(attempt: AttemptId) = attempt in unobservedStarts
+
+        override fun compact(id: JobId, lastIncludedIndex: LogIndex): CompactedJob = when (id) {
+            in archived -> CompactedJob.Archived
+            in finished -> CompactedJob.Finished(id, FinalState.DONE)
+            else -> CompactedJob.Open(snapshot(id, lastIncludedIndex))
+        }
+
+        override fun archive(id: JobId) {
+            archived += id
+        }
+
+        fun snapshot(id: JobId, lastIncludedIndex: LogIndex) = JobSnapshot(
+            lastIncludedIndex,
+            SimulatedCluster.job(1).copy(id = id),
+            acceptedAtWallMs = 0,
+            isCancelled = false,
+            NO_TASKS,
+            liveAttempts = emptyList(),
+            lastAttemptNumber = 0,
+        )
+    }
+
+    private fun nextCommit(maxCompactionChanges: Int = 0): Commit? =
+        decisionLog.nextCommit(Term(7), jobs, { InventorySnapshot(it, emptyList(), emptyList()) }, maxCompactionChanges)
+
+    private fun commit(maxCompactionChanges: Int = 0): Commit {
+        val commit = checkNotNull(nextCommit(maxCompactionChanges)) { "there is nothing to commit" }
+        decisionLog.recordCommitted(commit.index, jobs)
+        return commit
+    }
+
+    private fun accept(vararg events: Event) = events.forEach {
+        decisionLog.append(it)
+        commit()
+    }
+
+    private fun keys(commit: Commit) = commit.changes.map { if (it is Mutation.Delete) "-${it.key}" else it.key }
+
+    @Test
+    fun `an event is committed when the commit of its record is carried out and not before`() {
+        val index = decisionLog.append(Event.JobAccepted(spec, 0))
+        val commit = nextCommit()
+        assertEquals(index, commit?.index)
+        assertTrue(decisionLog.committedIndex < index)
+        decisionLog.recordCommitted(index, jobs)
+        assertEquals(index, decisionLog.committedIndex)
+    }
+
+    @Test
+    fun `one commit is in flight at a time`() {
+        val first = decisionLog.append(Event.JobAccepted(spec, 0))
+        nextCommit()
+        decisionLog.append(Event.JobCancelled(spec.id))
+        assertNull(nextCommit())
+        assertThrows(IllegalStateException::class.java) { decisionLog.recordCommitted(first.next(), jobs) }
+        decisionLog.recordCommitted(first, jobs)
+        assertEquals(first.next(), nextCommit()?.index)
+    }
+
+    @Test
+    fun `the starts of a gang share a record`() {
+        val eventsPerRecord = (deployment.stateValueBytes * 0.8 / EVENT_BYTES).toInt()
+        repeat(eventsPerRecord - 1) { decisionLog.append(Event.JobCancelled(spec.id)) }
+        val starts = List(2) { start.copy(taskIndex = it) }
+        decisionLog.reserveRoomFor(starts)
+        assertEquals(setOf(LogIndex(2)), starts.map(decisionLog::append).toSet())
+    }
+
+    @Test
+    fun `compaction replaces committed records by a snapshot`() {
+        accept(Event.JobAccepted(spec, 0), Event.JobCancelled(spec.id))
+        val compaction = commit(maxCompactionChanges = 10)
+        assertEquals(
+            listOf(LogKeys.HEAD, LogKeys.job(spec.id), "-${LogKeys.record(LogIndex(1))}", "-${LogKeys.record(LogIndex(2))}"),
+            keys(compaction),
+        )
+        assertFalse(decisionLog.isCompactionIncomplete)
+        assertNull(nextCommit(maxCompactionChanges = 10))
+    }
+
+    @Test
+    fun `a record with a start that no heartbeat has shown is retained`() {
+        jobs.unobservedStarts += AttemptId(TaskId(spec.id, start.taskIndex), start.number)
+        accept(start, Event.JobAccepted(otherSpec, 0))
+        assertEquals(
+            listOf(LogKeys.HEAD, LogKeys.job(otherSpec.id), "-${LogKeys.record(LogIndex(2))}"),
+            keys(commit(maxCompactionChanges = 10)),
+        )
+        jobs.unobservedStarts.clear()
+        assertTrue("-${LogKeys.record(LogIndex(1))}" in keys(commit(maxCompactionChanges = 10)))
+    }
+
+    @Test
+    fun `a compaction that reaches its limit says so and the next goes on`() {
+        accept(Event.JobAccepted(spec, 0), Event.JobAccepted(otherSpec, 0))
+        assertEquals(listOf(LogKeys.HEAD, LogKeys.job(spec.id), "-${LogKeys.record(LogIndex(1))}"), keys(commit(maxCompactionChanges = 2)))
+        assertTrue(decisionLog.isCompactionIncomplete)
+        assertTrue("-${LogKeys.record(LogIndex(2))}" in keys(commit(maxCompactionChanges = 2)))
+        assertFalse(decisionLog.isCompactionIncomplete)
+    }
+
+    @Test
+    fun `a finished job is archived when the commit of its final state is carried out and not before`() {
+        accept(Event.JobAccepted(spec, 0))
+        commit(maxCompactionChanges = 10)
+        jobs.finished += spec.id
+        accept(Event.TaskCompleted(spec.id, 0, 1))
+        val compaction = checkNotNull(nextCommit(maxCompactionChanges = 10))
+        assertEquals(
+            listOf(LogKeys.HEAD, "-${LogKeys.job(spec.id)}/0", "-${LogKeys.record(LogIndex(3))}", LogKeys.finishedJobs(0)),
+            keys(compaction),
+        )
+        assertTrue(jobs.archived.isEmpty())
+        decisionLog.recordCommitted(compaction.index, jobs)
+        assertEquals(listOf(spec.id), jobs.archived)
+    }
+
+    @Test
+    fun `nothing is compacted while a later record is pending`() {
+        accept(Event.JobAccepted(spec, 0))
+        val recordsPerCommit = deployment.stateTxnOps / 4
+        val eventsPerRecord = (deployment.stateValueBytes * 0.8 / EVENT_BYTES).toInt()
+        repeat(recordsPerCommit * eventsPerRecord + 1) { decisionLog.append(Event.JobCancelled(spec.id)) }
+        val commit = commit(maxCompactionChanges = 10)
+        assertTrue(decisionLog.hasPendingRecords)
+        assertTrue(commit.changes.none { it is Mutation.Delete })
+        assertTrue(decisionLog.isCompactionIncomplete)
+    }
+
+    @Test
+    fun `events that a restored snapshot includes are known`() {
+        val snapshot = jobs.snapshot(spec.id, LogIndex(4))
+        decisionLog.restore(RecoveredState.EMPTY.copy(head = LogIndex(5), jobs = listOf(StoredJob(snapshot, parts = 1))))
+        assertTrue(decisionLog.isInSnapshot(Event.JobCancelled(spec.id), LogIndex(4)))
+        assertFalse(decisionLog.isInSnapshot(Event.JobCancelled(spec.id), LogIndex(5)))
+        assertFalse(decisionLog.isInSnapshot(Event.JobCancelled(otherSpec.id), LogIndex(4)))
+        assertEquals(LogIndex(6), decisionLog.append(Event.JobCancelled(spec.id)))
+    }
+
+    private companion object {
+        const val EVENT_BYTES = 100
+        const val SNAPSHOT_BYTES = 500
+        val NO_TASKS = byteArrayOf()
+    }
+}
