--- a/src/main/kotlin/cleathitch/scheduler/log/LogKeys.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/LogKeys.kt
@@ -2,7 +2,7 @@
 
 import cleathitch.scheduler.model.JobId
 
-/** The keys under which the log stands in the key-value store, relative to the deployment's own prefix. Running clusters hold them. */
+/** The keys under which the log is stored in the key-value store, relative to the deployment's own prefix. Running clusters hold them. */
 object LogKeys {
     /** The index and term of the last commit. */
     const val HEAD = "head"
@@ -19,7 +19,7 @@
     /** The key of the record at [index]. */
     fun record(index: LogIndex) = RECORD_PREFIX + padded(index.number)
 
-    /** The key of a job's snapshot, whose parts stand under it as `/0`, `/1` and so on. */
+    /** The key of a job's snapshot, whose parts are stored under it as `/0`, `/1` and so on. */
     fun job(id: JobId) = JOB_PREFIX + id.text
 
     /** The key of a chunk of final states. */
--- a/src/main/kotlin/cleathitch/scheduler/log/Mutation.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/Mutation.kt
@@ -4,7 +4,7 @@
 sealed interface Mutation {
     val key: String
 
-    /** Stores [value]; a job's snapshot stands in [parts] parts under [key]`/0`, [key]`/1` and so on. */
+    /** Stores [value]; a job's snapshot is stored in [parts] parts under [key]`/0`, [key]`/1` and so on. */
     data class Put(override val key: String, val value: StoredValue, val parts: Int = 1) : Mutation
 
     /** Deletes [key]. */
--- a/src/main/kotlin/cleathitch/storage/CommitResult.kt
+++ b/src/main/kotlin/cleathitch/storage/CommitResult.kt
@@ -2,7 +2,7 @@
 
 /** How a commit of the decision log ended. */
 sealed interface CommitResult {
-    /** The commit stands in the key-value store, whose revision it raised to [revision]. */
+    /** The commit is in the key-value store, whose revision it raised to [revision]. */
     data class Committed(val revision: Long) : CommitResult
 
     /** Another controller leads or has led since: this term is over. [failedKeys] are the keys whose revisions differed. */
--- a/src/main/kotlin/cleathitch/storage/LogCodec.kt
+++ b/src/main/kotlin/cleathitch/storage/LogCodec.kt
@@ -59,7 +59,7 @@
     fun head(node: JsonNode) = StoredValue.Head(LogIndex(node.whole(HEAD_INDEX_FIELD)), Term(node.whole(HEAD_TERM_FIELD)))
 
     /**
-     * Puts together what stands under the deployment's keys; the keys of [entries] are those of [cleathitch.scheduler.log.LogKeys].
+     * The state that is stored under the deployment's keys; the keys of [entries] are those of [cleathitch.scheduler.log.LogKeys].
      * Throws [MalformedMessageException] if a key or a value's field isn't as expected, and the decoder's exceptions if its
      * content can't be decoded.
      */
--- a/src/main/kotlin/cleathitch/storage/LogStorage.kt
+++ b/src/main/kotlin/cleathitch/storage/LogStorage.kt
@@ -113,7 +113,7 @@
                     if (attempt ==
                         1
                     ) {
-                        log.info("term={} event=commit_unconfirmed index={} result=\"{}\"", term.revision, commit.index, result)
+                        log.info("term={} event=commit_unconfirmed index={} result=\"{}\"", term.revision, commit.index.number, result)
                     }
                     delay(RETRY_DELAY_MS)
                 }
@@ -126,7 +126,7 @@
         headRevision = revision
         if (attempt > 1) {
             val durationMs = steadyMs() - startedAtMs
-            log.info("term={} event=committed index={} attempt={} duration_ms={}", term.revision, commit.index, attempt, durationMs)
+            log.info("term={} event=committed index={} attempt={} duration_ms={}", term.revision, commit.index.number, attempt, durationMs)
         }
         return CommitResult.Committed(revision)
     }
