--- a/src/main/kotlin/cleathitch/scheduler/log/CompactionPlan.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/CompactionPlan.kt
@@ -11,9 +11,7 @@
  * successor that doesn't find it in the store would contradict it.
  *
  * @param index the commit's index; its snapshots include all records up to this one
- * @param snapshotIndexes the last index that each stored snapshot includes, by key, before this commit
- * @param storedParts in how many parts each job's snapshot is stored before this commit
- * @param finishedJobsBefore the chunk of final states that is added to
+ * @param stored the snapshots that are stored before this commit
  */
 internal class CompactionPlan(
     private val index: LogIndex,
@@ -21,9 +19,7 @@
     private val jobs: LoggedJobs,
     private val sizes: SizeEstimator,
     private val inventorySnapshot: (LogIndex) -> InventorySnapshot,
-    private val snapshotIndexes: Map<String, LogIndex>,
-    private val storedParts: Map<JobId, Int>,
-    private val finishedJobsBefore: FinishedJobsChunk,
+    private val stored: StoredSnapshots,
 ) {
     /**
      * How much one compaction may write: so many [changes] and bytes in all, so many bytes to a value of a snapshot, and so many
@@ -38,17 +34,17 @@
     val deletedRecords = ArrayList<LogIndex>()
 
     /** The last index that each snapshot of this commit includes, by key. */
-    val newSnapshotIndexes = HashMap<String, LogIndex>()
+    val lastIncludedIndexes = HashMap<String, LogIndex>()
 
     /** In how many parts each job's snapshot of this commit is stored. */
-    val newStoredParts = HashMap<JobId, Int>()
+    val jobParts = HashMap<JobId, Int>()
 
     /** Jobs of which this commit keeps the final state alone. */
     val archivedJobs = ArrayList<CompactedJob.Finished>()
 
     /** The chunk of final states after the commit. */
     val finishedJobs by lazy {
-        if (archivedJobs.isEmpty()) finishedJobsBefore else finishedJobsBefore.plus(archivedJobs, limits.chunkBytes)
+        if (archivedJobs.isEmpty()) stored.finishedJobs else stored.finishedJobs.plus(archivedJobs, limits.chunkBytes)
     }
 
     /** A record was left because the limits were reached; nothing more fits. */
@@ -77,11 +73,11 @@
     private fun ensureSnapshot(key: String, recordIndex: LogIndex): Boolean {
         if (lastIncludedIndex(key) >= recordIndex) return true
         if (!hasRoom() || !addSnapshot(key)) return false
-        newSnapshotIndexes[key] = index
+        lastIncludedIndexes[key] = index
         return true
     }
 
-    private fun lastIncludedIndex(key: String) = newSnapshotIndexes[key] ?: snapshotIndexes[key] ?: LogIndex.NONE
+    private fun lastIncludedIndex(key: String) = lastIncludedIndexes[key] ?: stored.lastIncludedIndex(key)
 
     private fun hasRoom() = planned.size < limits.changes && plannedBytes < limits.totalBytes
 
@@ -107,17 +103,15 @@
         plannedBytes += size
         val id = snapshot.spec.id
         // Never fewer parts than before, so that no part of an older snapshot is left.
-        val parts = maxOf(partsBefore(id), ceil(size / limits.valueBytes).toInt())
-        newStoredParts[id] = parts
+        val parts = maxOf(stored.partsOf(id), ceil(size / limits.valueBytes).toInt())
+        jobParts[id] = parts
         planned += Mutation.Put(key, StoredValue.Job(snapshot), parts)
         return true
     }
 
     private fun archive(key: String, job: CompactedJob.Finished) {
         archivedJobs += job
-        repeat(partsBefore(job.id)) { part -> planned += Mutation.Delete("$key/$part") }
+        repeat(stored.partsOf(job.id)) { part -> planned += Mutation.Delete("$key/$part") }
         plannedBytes += FinishedJobsChunk.sizeOf(job.id)
     }
-
-    private fun partsBefore(job: JobId) = storedParts[job] ?: 0
 }
--- a/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
@@ -1,7 +1,6 @@
 package cleathitch.scheduler.log
 
 import cleathitch.scheduler.model.Deployment
-import cleathitch.scheduler.model.JobId
 import cleathitch.scheduler.model.Term
 import java.util.TreeMap
 
@@ -38,12 +37,7 @@
     /** Records in the key-value store that no compaction has deleted yet. */
     private val retainedRecords = TreeMap<LogIndex, RetainedRecord>()
 
-    /** The last index that each stored snapshot includes, by key. */
-    private val snapshotIndexes = HashMap<String, LogIndex>()
-
-    /** In how many parts each job's snapshot is stored. */
-    private val storedParts = HashMap<JobId, Int>()
-    private var finishedJobs = FinishedJobsChunk.FIRST
+    private val storedSnapshots = StoredSnapshots()
 
     /** No commit is in flight. */
     val isIdle get() = inFlight == null
@@ -59,20 +53,11 @@
         lastIndex = recovered.head
         committedIndex = recovered.head
         recovered.records.forEach { retainedRecords[it.index] = RetainedRecord(it.record.events) }
-        recovered.jobs.forEach { restore(it) }
-        recovered.inventory?.let { snapshotIndexes[LogKeys.INVENTORY] = it.lastIncludedIndex }
-        val newestChunk = recovered.finishedJobs.maxByOrNull { it.chunkNumber } ?: return
-        finishedJobs = FinishedJobsChunk(newestChunk.chunkNumber, newestChunk.snapshot)
-    }
-
-    private fun restore(stored: StoredJob) {
-        val id = stored.snapshot.spec.id
-        snapshotIndexes[LogKeys.job(id)] = stored.snapshot.lastIncludedIndex
-        storedParts[id] = stored.parts
+        storedSnapshots.restore(recovered)
     }
 
     /** Whether a stored snapshot already includes [event] of the record [index], which replay then leaves out. */
-    fun isInSnapshot(event: Event, index: LogIndex): Boolean = index <= (snapshotIndexes[LogKeys.snapshotOf(event)] ?: LogIndex.NONE)
+    fun isInSnapshot(event: Event, index: LogIndex): Boolean = index <= storedSnapshots.lastIncludedIndex(LogKeys.snapshotOf(event))
 
     /** Adds [event] to a record for the next commit, and gives the index of that record. */
     fun append(event: Event): LogIndex {
@@ -145,7 +130,7 @@
             valueBytes = recordBytes,
             chunkBytes = deployment.stateValueBytes * CHUNK_FILL,
         )
-        val plan = CompactionPlan(index, limits, jobs, sizes, inventorySnapshot, snapshotIndexes, storedParts, finishedJobs)
+        val plan = CompactionPlan(index, limits, jobs, sizes, inventorySnapshot, storedSnapshots)
         // The records of this commit itself aren't retained yet, and stay.
         for ((recordIndex, record) in retainedRecords.headMap(index)) {
             if (plan.isIncomplete) break
@@ -174,14 +159,8 @@
 
     private fun applyCompaction(plan: CompactionPlan, jobs: LoggedJobs) {
         plan.deletedRecords.forEach(retainedRecords::remove)
-        snapshotIndexes += plan.newSnapshotIndexes
-        storedParts += plan.newStoredParts
-        finishedJobs = plan.finishedJobs
-        for (job in plan.archivedJobs) {
-            jobs.archive(job.id)
-            snapshotIndexes.remove(LogKeys.job(job.id))
-            storedParts.remove(job.id)
-        }
+        storedSnapshots.recordCompaction(plan)
+        plan.archivedJobs.forEach { jobs.archive(it.id) }
     }
 
     private companion object {
