--- a/src/main/kotlin/cleathitch/scheduler/model/ImageCache.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/ImageCache.kt
@@ -1,4 +1,9 @@
 package cleathitch.scheduler.model
 
-/** The images that a machine seems to hold in a session, oldest use first, with their sizes. */
-data class ImageCache(val incarnation: Long, val sizesGb: Map<String, Double>)
+/** The images that a machine holds by the leader's account, with their sizes; the least recently used comes first. */
+data class ImageCache(
+    /** The worker's incarnation that holds them; a later one begins without images. */
+    val incarnation: Long,
+    /** Sizes in gigabytes by image name. */
+    val sizesGb: Map<String, Double>,
+)
--- a/src/main/kotlin/cleathitch/scheduler/model/TaskState.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/TaskState.kt
@@ -1,11 +1,17 @@
 package cleathitch.scheduler.model
 
+/** What an attempt does on its machine. */
 enum class TaskState {
+    /** Its image is being fetched. */
     FETCHING,
 
-    /** A gang's task that is on its machine and waits for the others. */
+    /** It is a gang's task that is ready and waits for the others of its gang. */
     WAITING,
     RUNNING,
+
+    /** It was stopped and writes its checkpoint. */
     SAVING,
+
+    /** It has ended, for an [ExitReason], and is shown until the leader tells the worker to forget it. */
     EXITED,
 }
--- a/src/main/kotlin/cleathitch/scheduler/model/TaskStatus.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/TaskStatus.kt
@@ -1,4 +1,11 @@
 package cleathitch.scheduler.model
 
-/** A task as a machine's report shows it. */
-data class TaskStatus(val attempt: AttemptId, val state: TaskState, val exitReason: ExitReason? = null, val saved: Boolean = false)
+/** A task's attempt as a heartbeat shows it. */
+data class TaskStatus(
+    val attempt: AttemptId,
+    val state: TaskState,
+    /** Why it ended; null unless [state] is [TaskState.EXITED], and for reasons that this version doesn't know. */
+    val exitReason: ExitReason? = null,
+    /** Its progress was saved before it ended. */
+    val saved: Boolean = false,
+)
