--- a/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
@@ -5,71 +5,93 @@
 import kotlin.math.max
 import kotlin.math.min
 
-/** The design's periods and margins, each a ratio to a figure of the settings. */
+/**
+ * The scheduler's periods, timeouts and margins. Each follows from the deployment's own figures, so that a deployment with
+ * shorter heartbeats or leases gets a scheduler that is as much faster.
+ */
 data class SchedulerTimings(
+    /** Period of scheduling rounds, and of writes that nobody waits for; the first delay of a job whose tasks fail. */
     val roundMs: Long,
+
+    /** Period of the decision log's compaction. */
     val trimMs: Long,
+
+    /** For how long after the end of its own lease a leader still answers heartbeats: old answers end before new starts. */
     val graceMs: Long,
+
+    /** What is added to a worker's lease before its tasks count as ended: clock drift, and the way of an answer. */
     val leaseMarginMs: Long,
+
     /** For how long a leader's key outlives its last renewal. */
     val leaderLeaseMs: Long,
 
-    /** How often the whole fleet is looked at for machines that fall silent, lose their lease or never come up. */
+    /** Period at which the whole fleet is checked for machines that are silent, without a lease or never come up. */
     val watchMs: Long,
 
-    /** After how long without a report a machine is asked directly, how often, and when it is given up. */
+    /** After how long without a heartbeat a machine is probed and gets no new tasks. */
     val probeMs: Long,
+
+    /** Least time between two probes of a machine, and the timeout of one. */
     val probeGapMs: Long,
+
+    /** After how long without a heartbeat a machine that answers no probe either is terminated. */
     val silentMs: Long,
 
-    /** By then a machine whose reports reach nobody has lost its lease. */
+    /** After how long without an answered heartbeat a machine has certainly lost its lease. */
     val lostMs: Long,
+
+    /** Least time between two termination calls to the cloud; what is decided in between goes in one call. */
     val returnGapMs: Long,
 
-    /** How often the followers hear which machine holds which images. */
+    /** Period at which the leader tells the followers which machine holds which images. */
     val imageHintPeriodMs: Long,
+
+    /** For how long a new leader waits for heartbeats before it decides what depends on silent machines: rentals, terminations. */
     val failoverMs: Long,
 
-    /** For how long a follower gathers reports before it hands them to the leader. */
+    /** For how long a follower gathers heartbeats before it forwards them to the leader. */
     val forwardMs: Long,
+
+    /** After how long a commit without an answer counts as a stall, in which submissions and cancellations are refused. */
     val stallMs: Long,
+
+    /** For how long a user's request waits for its commit before it is answered as unavailable. */
     val intakeMs: Long,
 ) {
     companion object {
-        /** The design's own values. */
-        private const val ROUND_MS = 2000.0
-        private const val TRIM_MS = 10_000L
+        private const val MS_PER_S = 1000
 
-        /** The page's bound on how far steady clocks drift apart, doubled for two clocks. */
+        /** The longest round period; shorter waits that are promised shorten it. */
+        private const val MAX_ROUND_MS = 2000.0
+        private const val DEFAULT_TRIM_MS = 10_000L
+
+        /** How many rounds fit into the shortest wait that is promised: one may be missed by a failover, and a start takes time. */
+        private const val ROUNDS_PER_WAIT = 4
+
+        /** A round writes two changes, its record and the log's head. */
+        private const val CHANGES_PER_ROUND = 2
+
+        /** The part of the time between the ends of a worker's lease and of a cancellation that goes into [graceMs]. */
+        private const val GRACE_SHARE = 0.25
+
+        /** The bound on how far steady clocks drift apart, as a ratio, doubled for two clocks. */
         const val DRIFT = 0.001
 
+        /** The timings of [deployment]; [trimS] is the operator's own compaction period, in seconds. */
         fun of(deployment: Deployment, trimS: Double? = null): SchedulerTimings {
-            val wait = deployment.objectives.mapNotNull {
-                when (it) {
-                    is Objective.Wait -> it.deadlineS
-                    is Objective.Guarantee -> it.deadlineS
-                    is Objective.Finished -> null
-                }
-            }.minOrNull()
-            // Four rounds inside the shortest wait that was promised; a round writes two changes (its
-            // record and the head) and may take half of what the state service allows.
-            val byObjective = if (wait == null) ROUND_MS else min(ROUND_MS, wait * 1000 / 4)
-            val byBudget = 1000 * 2 / (deployment.stateWriteRps / 2)
-            val reportMs = deployment.reportS * 1000
-            // Cancelled tasks must be gone in time even if an old leader answered until its grace was over.
-            val spareMs = (deployment.cancelS - deployment.leaseS) * 1000
-            val roundMs = max(byObjective, byBudget).toLong()
+            val reportMs = deployment.reportS * MS_PER_S
+            val roundMs = roundMs(deployment)
             return SchedulerTimings(
                 roundMs = roundMs,
                 watchMs = max(roundMs, (reportMs / 6).toLong()),
-                trimMs = trimS?.let { (it * 1000).toLong() } ?: TRIM_MS,
-                graceMs = (spareMs * 0.25).toLong().coerceAtLeast(0),
-                leaseMarginMs = (deployment.leaseS * 1000 * DRIFT + reportMs / 4).toLong(),
-                leaderLeaseMs = (deployment.leaseS * 1000 / 24).toLong(),
+                trimMs = trimS?.let { (it * MS_PER_S).toLong() } ?: DEFAULT_TRIM_MS,
+                graceMs = graceMs(deployment),
+                leaseMarginMs = (deployment.leaseS * MS_PER_S * DRIFT + reportMs / 4).toLong(),
+                leaderLeaseMs = (deployment.leaseS * MS_PER_S / 24).toLong(),
                 probeMs = (reportMs * 1.35).toLong(),
                 probeGapMs = (reportMs / 4).toLong(),
                 silentMs = (reportMs * 2).toLong(),
-                lostMs = (deployment.leaseS * 1000 + reportMs).toLong(),
+                lostMs = (deployment.leaseS * MS_PER_S + reportMs).toLong(),
                 returnGapMs = (2000 / deployment.cloudRps).toLong(),
                 imageHintPeriodMs = (reportMs * 1.5).toLong(),
                 failoverMs = (reportMs * 1.25).toLong(),
@@ -78,5 +100,31 @@
                 intakeMs = (reportMs / 2).toLong(),
             )
         }
+
+        /** Short enough for the shortest wait that is promised, but with at most half of the writes that the store allows. */
+        private fun roundMs(deployment: Deployment): Long {
+            val shortestWaitS = shortestWaitS(deployment.objectives)
+            val byObjectiveMs = if (shortestWaitS == null) {
+                MAX_ROUND_MS
+            } else {
+                min(MAX_ROUND_MS, shortestWaitS * MS_PER_S / ROUNDS_PER_WAIT)
+            }
+            val byWriteBudgetMs = MS_PER_S * CHANGES_PER_ROUND / (deployment.stateWriteRps / 2)
+            return max(byObjectiveMs, byWriteBudgetMs).toLong()
+        }
+
+        private fun shortestWaitS(objectives: List<Objective>): Double? = objectives.mapNotNull {
+            when (it) {
+                is Objective.Wait -> it.deadlineS
+                is Objective.Guarantee -> it.deadlineS
+                is Objective.Finished -> null
+            }
+        }.minOrNull()
+
+        /** Cancelled tasks have to be gone in time even if an old leader answers until the end of its grace. */
+        private fun graceMs(deployment: Deployment): Long {
+            val spareMs = (deployment.cancelS - deployment.leaseS) * MS_PER_S
+            return (spareMs * GRACE_SHARE).toLong().coerceAtLeast(0)
+        }
     }
 }
