--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -230,7 +230,7 @@
         when (command) {
             is Input.Submit -> jobRequests.submit(command)
             is Input.Poll -> jobRequests.poll(command)
-            is Input.Cancel -> jobRequests.abort(command)
+            is Input.Cancel -> jobRequests.cancel(command)
             is Input.HeartbeatReceived -> reported(command)
             is Input.FollowerBatchReceived -> followerBatch(command)
             is Input.ProbeAnswered -> inspected(command.report)
@@ -294,7 +294,7 @@
             stopsAwaitingCommit.pollFirstEntry().value.sortedBy { it.seen == TaskState.RUNNING }.mapTo(pendingStops) { it.machine }
         }
         sendStops()
-        jobRequests.committed()
+        jobRequests.answerCommitted()
         val machines = pushesAwaitingCommit.filterKeys { it <= decisionLog.committed }
         machines.keys.forEach(pushesAwaitingCommit::remove)
         machines.values.flatMapTo(LinkedHashSet()) { it }.forEach { id -> fleet.machines[id]?.let(::push) }
@@ -637,7 +637,7 @@
         val unplaced = ArrayList<UnplacedTasks>()
         val jobs = SchedulingOrder(completionObjectives, quota, now.wallMs).order(waiting)
         // However long the queue, each job begins in time: overdue ones get their first task before the rest.
-        for (job in jobs) if (SchedulingOrder.overdue(job, now.wallMs)) place(job, look, unplaceableClasses, unplaced, most = 1)
+        for (job in jobs) if (SchedulingOrder.isOverdue(job, now.wallMs)) place(job, look, unplaceableClasses, unplaced, most = 1)
         unplaced.clear()
         for (job in jobs) place(job, look, unplaceableClasses, unplaced)
         demands = DemandForecast(fleet, jobTable, completionObjectives).demands(unplaced)
@@ -668,7 +668,7 @@
             if (machine == null) {
                 // What fits nowhere for one job fits nowhere for its like, unless other tasks of the job decide.
                 if (!job.spec.oneZone && !job.spec.spread) unplaceableClasses += shape
-                val count = minOf(job.waiting, quota.roomFor(job.spec))
+                val count = minOf(job.waiting, quota.remainingTasks(job.spec))
                 val left = count - preempt(job, look, count)
                 if (left > 0) unplaced += UnplacedTasks(job.spec, left)
                 return
@@ -694,7 +694,7 @@
 
     /** A gang is started whole, and again only when nothing of an earlier start is left. */
     private fun placeGang(job: Job, look: PlacementRound, unplaced: MutableList<UnplacedTasks>) {
-        if (job.live.isNotEmpty() || quota.roomFor(job.spec) < job.waiting) return
+        if (job.live.isNotEmpty() || quota.remainingTasks(job.spec) < job.waiting) return
         val machines = look.chooseGangMachines(job)
         if (machines == null) {
             unplaced += UnplacedTasks(job.spec, job.waiting)
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Quota.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Quota.kt
@@ -5,38 +5,48 @@
 import cleathitch.scheduler.model.RESOURCE_TOLERANCE
 import cleathitch.scheduler.model.Team
 
-/** A team's limit, counted over everything that may still be running. */
+/**
+ * The teams' quotas: a guarantee, which decides who is served first, and a limit, which is never exceeded. Usage counts
+ * everything that may still be running, so a limit holds even while nobody can tell whether a task has ended.
+ */
 class Quota(private val teams: Map<String, Team>, private val jobTable: JobTable) {
+    /** Whether the team's limit allows one more task like this now. */
     fun allows(spec: JobSpec): Boolean {
         val team = teams[spec.team] ?: return false
-        val load = jobTable.loadOfTeam(spec.team)
-        return within((load?.cpus ?: 0.0) + spec.cpus, team.maxCpus) &&
-            within((load?.gpus ?: 0.0) + spec.gpus, team.maxGpus)
+        val usage = jobTable.loadOfTeam(spec.team)
+        return isWithin((usage?.cpus ?: 0.0) + spec.cpus, team.maxCpus) &&
+            isWithin((usage?.gpus ?: 0.0) + spec.gpus, team.maxGpus)
     }
 
-    /** Whether the job could ever run: an array needs room for a task, a service for all. */
-    fun everAllows(spec: JobSpec): Boolean {
+    /** Whether the job could run if its team had nothing else: a service needs room for all tasks at once, others for one. */
+    fun couldEverAllow(spec: JobSpec): Boolean {
         val team = teams[spec.team] ?: return false
-        val count = if (spec.kind == JobKind.SERVICE) spec.tasks else 1
-        return within(spec.cpus * count, team.maxCpus) && within(spec.gpus * count, team.maxGpus)
+        val tasks = if (spec.kind == JobKind.SERVICE) spec.tasks else 1
+        return isWithin(spec.cpus * tasks, team.maxCpus) && isWithin(spec.gpus * tasks, team.maxGpus)
     }
 
-    /** Whether one more task stays inside what the team is guaranteed. */
-    fun insideGuarantee(spec: JobSpec): Boolean {
+    /** Whether the team stays within its guarantee with one more task like this. */
+    fun isWithinGuarantee(spec: JobSpec): Boolean {
         val team = teams[spec.team] ?: return false
-        val load = jobTable.loadOfTeam(spec.team)
-        return (load?.cpus ?: 0.0) + spec.cpus <= team.cpus + RESOURCE_TOLERANCE &&
-            (load?.gpus ?: 0.0) + spec.gpus <= team.gpus + RESOURCE_TOLERANCE
+        val usage = jobTable.loadOfTeam(spec.team)
+        return isWithin((usage?.cpus ?: 0.0) + spec.cpus, team.cpus) &&
+            isWithin((usage?.gpus ?: 0.0) + spec.gpus, team.gpus)
     }
 
     /** How many more tasks like this the team's limit allows now. */
-    fun roomFor(spec: JobSpec): Int {
+    fun remainingTasks(spec: JobSpec): Int {
         val team = teams[spec.team] ?: return 0
-        val load = jobTable.loadOfTeam(spec.team)
-        fun room(use: Double, each: Double, limit: Double?) =
-            if (limit == null || each <= 0) Int.MAX_VALUE else ((limit - use + RESOURCE_TOLERANCE) / each).toInt().coerceAtLeast(0)
-        return minOf(room(load?.cpus ?: 0.0, spec.cpus, team.maxCpus), room(load?.gpus ?: 0.0, spec.gpus, team.maxGpus))
+        val usage = jobTable.loadOfTeam(spec.team)
+        return minOf(
+            remainingTasks(usage?.cpus ?: 0.0, spec.cpus, team.maxCpus),
+            remainingTasks(usage?.gpus ?: 0.0, spec.gpus, team.maxGpus),
+        )
     }
 
-    private fun within(use: Double, limit: Double?) = limit == null || use <= limit + RESOURCE_TOLERANCE
+    private fun remainingTasks(used: Double, perTask: Double, limit: Double?): Int {
+        if (limit == null || perTask <= 0) return Int.MAX_VALUE
+        return ((limit - used + RESOURCE_TOLERANCE) / perTask).toInt().coerceAtLeast(0)
+    }
+
+    private fun isWithin(usage: Double, limit: Double?) = limit == null || usage <= limit + RESOURCE_TOLERANCE
 }
--- a/src/main/kotlin/cleathitch/scheduler/placement/SchedulingOrder.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/SchedulingOrder.kt
@@ -5,38 +5,52 @@
 import cleathitch.scheduler.model.Priority
 
 /**
- * The order in which waiting jobs are served: by priority, guarantees first, then by the time of their
- * submission, put off a little for size and for aims that are lost.
+ * The order in which waiting jobs are served: by priority, then jobs within their team's guarantee, then by the time of their
+ * submission, put off a little for size and for objectives that can't be met any more.
  *
- * What puts a job off is bounded, so no stream of others keeps it from its turn: shortest-first
- * once left the largest arrays waiting for as long as smaller ones came.
+ * What puts a job off is bounded, so no stream of other jobs starves it: with plain shortest-first the largest arrays wait
+ * for as long as smaller ones come.
  */
-class SchedulingOrder(private val completionObjectives: Map<String, List<Double>>, private val quota: Quota, private val nowWallMs: Long) {
-    private class Place(val job: Job, val priority: Priority, val borrowing: Boolean, val virtualStartMs: Long)
+class SchedulingOrder(
+    /** For each job class the seconds within which its jobs are to be finished. */
+    private val completionObjectives: Map<String, List<Double>>,
+    private val quota: Quota,
+    private val nowWallMs: Long,
+) {
+    /** A job with the keys by which it is ordered; the smaller is served first. */
+    private class QueuedJob(val job: Job, val priority: Priority, val exceedsGuarantee: Boolean, val virtualSubmissionMs: Long)
 
     fun order(waiting: List<Job>): List<Job> {
-        val largest = HashMap<String, Int>()
-        waiting.forEach { largest.merge(it.spec.className, it.waiting, ::maxOf) }
-        return waiting.map { job ->
-            Place(job, job.spec.priority, !quota.insideGuarantee(job.spec), virtualStartMs(job, largest.getValue(job.spec.className)))
-        }.sortedWith(compareBy<Place>({ it.priority }, { it.borrowing }, { it.virtualStartMs })).map { it.job }
+        val largestByClass = HashMap<String, Int>()
+        waiting.forEach { largestByClass.merge(it.spec.className, it.waiting, ::maxOf) }
+        return waiting.map { queued(it, largestByClass.getValue(it.spec.className)) }
+            .sortedWith(compareBy<QueuedJob>({ it.priority }, { it.exceedsGuarantee }, { it.virtualSubmissionMs }))
+            .map { it.job }
     }
 
-    private fun virtualStartMs(job: Job, largest: Int): Long {
-        val completionObjectives = completionObjectives[job.spec.className].orEmpty()
-        val first = completionObjectives.minOrNull() ?: return job.wallMs
-        val ageS = (nowWallMs - job.wallMs) / 1000.0
-        val lost = completionObjectives.count { ageS + job.spec.estimateS > it }
-        return job.wallMs + (first * 1000 * (lost + SIZE_WEIGHT * job.waiting / largest)).toLong()
+    private fun queued(job: Job, largestOfClass: Int) =
+        QueuedJob(job, job.spec.priority, !quota.isWithinGuarantee(job.spec), virtualSubmissionMs(job, largestOfClass))
+
+    /** The wall time by which the job is ordered: later than its submission by parts of its class's first objective. */
+    private fun virtualSubmissionMs(job: Job, largestOfClass: Int): Long {
+        val objectivesS = completionObjectives[job.spec.className].orEmpty()
+        val firstObjectiveS = objectivesS.minOrNull() ?: return job.wallMs
+        val ageS = (nowWallMs - job.wallMs) / MS_PER_S
+        val missedObjectives = objectivesS.count { ageS + job.spec.estimateS > it }
+        val delay = missedObjectives + SIZE_WEIGHT * job.waiting / largestOfClass
+        return job.wallMs + (firstObjectiveS * 1000 * delay).toLong()
     }
 
     companion object {
-        /** The largest job of its class is put off by this part of the class's first aim. */
+        private const val MS_PER_S = 1000.0
+
+        /** The largest job of its class is put off by this part of the class's first objective. */
         private const val SIZE_WEIGHT = 0.5
 
-        /** A job must begin within four minutes, says the page; half of that leaves time for boot and fetch. */
-        private const val BEGIN_MS = 120_000L
+        /** A job has to begin within four minutes; half of that leaves time for a boot and the fetch of the image. */
+        private const val OVERDUE_AFTER_MS = 120_000L
 
-        fun overdue(job: Job, nowWallMs: Long) = job.lastNumber == 0L && nowWallMs - job.wallMs >= BEGIN_MS
+        /** Whether nothing of the job was started for so long that its first task goes before the order. */
+        fun isOverdue(job: Job, nowWallMs: Long) = job.lastNumber == 0L && nowWallMs - job.wallMs >= OVERDUE_AFTER_MS
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
@@ -22,126 +22,146 @@
 import cleathitch.scheduler.model.TaskState
 import cleathitch.scheduler.model.Team
 
-/** Handles what users ask: submissions, polls and cancellations. Nothing is told before the record behind it is committed. */
+/**
+ * The users' requests: submissions, polls and cancellations. No reply leaves before the record behind it is committed, so
+ * that the next leader can't contradict it; a request whose commit takes too long is answered as unavailable.
+ */
 internal class JobRequests(
     private val context: SchedulerContext,
     private val jobTable: JobTable,
     private val decisionLog: DecisionLog,
-    private val fleet: Inventory,
+    private val inventory: Inventory,
     private val quota: Quota,
     private val teams: Map<String, Team>,
-    private val intakeMs: Long,
+    private val maxCommitWaitMs: Long,
 ) {
-    private class Gate(val seq: LogIndex, val answer: Effect.Answer, val giveUpMs: Long)
+    /** A reply that may go out once [record] is committed, up to [expiresMs]. */
+    private class PendingReply(val record: LogIndex, val answer: Effect.Answer, val expiresMs: Long)
 
-    private val gates = ArrayList<Gate>()
+    private val pendingReplies = ArrayList<PendingReply>()
 
-    /** Gives the answers whose records are committed by now. */
-    fun committed() {
-        val (open, rest) = gates.partition { it.seq <= decisionLog.committed }
-        gates.clear()
-        gates += rest
-        open.forEach { context.emit(it.answer) }
-    }
-
-    private fun gate(seq: LogIndex, answer: Effect.Answer) {
-        if (seq <= decisionLog.committed) context.emit(answer) else gates += Gate(seq, answer, context.now.steadyMs + intakeMs)
-    }
-
-    fun expire() {
-        val late = gates.filter { it.giveUpMs <= context.now.steadyMs }
-        if (late.isEmpty()) return
-        gates.removeAll(late.toSet())
-        late.forEach { answer(it.answer.request, UserReply.Unavailable("the state service is slow")) }
-    }
-
-    private fun answer(request: RequestId, reply: UserReply) {
-        context.emit(Effect.Answer(request, reply))
-    }
-
-    /** An end that was told can't be taken back, so the log keeps why it could be told. */
-    private fun logFinalState(id: JobId, state: JobState, source: String) {
-        if (state != JobState.DONE && state != JobState.CANCELLED) return
-        context.logEvent(LogLevel.DEBUG) { "job $id may be called $state: $source; records up to ${decisionLog.committed} are committed" }
-    }
-
-    fun submit(command: Input.Submit) {
-        val (request, spec) = command
+    /** Accepts a job. Repeated submissions are idempotent: they are answered with the state of the job accepted first. */
+    fun submit(submission: Input.Submit) {
+        val (request, spec) = submission
         if (!context.leaseHeld()) return answer(request, UserReply.Unavailable("no lease"))
-        jobTable.finalState(spec.id)?.let { return answer(request, UserReply.Accepted(spec.id, shown(it), known = true)) }
+        jobTable.finalState(spec.id)?.let {
+            return answer(request, UserReply.Accepted(spec.id, jobState(it), known = true))
+        }
         jobTable.job(spec.id)?.let { job ->
-            return gate(job.acceptedSeq, Effect.Answer(request, UserReply.Accepted(job.id, shownState(job), known = true)))
+            return answerAfter(job.acceptedSeq, request, UserReply.Accepted(job.id, committedState(job), known = true))
         }
-        if (fleet.types.isEmpty()) return answer(request, UserReply.Unavailable("machine types aren't known yet"))
-        neverRuns(spec)?.let { return answer(request, UserReply.Unsatisfiable(it)) }
+        if (inventory.types.isEmpty()) return answer(request, UserReply.Unavailable("machine types aren't known yet"))
+        whyUnsatisfiable(spec)?.let { return answer(request, UserReply.Unsatisfiable(it)) }
         if (context.stalled()) return answer(request, UserReply.Unavailable("the state service doesn't answer"))
-        val seq = context.append(Event.JobAccepted(spec, context.now.wallMs))
+        val record = context.append(Event.JobAccepted(spec, context.now.wallMs))
         context.logEvent(LogLevel.DEBUG) { "job ${spec.id} class ${spec.className} team ${spec.team}: ${spec.tasks} tasks taken in" }
-        gate(seq, Effect.Answer(request, UserReply.Accepted(spec.id, JobState.QUEUED, known = false)))
+        answerAfter(record, request, UserReply.Accepted(spec.id, JobState.QUEUED, known = false))
+    }
+
+    /** Why no task of the job could ever start, as a text for the user; null if it could. */
+    private fun whyUnsatisfiable(spec: JobSpec): String? = when {
+        spec.team !in teams -> "unknown team"
+        !isHeldBySomeType(spec) -> "no allowed machine type holds a task"
+        !quota.couldEverAllow(spec) -> "more than the team's limit"
+        else -> null
     }
 
-    private fun neverRuns(spec: JobSpec): String? {
-        if (spec.team !in teams) return "unknown team"
-        val shape = spec.placementClass
-        val fits = fleet.types.values.any { type ->
-            type.canHold(shape) && type.zones.any { shape.permits(Offer(type.name, it, spot = false)) }
+    private fun isHeldBySomeType(spec: JobSpec): Boolean {
+        val placementClass = spec.placementClass
+        return inventory.types.values.any { type ->
+            type.canHold(placementClass) && type.zones.any { placementClass.permits(Offer(type.name, it, spot = false)) }
         }
-        if (!fits) return "no allowed machine type holds a task"
-        if (!quota.everAllows(spec)) return "more than the team's limit"
-        return null
     }
 
-    fun poll(command: Input.Poll) {
-        val (request, id) = command
+    fun poll(poll: Input.Poll) {
+        val (request, id) = poll
         if (!context.leaseHeld()) return answer(request, UserReply.Unavailable("no lease"))
-        val acceptedSeq = jobTable.job(id)?.acceptedSeq ?: LogIndex.NONE
-        gate(acceptedSeq, Effect.Answer(request, status(id)))
+        answerAfter(acceptanceRecord(id), request, status(id))
     }
 
-    /** The job's status if it can be told at once; a poll of many that share an answer must not wait for a commit. */
+    /** The reply to a poll if it can be given at once; polls that share an answer mustn't wait for one job's commit. */
     fun currentStatus(id: JobId): UserReply {
         if (!context.leaseHeld()) return UserReply.Unavailable("no lease")
-        val acceptedSeq = jobTable.job(id)?.acceptedSeq ?: LogIndex.NONE
-        return if (acceptedSeq <= decisionLog.committed) status(id) else UserReply.Unavailable("the job isn't recorded yet")
+        val isRecorded = acceptanceRecord(id) <= decisionLog.committed
+        return if (isRecorded) status(id) else UserReply.Unavailable("the job isn't recorded yet")
     }
 
+    /** The record in which the job was accepted; none for a job that is archived or unknown. */
+    private fun acceptanceRecord(id: JobId): LogIndex = jobTable.job(id)?.acceptedSeq ?: LogIndex.NONE
+
     private fun status(id: JobId): UserReply {
         jobTable.finalState(id)?.let {
-            logFinalState(id, shown(it), "archived")
-            return UserReply.Status(id, shown(it), 0, 0)
+            logFinalState(id, jobState(it), "archived")
+            return UserReply.Status(id, jobState(it), 0, 0)
         }
         val job = jobTable.job(id) ?: return UserReply.NotFound
         val running = job.live.values.count { it.seen == TaskState.RUNNING }
-        val state = shownState(job)
+        val state = committedState(job)
         logFinalState(id, state, "record ${job.cancelledSeq ?: job.finishedSeq}")
         return UserReply.Status(id, state, job.doneCount, running)
     }
 
-    fun abort(command: Input.Cancel) {
-        val (request, id) = command
+    /** Cancels a job; one that is over already keeps its final state, which the reply tells. */
+    fun cancel(cancellation: Input.Cancel) {
+        val (request, id) = cancellation
         if (!context.leaseHeld()) return answer(request, UserReply.Unavailable("no lease"))
-        jobTable.finalState(id)?.let { return answer(request, UserReply.Cancelled(id, shown(it))) }
+        jobTable.finalState(id)?.let { return answer(request, UserReply.Cancelled(id, jobState(it))) }
         val job = jobTable.job(id) ?: return answer(request, UserReply.NotFound)
         if (!job.over) {
             if (context.stalled()) return answer(request, UserReply.Unavailable("the state service doesn't answer"))
-            val seq = context.append(Event.JobCancelled(id))
-            job.stopIfOver()
-            context.stopAfter(seq, job.live.values)
-            context.logEvent(LogLevel.DEBUG) { "job $id cancelled" }
+            recordCancellation(job)
         }
         val state = if (job.cancelled) JobState.CANCELLED else JobState.DONE
-        val record = job.cancelledSeq ?: job.finishedSeq!!
+        val record = checkNotNull(job.cancelledSeq ?: job.finishedSeq) { "job $id is over without a record of its end" }
         logFinalState(id, state, "once record $record is committed")
-        gate(record, Effect.Answer(request, UserReply.Cancelled(id, state)))
+        answerAfter(record, request, UserReply.Cancelled(id, state))
+    }
+
+    private fun recordCancellation(job: Job) {
+        val record = context.append(Event.JobCancelled(job.id))
+        job.stopIfOver()
+        context.stopAfter(record, job.live.values)
+        context.logEvent(LogLevel.DEBUG) { "job ${job.id} cancelled" }
+    }
+
+    /** Sends the replies whose records are committed by now. */
+    fun answerCommitted() {
+        val (ready, waiting) = pendingReplies.partition { it.record <= decisionLog.committed }
+        pendingReplies.clear()
+        pendingReplies += waiting
+        ready.forEach { context.emit(it.answer) }
+    }
+
+    /** Gives up on replies that wait too long for their commits; their users may ask again. */
+    fun expire() {
+        val expired = pendingReplies.filter { it.expiresMs <= context.now.steadyMs }
+        if (expired.isEmpty()) return
+        pendingReplies.removeAll(expired.toSet())
+        expired.forEach { answer(it.answer.request, UserReply.Unavailable("the state service is slow")) }
+    }
+
+    private fun answer(request: RequestId, reply: UserReply) {
+        context.emit(Effect.Answer(request, reply))
+    }
+
+    private fun answerAfter(record: LogIndex, request: RequestId, reply: UserReply) {
+        if (record <= decisionLog.committed) return answer(request, reply)
+        pendingReplies += PendingReply(record, Effect.Answer(request, reply), context.now.steadyMs + maxCommitWaitMs)
+    }
+
+    /** A final state that a user was told can't be taken back, so the log keeps on what record it rests. */
+    private fun logFinalState(id: JobId, state: JobState, source: String) {
+        if (state != JobState.DONE && state != JobState.CANCELLED) return
+        context.logEvent(LogLevel.DEBUG) { "job $id may be called $state: $source; records up to ${decisionLog.committed} are committed" }
     }
 
-    private fun shown(state: FinalState) = when (state) {
+    private fun jobState(state: FinalState) = when (state) {
         FinalState.DONE -> JobState.DONE
         FinalState.CANCELLED -> JobState.CANCELLED
     }
 
-    /** What may be told: an end that isn't committed yet isn't told. */
-    private fun shownState(job: Job): JobState {
+    /** The state that users may be told: an end counts only once its record is committed. */
+    private fun committedState(job: Job): JobState {
         job.cancelledSeq?.let { if (it <= decisionLog.committed) return JobState.CANCELLED }
         job.finishedSeq?.let { if (it <= decisionLog.committed) return JobState.DONE }
         return if (job.live.values.any { it.seen == TaskState.RUNNING }) JobState.RUNNING else JobState.QUEUED
--- a/src/test/kotlin/cleathitch/scheduler/placement/SchedulingOrderTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/placement/SchedulingOrderTest.kt
@@ -33,7 +33,7 @@
         assertEquals(listOf(1, 2, 4, 3), order(10, large, small, guaranteed, service))
     }
 
-    /** With shortest-first alone (turnMs without its bounds) the large job never comes up. */
+    /** With shortest-first alone (virtualSubmissionMs without its bounds) the large job never comes up. */
     @Test
     fun `no stream of small jobs keeps a large one from its turn`() {
         val large = job(1, submittedS = 0, tasks = 100)
@@ -51,9 +51,9 @@
     @Test
     fun `a job of which nothing began within two minutes is overdue`() {
         val waiting = job(1, submittedS = 0, tasks = 5)
-        assertFalse(SchedulingOrder.overdue(waiting, 119_000))
-        assertTrue(SchedulingOrder.overdue(waiting, 120_000))
+        assertFalse(SchedulingOrder.isOverdue(waiting, 119_000))
+        assertTrue(SchedulingOrder.isOverdue(waiting, 120_000))
         waiting.lastNumber = 1
-        assertFalse(SchedulingOrder.overdue(waiting, 120_000))
+        assertFalse(SchedulingOrder.isOverdue(waiting, 120_000))
     }
 }
