--- a/src/main/kotlin/cleathitch/protocol/UserProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/UserProtocol.kt
@@ -52,14 +52,14 @@
             memoryGb = amount(map, "memoryGb"),
             image = name(map, "imagen"),
             imageGb = amount(map, "pullGb"),
-            types = types?.toSet(),
+            allowedTypes = types?.toSet(),
             zone = map.optionalText("comarca"),
             oneZone = map.bool("oneZone"),
             spread = map.bool("scatter"),
             spotAllowed = map.bool("prestados"),
-            estimateS = amount(map, "aproxS"),
-            checkpointS = amount(map, "hitoS"),
-            saveS = amount(map, "guardadoS"),
+            estimatedRunS = amount(map, "aproxS"),
+            checkpointIntervalS = amount(map, "hitoS"),
+            checkpointWriteS = amount(map, "guardadoS"),
             deadlineS = map.optionalAmount("plazoS")?.also {
                 if (it <= 0 ||
                     it > MAX_AMOUNT
--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -544,7 +544,7 @@
     /** A machine about to be taken gets nothing new, and what can be saved is saved in time. */
     private fun drain(machine: Machine) {
         for (attempt in jobTable.attemptsOn(machine.id)) {
-            if (attempt.stop == null && attempt.job.spec.checkpointS > 0) attempt.stop = StopCause.DRAIN
+            if (attempt.stop == null && attempt.job.spec.checkpointIntervalS > 0) attempt.stop = StopCause.DRAIN
         }
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/capacity/DemandForecast.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/DemandForecast.kt
@@ -34,7 +34,7 @@
             takenInHalfSlack += inHalfSlack
             takenInSlack += inSlack
             val shortage = shortages.getOrPut(tasks.spec.placementClass) { Shortage() }
-            shortage.add(tasks.count, slackS, tasks.spec.estimateS)
+            shortage.add(tasks.count, slackS, tasks.spec.estimatedRunS)
             shortage.afterHalfSlack += tasks.count - inHalfSlack / cpus
             shortage.afterSlack += tasks.count - inSlack / cpus
         }
@@ -43,8 +43,8 @@
 
     /** At what rate running array tasks free processors, by their estimates. */
     private fun freedCpusPerS(): Double = jobTable.jobs
-        .filter { it.spec.kind == JobKind.ARRAY && it.spec.estimateS > 0 }
-        .sumOf { it.live.size * it.spec.cpus / it.spec.estimateS }
+        .filter { it.spec.kind == JobKind.ARRAY && it.spec.estimatedRunS > 0 }
+        .sumOf { it.live.size * it.spec.cpus / it.spec.estimatedRunS }
 
     /**
      * For how long a task may wait in the queue: what its run and its image leave of the first objective of its class that
@@ -55,8 +55,8 @@
         val fastestFetchGbPerS = inventory.types.values.maxOfOrNull { it.fetchGbPerS } ?: return 0.0
         val fetchS = spec.imageGb / fastestFetchGbPerS
         val objectivesS = completionObjectives[spec.className] ?: listOf(spec.deadlineS ?: return 0.0)
-        val reachableS = objectivesS.firstOrNull { it > spec.estimateS + fetchS }
-        return if (reachableS != null) reachableS - spec.estimateS - fetchS else objectivesS.last()
+        val reachableS = objectivesS.firstOrNull { it > spec.estimatedRunS + fetchS }
+        return if (reachableS != null) reachableS - spec.estimatedRunS - fetchS else objectivesS.last()
     }
 
     /** The tasks of a class for which running tasks leave no room in time. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
@@ -74,8 +74,8 @@
 
     private fun stop(attempt: Attempt, state: TaskState): WorkerCommand? {
         val spec = attempt.job.spec
-        val saves = attempt.stop != StopCause.CANCELLED && attempt.stop != StopCause.STRAY && spec.checkpointS > 0
+        val saves = attempt.stop != StopCause.CANCELLED && attempt.stop != StopCause.STRAY && spec.checkpointIntervalS > 0
         if (saves && state == TaskState.SAVING) return null
-        return WorkerCommand.Stop(attempt.id, if (saves) spec.saveS else 0.0)
+        return WorkerCommand.Stop(attempt.id, if (saves) spec.checkpointWriteS else 0.0)
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/model/PlacementClass.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/PlacementClass.kt
@@ -1,5 +1,6 @@
 package cleathitch.scheduler.model
 
+import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 import kotlin.math.floor
 import kotlin.math.min
@@ -22,7 +23,8 @@
     /** Name of the container image. */
     val image: String,
     /** The machine types on which a task may run; null for any. */
-    val types: Set<String>?,
+    @SerialName("types")
+    val allowedTypes: Set<String>?,
     /** The zone in which a task has to run; null for any. */
     val zone: String?,
     /** All tasks of the job have to run in the same zone. */
@@ -33,7 +35,7 @@
     val spotAllowed: Boolean,
 ) {
     /** Whether a task may run on a machine rented as [offer]; whether it has room there is another question. */
-    fun permits(offer: Offer): Boolean = (types == null || offer.type in types) &&
+    fun permits(offer: Offer): Boolean = (allowedTypes == null || offer.type in allowedTypes) &&
         (zone == null || offer.zone == zone) &&
         (spotAllowed || !offer.spot)
 
--- a/src/main/kotlin/cleathitch/scheduler/placement/PreemptionPlanner.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/PreemptionPlanner.kt
@@ -111,7 +111,7 @@
     private fun lossCpuS(attempt: Attempt): Double {
         val spec = attempt.job.spec
         val ranS = attempt.runningSinceMs?.let { (nowMs - it) / MS_PER_S } ?: 0.0
-        return spec.cpus * if (spec.checkpointS > 0) minOf(ranS, spec.saveS) else ranS
+        return spec.cpus * if (spec.checkpointIntervalS > 0) minOf(ranS, spec.checkpointWriteS) else ranS
     }
 
     private companion object {
--- a/src/main/kotlin/cleathitch/scheduler/placement/SchedulingOrder.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/SchedulingOrder.kt
@@ -36,7 +36,7 @@
         val objectivesS = completionObjectives[job.spec.className].orEmpty()
         val firstObjectiveS = objectivesS.minOrNull() ?: return job.wallMs
         val ageS = (nowWallMs - job.wallMs) / MS_PER_S
-        val missedObjectives = objectivesS.count { ageS + job.spec.estimateS > it }
+        val missedObjectives = objectivesS.count { ageS + job.spec.estimatedRunS > it }
         val delay = missedObjectives + SIZE_WEIGHT * job.waiting / largestOfClass
         return job.wallMs + (firstObjectiveS * 1000 * delay).toLong()
     }
--- a/src/main/kotlin/cleathitch/storage/LogCodec.kt
+++ b/src/main/kotlin/cleathitch/storage/LogCodec.kt
@@ -56,7 +56,7 @@
 
     private fun of(spec: JobSpec): Int {
         val texts = spec.className.length + spec.team.length + spec.image.length + (spec.zone?.length ?: 0) +
-            (spec.types?.sumOf { it.length + 3 } ?: 0)
+            (spec.allowedTypes?.sumOf { it.length + 3 } ?: 0)
         return SPEC_BYTES + texts * 4
     }
 
--- a/src/test/kotlin/cleathitch/protocol/UserProtocolTest.kt
+++ b/src/test/kotlin/cleathitch/protocol/UserProtocolTest.kt
@@ -30,7 +30,7 @@
         assertEquals(JobKind.ARRAY, spec.kind)
         assertEquals(Priority.HIGH, spec.priority)
         assertEquals(16, spec.tasks)
-        assertEquals(setOf("g8"), spec.types)
+        assertEquals(setOf("g8"), spec.allowedTypes)
         assertNull(spec.zone)
         assertEquals(900.0, spec.deadlineS)
     }
@@ -40,7 +40,7 @@
         val node = valid().put("later", 1)
         listOf("hornadas", "comarca", "plazoS").forEach(node::remove)
         val spec = parse(node)
-        assertNull(spec.types)
+        assertNull(spec.allowedTypes)
         assertNull(spec.deadlineS)
     }
 
--- a/src/test/kotlin/cleathitch/scheduler/capacity/CapacityPlannerTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/capacity/CapacityPlannerTest.kt
@@ -34,7 +34,7 @@
     ) = MachineDemand(
         PlacementClass(
             team = "red", kind = JobKind.ARRAY, priority = Priority.NORMAL, cpus = 2.0, gpus = 0.0, memoryGb = 2.0,
-            image = "image", types = null, zone = null, oneZone = false, spread = spread, spotAllowed = spotAllowed,
+            image = "image", allowedTypes = null, zone = null, oneZone = false, spread = spread, spotAllowed = spotAllowed,
         ),
         tasks,
         urgentTasks,
--- a/src/test/kotlin/cleathitch/scheduler/model/PlacementClassTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/model/PlacementClassTest.kt
@@ -10,12 +10,12 @@
         cpus: Double = 2.0,
         gpus: Double = 0.0,
         memoryGb: Double = 4.0,
-        types: Set<String>? = null,
+        allowedTypes: Set<String>? = null,
         zone: String? = null,
         spotAllowed: Boolean = false,
     ) = PlacementClass(
         team = "red", kind = JobKind.ARRAY, priority = Priority.NORMAL, cpus = cpus, gpus = gpus, memoryGb = memoryGb,
-        image = "image", types = types, zone = zone, oneZone = false, spread = false, spotAllowed = spotAllowed,
+        image = "image", allowedTypes = allowedTypes, zone = zone, oneZone = false, spread = false, spotAllowed = spotAllowed,
     )
 
     @Test
@@ -40,7 +40,7 @@
         assertFalse(placementClass().permits(offer))
         assertTrue(placementClass(spotAllowed = true).permits(offer))
         assertFalse(placementClass(spotAllowed = true, zone = "b").permits(offer))
-        assertFalse(placementClass(spotAllowed = true, types = setOf("m8")).permits(offer))
-        assertTrue(placementClass(types = setOf("m4"), zone = "a").permits(offer.copy(spot = false)))
+        assertFalse(placementClass(spotAllowed = true, allowedTypes = setOf("m8")).permits(offer))
+        assertTrue(placementClass(allowedTypes = setOf("m4"), zone = "a").permits(offer.copy(spot = false)))
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
@@ -570,7 +570,7 @@
             listOf(
                 good.copy(team = "green"),
                 good.copy(cpus = 99.0),
-                good.copy(types = setOf("m9")),
+                good.copy(allowedTypes = setOf("m9")),
                 good.copy(zone = "c"),
                 good.copy(kind = JobKind.SERVICE, tasks = 7),
             )
@@ -794,7 +794,7 @@
             id = JobId("j-%06d".format(number)), className = if (kind == JobKind.SERVICE) "web" else "batch", team = team,
             kind = kind, priority = if (kind == JobKind.SERVICE) Priority.PRODUCTION else Priority.NORMAL, tasks = tasks,
             cpus = 2.0, gpus = 0.0, memoryGb = 2.0, image = "img", imageGb = 1.0, spotAllowed = kind != JobKind.SERVICE,
-            estimateS = 10.0,
+            estimatedRunS = 10.0,
         )
     }
 }
