--- a/src/main/kotlin/cleathitch/election/LeaderElection.kt
+++ b/src/main/kotlin/cleathitch/election/LeaderElection.kt
@@ -138,7 +138,7 @@
         return true
     }
 
-    private fun heldUntil(renewedMs: Long) = renewedMs + ttlMs - (ttlMs * SchedulerTimings.DRIFT).toLong() - 1
+    private fun heldUntil(renewedMs: Long) = renewedMs + ttlMs - (ttlMs * SchedulerTimings.MAX_CLOCK_DRIFT).toLong() - 1
 
     private class Holder(val member: String, val incarnation: String, val lease: Long) {
         companion object {
--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -88,7 +88,7 @@
         override val now get() = this@Scheduler.now
         override val listeningSinceMs get() = this@Scheduler.listeningSinceMs
         override fun leaseHeld() = this@Scheduler.leaseHeld()
-        override fun stalled() = writeSinceMs?.let { now.steadyMs - it > timings.stallMs } == true
+        override fun stalled() = writeSinceMs?.let { now.steadyMs - it > timings.commitStallMs } == true
         override fun append(event: Event) = this@Scheduler.append(event)
         override fun stopAfter(seq: LogIndex, attempts: Collection<Attempt>) {
             stopsAwaitingCommit.getOrPut(seq) { ArrayList() } += attempts
@@ -98,7 +98,7 @@
         }
         override fun isLogged(level: LogLevel) = level <= logLevel
     }
-    private val jobRequests = JobRequests(context, jobTable, decisionLog, fleet, quota, deployment.teams, timings.intakeMs)
+    private val jobRequests = JobRequests(context, jobTable, decisionLog, fleet, quota, deployment.teams, timings.maxCommitWaitMs)
     private val commands = WorkerReconciler(jobTable, decisionLog)
     private val cloudRequests = CloudRequests(
         context,
@@ -583,7 +583,7 @@
     }
 
     private fun confirmGone(id: MachineId) {
-        if (id !in fleet.retired) return
+        if (id !in fleet.terminatingMachines) return
         jobTable.attemptsOn(id).toList().forEach(::over)
         append(Event.MachineTerminated(id))
         cloudRequests.recordTermination(id)
--- a/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
@@ -19,7 +19,7 @@
     /** For how long after the end of its own lease a leader still answers heartbeats: old answers end before new starts. */
     val graceMs: Long,
 
-    /** What is added to a worker's lease before its tasks count as ended: clock drift, and the way of an answer. */
+    /** What is added to a worker's lease before its tasks count as ended, for clock drift and heartbeats on their way. */
     val leaseMarginMs: Long,
 
     /** For how long a leader's key outlives its last renewal. */
@@ -28,35 +28,38 @@
     /** Period at which the whole fleet is checked for machines that are silent, without a lease or never come up. */
     val watchMs: Long,
 
-    /** After how long without a heartbeat a machine is probed and gets no new tasks. */
+    /** After how long without a heartbeat a machine is probed and gets no new tasks; more than one period, as some come late. */
     val probeMs: Long,
 
     /** Least time between two probes of a machine, and the timeout of one. */
     val probeGapMs: Long,
 
-    /** After how long without a heartbeat a machine that answers no probe either is terminated. */
+    /** After how long without a heartbeat a machine that answers no probe either is terminated: two periods. */
     val silentMs: Long,
 
     /** After how long without an answered heartbeat a machine has certainly lost its lease. */
     val lostMs: Long,
 
     /** Least time between two termination calls to the cloud; what is decided in between goes in one call. */
-    val returnGapMs: Long,
+    val terminationGapMs: Long,
 
     /** Period at which the leader tells the followers which machine holds which images. */
     val imageHintPeriodMs: Long,
 
-    /** For how long a new leader waits for heartbeats before it decides what depends on silent machines: rentals, terminations. */
+    /**
+     * For how long a new leader waits before it decides what depends on silent machines, as rentals and terminations: more
+     * than one heartbeat period, so that every live machine has had its turn.
+     */
     val failoverMs: Long,
 
     /** For how long a follower gathers heartbeats before it forwards them to the leader. */
     val forwardMs: Long,
 
     /** After how long a commit without an answer counts as a stall, in which submissions and cancellations are refused. */
-    val stallMs: Long,
+    val commitStallMs: Long,
 
     /** For how long a user's request waits for its commit before it is answered as unavailable. */
-    val intakeMs: Long,
+    val maxCommitWaitMs: Long,
 ) {
     companion object {
         private const val MS_PER_S = 1000
@@ -75,7 +78,7 @@
         private const val GRACE_SHARE = 0.25
 
         /** The bound on how far steady clocks drift apart, as a ratio, doubled for two clocks. */
-        const val DRIFT = 0.001
+        const val MAX_CLOCK_DRIFT = 0.001
 
         /** The timings of [deployment]; [trimS] is the operator's own compaction period, in seconds. */
         fun of(deployment: Deployment, trimS: Double? = null): SchedulerTimings {
@@ -86,18 +89,18 @@
                 watchMs = max(roundMs, (reportMs / 6).toLong()),
                 trimMs = trimS?.let { (it * MS_PER_S).toLong() } ?: DEFAULT_TRIM_MS,
                 graceMs = graceMs(deployment),
-                leaseMarginMs = (deployment.leaseS * MS_PER_S * DRIFT + reportMs / 4).toLong(),
+                leaseMarginMs = (deployment.leaseS * MS_PER_S * MAX_CLOCK_DRIFT + reportMs / 4).toLong(),
                 leaderLeaseMs = (deployment.leaseS * MS_PER_S / 24).toLong(),
                 probeMs = (reportMs * 1.35).toLong(),
                 probeGapMs = (reportMs / 4).toLong(),
                 silentMs = (reportMs * 2).toLong(),
                 lostMs = (deployment.leaseS * MS_PER_S + reportMs).toLong(),
-                returnGapMs = (2000 / deployment.cloudRps).toLong(),
+                terminationGapMs = (2000 / deployment.cloudRps).toLong(),
                 imageHintPeriodMs = (reportMs * 1.5).toLong(),
                 failoverMs = (reportMs * 1.25).toLong(),
                 forwardMs = (reportMs / 80).toLong(),
-                stallMs = (reportMs / 4).toLong(),
-                intakeMs = (reportMs / 2).toLong(),
+                commitStallMs = (reportMs / 4).toLong(),
+                maxCommitWaitMs = (reportMs / 2).toLong(),
             )
         }
 
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
@@ -50,7 +50,7 @@
     /** Decides to give the machine back; the call goes out once the record is committed. */
     fun requestTermination(id: MachineId, reason: String) {
         // Terminations that aren't confirmed have to fit into one stored value; the next round tries again.
-        if (inventory.retired.size >= deployment.stateValueBytes / BYTES_PER_TERMINATION) return
+        if (inventory.terminatingMachines.size >= deployment.stateValueBytes / BYTES_PER_TERMINATION) return
         recordByName[id.text] = context.append(Event.MachineTerminationRequested(id))
         context.logEvent(LogLevel.INFO) { "machine $id is returned: $reason" }
     }
@@ -102,15 +102,15 @@
 
     /** Terminations go many to a call; the gap between calls gathers them. */
     private fun sendTerminations() {
-        if (inventory.retired.isNotEmpty() && context.now.steadyMs - lastTerminationCallMs >= timings.returnGapMs) {
-            val due = inventory.retired.filter { isRecorded(it.text) && isDue(terminationSentMs[it]) }.take(MAX_TERMINATIONS_PER_CALL)
+        if (inventory.terminatingMachines.isNotEmpty() && context.now.steadyMs - lastTerminationCallMs >= timings.terminationGapMs) {
+            val due = inventory.terminatingMachines.filter { isRecorded(it.text) && isDue(terminationSentMs[it]) }.take(MAX_TERMINATIONS_PER_CALL)
             if (due.isNotEmpty()) {
                 lastTerminationCallMs = context.now.steadyMs
                 due.forEach { terminationSentMs[it] = context.now.steadyMs }
                 context.emit(Effect.TerminateMachines(due))
             }
         }
-        if (terminationSentMs.size > inventory.retired.size) terminationSentMs.keys.retainAll(inventory.retired)
+        if (terminationSentMs.size > inventory.terminatingMachines.size) terminationSentMs.keys.retainAll(inventory.terminatingMachines)
     }
 
     private fun isDue(sentMs: Long?): Boolean {
--- a/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
@@ -57,7 +57,7 @@
             if (withoutHeartbeatMs(machine) >= patienceMs) retire(machine.id, "its reports don't arrive")
         }
         if (context.now.steadyMs - startedMs >= timings.lostMs) {
-            jobTable.machinesInUse.filter { it !in fleet.machines && it !in fleet.retired }
+            jobTable.machinesInUse.filter { it !in fleet.machines && it !in fleet.terminatingMachines }
                 .forEach { retire(it, "it hasn't reported since the take-over") }
         }
     }
--- a/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
@@ -26,7 +26,7 @@
     val pendingRentals: Map<String, Event.RentalRequested> get() = rentalsByRequest
 
     /** Machines whose termination is recorded and not confirmed by the cloud yet. */
-    val retired: Set<MachineId> get() = terminating
+    val terminatingMachines: Set<MachineId> get() = terminating
 
     /** The machine types on offer, by name; empty until the cloud has listed them in this term. */
     var types: Map<String, MachineType> = emptyMap()
