--- a/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
@@ -1,6 +1,7 @@
 package cleathitch.scheduler.api
 
 import cleathitch.scheduler.model.Deployment
+import cleathitch.scheduler.model.MS_PER_S
 import cleathitch.scheduler.model.Objective
 import kotlin.math.max
 import kotlin.math.min
@@ -62,8 +63,6 @@
     val maxCommitWaitMs: Long,
 ) {
     companion object {
-        private const val MS_PER_S = 1000
-
         /** The longest round period; shorter waits that are promised shorten it. */
         private const val MAX_ROUND_MS = 2000.0
         private const val DEFAULT_TRIM_MS = 10_000L
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
@@ -13,6 +13,7 @@
 import cleathitch.scheduler.machines.Inventory
 import cleathitch.scheduler.machines.Machine
 import cleathitch.scheduler.model.Deployment
+import cleathitch.scheduler.model.MS_PER_S
 import cleathitch.scheduler.model.MachineId
 import cleathitch.scheduler.model.Offer
 import cleathitch.scheduler.model.Term
@@ -103,7 +104,9 @@
     /** Terminations go many to a call; the gap between calls gathers them. */
     private fun sendTerminations() {
         if (inventory.terminatingMachines.isNotEmpty() && context.now.steadyMs - lastTerminationCallMs >= timings.terminationGapMs) {
-            val due = inventory.terminatingMachines.filter { isRecorded(it.text) && isDue(terminationSentMs[it]) }.take(MAX_TERMINATIONS_PER_CALL)
+            val due = inventory.terminatingMachines.filter {
+                isRecorded(it.text) && isDue(terminationSentMs[it])
+            }.take(MAX_TERMINATIONS_PER_CALL)
             if (due.isNotEmpty()) {
                 lastTerminationCallMs = context.now.steadyMs
                 due.forEach { terminationSentMs[it] = context.now.steadyMs }
@@ -122,8 +125,6 @@
     private fun isRecorded(name: String) = (recordByName[name] ?: LogIndex.NONE) <= decisionLog.committed
 
     private companion object {
-        const val MS_PER_S = 1000
-
         /** The cloud's limit for one termination call. */
         const val MAX_TERMINATIONS_PER_CALL = 100
 
--- a/src/main/kotlin/cleathitch/scheduler/capacity/ScaleInCandidates.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/ScaleInCandidates.kt
@@ -5,6 +5,7 @@
 import cleathitch.scheduler.machines.Machine
 import cleathitch.scheduler.machines.MachineState
 import cleathitch.scheduler.model.Deployment
+import cleathitch.scheduler.model.MS_PER_S
 import kotlin.math.max
 
 /**
@@ -34,8 +35,6 @@
     }
 
     private companion object {
-        const val MS_PER_S = 1000
-
         /** A machine costs a minute at least, however early it is terminated. */
         const val MIN_CHARGED_MS = 60_000L
 
--- a/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
@@ -40,7 +40,7 @@
     fun findSilent() {
         val up = fleet.machines.values.filter { it.state == MachineState.UP }
         val suspicion = PartitionDetector(up) { silentForMs(it) >= timings.probeMs }
-        fleet.partitionedZones = suspicion.partitionedZones
+        fleet.updatePartitionedZones(suspicion.partitionedZones)
         val silent = suspicion.quiet.filter { it.probes >= QUESTIONS_BEFORE_LOSS || it.address == null }.filter {
             silentForMs(it) >=
                 timings.silentMs
--- a/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
@@ -4,6 +4,7 @@
 import cleathitch.scheduler.log.InventorySnapshot
 import cleathitch.scheduler.log.LogIndex
 import cleathitch.scheduler.model.Deployment
+import cleathitch.scheduler.model.MS_PER_S
 import cleathitch.scheduler.model.MachineId
 import cleathitch.scheduler.model.MachineType
 import cleathitch.scheduler.model.Offer
@@ -38,6 +39,7 @@
 
     /** Zones that seem cut off: nothing is rented there. */
     var partitionedZones: Set<String> = emptySet()
+        private set
 
     /** Prices change, and machines whose heartbeats came before the first list get their type only now. */
     fun updateTypes(listedTypes: List<MachineType>) {
@@ -46,6 +48,11 @@
         machinesById.values.forEach { machine -> types[machine.offer.type]?.let { machine.type = it } }
     }
 
+    /** The failure detector's finding about the zones as they are now. */
+    fun updatePartitionedZones(partitioned: Set<String>) {
+        partitionedZones = partitioned
+    }
+
     fun apply(event: Event.InventoryEvent) {
         when (event) {
             is Event.RentalRequested -> rentalsByRequest[event.request] = event
@@ -83,8 +90,6 @@
     fun isRefused(offer: Offer, nowMs: Long): Boolean = nowMs < (refusedUntilMs[offer] ?: 0)
 
     private companion object {
-        const val MS_PER_S = 1000
-
         /** After a refusal the same offer is asked for again after as many heartbeat periods; asked more often it uses up calls. */
         const val REFUSAL_BACKOFF_PERIODS = 3.0
     }
--- a/src/main/kotlin/cleathitch/scheduler/placement/PreemptionPlanner.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/PreemptionPlanner.kt
@@ -4,6 +4,7 @@
 import cleathitch.scheduler.jobs.JobTable
 import cleathitch.scheduler.machines.Machine
 import cleathitch.scheduler.model.JobSpec
+import cleathitch.scheduler.model.MS_PER_S
 import java.util.PriorityQueue
 
 /**
@@ -113,8 +114,4 @@
         val ranS = attempt.runningSinceMs?.let { (nowMs - it) / MS_PER_S } ?: 0.0
         return spec.cpus * if (spec.checkpointIntervalS > 0) minOf(ranS, spec.checkpointWriteS) else ranS
     }
-
-    private companion object {
-        const val MS_PER_S = 1000.0
-    }
 }
--- a/src/main/kotlin/cleathitch/scheduler/placement/SchedulingOrder.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/SchedulingOrder.kt
@@ -2,6 +2,7 @@
 
 import cleathitch.scheduler.jobs.Job
 import cleathitch.scheduler.jobs.Quota
+import cleathitch.scheduler.model.MS_PER_S
 import cleathitch.scheduler.model.Priority
 
 /**
@@ -38,12 +39,10 @@
         val ageS = (nowWallMs - job.wallMs) / MS_PER_S
         val missedObjectives = objectivesS.count { ageS + job.spec.estimatedRunS > it }
         val delay = missedObjectives + SIZE_WEIGHT * job.waiting / largestOfClass
-        return job.wallMs + (firstObjectiveS * 1000 * delay).toLong()
+        return job.wallMs + (firstObjectiveS * MS_PER_S * delay).toLong()
     }
 
     companion object {
-        private const val MS_PER_S = 1000.0
-
         /** The largest job of its class is put off by this part of the class's first objective. */
         private const val SIZE_WEIGHT = 0.5
 
--- a/src/test/kotlin/cleathitch/scheduler/capacity/CapacityPlannerTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/capacity/CapacityPlannerTest.kt
@@ -75,7 +75,7 @@
         inventory.recordRefusal(offer("a"), nowMs = 0)
         assertEquals(listOf(PlannedRental(offer("b"), 1)), plan(demand(2), nowMs = 8_999))
         assertEquals(listOf(PlannedRental(offer("a"), 1)), plan(demand(2), nowMs = 9_000))
-        inventory.partitionedZones = setOf("a", "b")
+        inventory.updatePartitionedZones(setOf("a", "b"))
         assertEquals(emptyList<PlannedRental>(), plan(demand(2), nowMs = 9_000))
     }
 
