--- a/src/main/kotlin/cleathitch/election/LeaderElection.kt
+++ b/src/main/kotlin/cleathitch/election/LeaderElection.kt
@@ -158,7 +158,7 @@
     }
 
     private fun validUntilMs(renewalSentAtMs: Long): Long {
-        val driftMs = (ttlMs * SchedulerTimings.DRIFT).toLong()
+        val driftMs = (ttlMs * SchedulerTimings.MAX_CLOCK_DRIFT).toLong()
         return renewalSentAtMs + ttlMs - driftMs - 1
     }
 
--- a/src/main/kotlin/cleathitch/protocol/UserProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/UserProtocol.kt
@@ -46,14 +46,14 @@
             memoryGb = amount(map, "memoryGb"),
             image = name(map, "imagen"),
             imageGb = amount(map, "pullGb"),
-            types = machineTypes,
+            allowedTypes = machineTypes,
             zone = map.optionalText("comarca"),
             oneZone = map.requiredBoolean("oneZone"),
             spread = map.requiredBoolean("scatter"),
             spotAllowed = map.requiredBoolean("prestados"),
-            estimateS = amount(map, "aproxS"),
-            checkpointS = amount(map, "hitoS"),
-            saveS = amount(map, "guardadoS"),
+            estimatedRunS = amount(map, "aproxS"),
+            checkpointIntervalS = amount(map, "hitoS"),
+            checkpointWriteS = amount(map, "guardadoS"),
             deadlineS = deadlineS(map),
         )
         checkLimits(spec)
--- a/src/main/kotlin/cleathitch/scheduler/LogWriter.kt
+++ b/src/main/kotlin/cleathitch/scheduler/LogWriter.kt
@@ -40,7 +40,7 @@
     private var isTrimming = false
 
     /** Whether the key-value store leaves a commit without an answer for long. */
-    fun isStalled(): Boolean = writeSinceMs?.let { context.now.steadyMs - it > timings.stallMs } == true
+    fun isStalled(): Boolean = writeSinceMs?.let { context.now.steadyMs - it > timings.commitStallMs } == true
 
     /** Applies [event] in memory and queues it; returns the index of the record that will hold it. */
     fun append(event: Event): LogIndex {
--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -80,7 +80,7 @@
     private val workerReconciler = WorkerReconciler(jobTable, decisionLog)
     private val dispatcher = CommandDispatcher(context, term, jobTable, inventory, decisionLog, workerReconciler, failureDetector)
     private val jobRequests =
-        JobRequests(context, jobTable, decisionLog, inventory, quota, deployment.teams, timings.intakeMs, dispatcher::stopAfter)
+        JobRequests(context, jobTable, decisionLog, inventory, quota, deployment.teams, timings.maxCommitWaitMs, dispatcher::stopAfter)
     private val reconciler =
         HeartbeatReconciler(context, deployment, timings, inventory, jobTable, workerReconciler, failureDetector)
     private val directReachability = DirectReachability(timings.probeMs)
@@ -139,7 +139,7 @@
         when (input) {
             is Input.Submit -> jobRequests.submit(input)
             is Input.Poll -> jobRequests.poll(input)
-            is Input.Cancel -> jobRequests.abort(input)
+            is Input.Cancel -> jobRequests.cancel(input)
             is Input.HeartbeatReceived -> heartbeats.heartbeatReceived(input)
             is Input.FollowerBatchReceived -> followerBatchReceived(input)
             is Input.ProbeAnswered -> heartbeats.probeAnswered(input.heartbeat)
@@ -168,7 +168,7 @@
         logWriter.recordCommit(input.seq)
         dispatcher.recordRevision(input.revision)
         dispatcher.sendCommittedStops()
-        jobRequests.committed()
+        jobRequests.answerCommitted()
         dispatcher.sendCommittedPushes()
         cloudRequests.sendDue()
     }
--- a/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
+++ b/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
@@ -67,7 +67,7 @@
         val round = Round(candidates)
         val jobs = SchedulingOrder(completionObjectives, quota, context.now.wallMs).order(waiting)
         // Each job starts in time however long the queue: overdue ones get their first task before the rest.
-        for (job in jobs) if (SchedulingOrder.overdue(job, context.now.wallMs)) round.place(job, limit = 1)
+        for (job in jobs) if (SchedulingOrder.isOverdue(job, context.now.wallMs)) round.place(job, limit = 1)
         round.unplacedTasks.clear()
         for (job in jobs) round.place(job)
         demands = DemandForecast(inventory, jobTable, completionObjectives).demands(round.unplacedTasks)
@@ -103,7 +103,7 @@
         private fun recordUnplaced(job: Job) {
             // A class that fits nowhere for one job fits for no other, unless the job's own tasks restrict the zones.
             if (!job.spec.oneZone && !job.spec.spread) unplaceableClasses += job.spec.placementClass
-            val count = minOf(job.waiting, quota.roomFor(job.spec))
+            val count = minOf(job.waiting, quota.remainingTasks(job.spec))
             val left = count - preempt(job, count)
             if (left > 0) unplacedTasks += UnplacedTasks(job.spec, left)
         }
@@ -126,7 +126,7 @@
 
         /** Starts the gang once all its tasks find room and nothing is left of an earlier start. */
         private fun placeGang(job: Job) {
-            if (job.liveAttempts.isNotEmpty() || quota.roomFor(job.spec) < job.waiting) return
+            if (job.liveAttempts.isNotEmpty() || quota.remainingTasks(job.spec) < job.waiting) return
             val machines = candidates.chooseGangMachines(job)
             if (machines == null) {
                 unplacedTasks += UnplacedTasks(job.spec, job.waiting)
--- a/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
@@ -1,105 +1,132 @@
 package cleathitch.scheduler.api
 
 import cleathitch.scheduler.model.Deployment
+import cleathitch.scheduler.model.MS_PER_S
 import cleathitch.scheduler.model.Objective
 import kotlin.math.max
 import kotlin.math.min
 
-/** The scheduler's periods and margins, each derived from the operators' settings by a fixed ratio. */
+/**
+ * The scheduler's periods, timeouts and margins. Each follows from the deployment's own figures, so that a deployment with
+ * shorter heartbeats or leases gets a scheduler that is as much faster.
+ */
 data class SchedulerTimings(
-    /** The period of scheduling rounds, and of commits that nothing waits for. */
+    /** Period of scheduling rounds, and of writes that nobody waits for; the first delay of a job whose tasks fail. */
     val roundMs: Long,
 
-    /** The period after which the log's oldest records are folded into snapshots. */
+    /** Period of the decision log's compaction. */
     val trimMs: Long,
 
-    /** For how long beyond its lease a leader still answers heartbeats, so that a short outage doesn't end workers' leases. */
+    /** For how long after the end of its own lease a leader still answers heartbeats: old answers end before new starts. */
     val graceMs: Long,
 
-    /** Added to a worker's lease before it counts as expired: clock drift and time in transit. */
+    /** What is added to a worker's lease before its tasks count as ended, for clock drift and heartbeats on their way. */
     val leaseMarginMs: Long,
 
-    /** For how long a leader's lease outlives its last renewal. */
+    /** For how long a leader's key outlives its last renewal. */
     val leaderLeaseMs: Long,
 
-    /** The period in which the whole fleet is checked for silent machines, expired leases and overdue boots. */
+    /** Period at which the whole fleet is checked for machines that are silent, without a lease or never come up. */
     val watchMs: Long,
 
-    /** After how long without contact a machine is suspected and probed. */
+    /** After how long without a heartbeat a machine is probed and gets no new tasks; more than one period, as some come late. */
     val probeMs: Long,
 
-    /** The shortest time between two probes of a machine. */
+    /** Least time between two probes of a machine, and the timeout of one. */
     val probeGapMs: Long,
 
-    /** After how long without contact a machine that leaves probes unanswered is terminated. */
+    /** After how long without a heartbeat a machine that answers no probe either is terminated: two periods. */
     val silentMs: Long,
 
-    /** By then a machine whose heartbeats can't be answered has lost its lease. */
+    /** After how long without an answered heartbeat a machine has certainly lost its lease. */
     val lostMs: Long,
 
-    /** The shortest time between two calls that terminate machines. */
-    val returnGapMs: Long,
+    /** Least time between two termination calls to the cloud; what is decided in between goes in one call. */
+    val terminationGapMs: Long,
 
-    /** The period in which the machines' image caches are shared with the followers. */
+    /** Period at which the leader tells the followers which machine holds which images. */
     val imageHintPeriodMs: Long,
 
-    /** By then every machine has had the time to report to a new leader. */
+    /**
+     * For how long a new leader waits before it decides what depends on silent machines, as rentals and terminations: more
+     * than one heartbeat period, so that every live machine has had its turn.
+     */
     val failoverMs: Long,
 
-    /** For how long a follower gathers heartbeats before it passes them on to the leader. */
+    /** For how long a follower gathers heartbeats before it forwards them to the leader. */
     val forwardMs: Long,
 
-    /** After how long a commit without an answer makes the leader turn new work down. */
-    val stallMs: Long,
+    /** After how long a commit without an answer counts as a stall, in which submissions and cancellations are refused. */
+    val commitStallMs: Long,
 
     /** For how long a user's request waits for its commit before it is answered as unavailable. */
-    val intakeMs: Long,
+    val maxCommitWaitMs: Long,
 ) {
     companion object {
-        /** The longest round; objectives for the wait may demand shorter ones. */
-        private const val ROUND_MS = 2000.0
+        /** The longest round period; shorter waits that are promised shorten it. */
+        private const val MAX_ROUND_MS = 2000.0
+        private const val DEFAULT_TRIM_MS = 10_000L
 
-        /** The trim period unless the settings give one. */
-        private const val TRIM_MS = 10_000L
+        /** How many rounds fit into the shortest wait that is promised: one may be missed by a failover, and a start takes time. */
+        private const val ROUNDS_PER_WAIT = 4
 
-        /** How far two steady clocks drift apart at most, as a part of the elapsed time: twice the bound for a single clock. */
-        const val DRIFT = 0.001
+        /** A round writes two changes, its record and the log's head. */
+        private const val CHANGES_PER_ROUND = 2
 
-        /** The timings for [deployment]; [trimS] replaces the usual trim period. */
+        /** The part of the time between the ends of a worker's lease and of a cancellation that goes into [graceMs]. */
+        private const val GRACE_SHARE = 0.25
+
+        /** The bound on how far steady clocks drift apart, as a ratio, doubled for two clocks. */
+        const val MAX_CLOCK_DRIFT = 0.001
+
+        /** The timings of [deployment]; [trimS] is the operator's own compaction period, in seconds. */
         fun of(deployment: Deployment, trimS: Double? = null): SchedulerTimings {
-            val wait = deployment.objectives.mapNotNull {
-                when (it) {
-                    is Objective.Wait -> it.deadlineS
-                    is Objective.Guarantee -> it.deadlineS
-                    is Objective.Finished -> null
-                }
-            }.minOrNull()
-            // Four rounds fit into the shortest wait objective. A round writes two changes, its record and the head,
-            // and may take half of the key-value store's write rate.
-            val byObjective = if (wait == null) ROUND_MS else min(ROUND_MS, wait * 1000 / 4)
-            val byBudget = 1000 * 2 / (deployment.stateWriteRps / 2)
-            val reportMs = deployment.reportS * 1000
-            // Cancelled tasks must end in time even if an earlier leader answered heartbeats until its grace period was over.
-            val spareMs = (deployment.cancelS - deployment.leaseS) * 1000
-            val roundMs = max(byObjective, byBudget).toLong()
+            val reportMs = deployment.reportS * MS_PER_S
+            val roundMs = roundMs(deployment)
             return SchedulerTimings(
                 roundMs = roundMs,
                 watchMs = max(roundMs, (reportMs / 6).toLong()),
-                trimMs = trimS?.let { (it * 1000).toLong() } ?: TRIM_MS,
-                graceMs = (spareMs * 0.25).toLong().coerceAtLeast(0),
-                leaseMarginMs = (deployment.leaseS * 1000 * DRIFT + reportMs / 4).toLong(),
-                leaderLeaseMs = (deployment.leaseS * 1000 / 24).toLong(),
+                trimMs = trimS?.let { (it * MS_PER_S).toLong() } ?: DEFAULT_TRIM_MS,
+                graceMs = graceMs(deployment),
+                leaseMarginMs = (deployment.leaseS * MS_PER_S * MAX_CLOCK_DRIFT + reportMs / 4).toLong(),
+                leaderLeaseMs = (deployment.leaseS * MS_PER_S / 24).toLong(),
                 probeMs = (reportMs * 1.35).toLong(),
                 probeGapMs = (reportMs / 4).toLong(),
                 silentMs = (reportMs * 2).toLong(),
-                lostMs = (deployment.leaseS * 1000 + reportMs).toLong(),
-                returnGapMs = (2000 / deployment.cloudRps).toLong(),
+                lostMs = (deployment.leaseS * MS_PER_S + reportMs).toLong(),
+                terminationGapMs = (2000 / deployment.cloudRps).toLong(),
                 imageHintPeriodMs = (reportMs * 1.5).toLong(),
                 failoverMs = (reportMs * 1.25).toLong(),
                 forwardMs = (reportMs / 80).toLong(),
-                stallMs = (reportMs / 4).toLong(),
-                intakeMs = (reportMs / 2).toLong(),
+                commitStallMs = (reportMs / 4).toLong(),
+                maxCommitWaitMs = (reportMs / 2).toLong(),
             )
         }
+
+        /** Short enough for the shortest wait that is promised, but with at most half of the writes that the store allows. */
+        private fun roundMs(deployment: Deployment): Long {
+            val shortestWaitS = shortestWaitS(deployment.objectives)
+            val byObjectiveMs = if (shortestWaitS == null) {
+                MAX_ROUND_MS
+            } else {
+                min(MAX_ROUND_MS, shortestWaitS * MS_PER_S / ROUNDS_PER_WAIT)
+            }
+            val byWriteBudgetMs = MS_PER_S * CHANGES_PER_ROUND / (deployment.stateWriteRps / 2)
+            return max(byObjectiveMs, byWriteBudgetMs).toLong()
+        }
+
+        private fun shortestWaitS(objectives: List<Objective>): Double? = objectives.mapNotNull {
+            when (it) {
+                is Objective.Wait -> it.deadlineS
+                is Objective.Guarantee -> it.deadlineS
+                is Objective.Finished -> null
+            }
+        }.minOrNull()
+
+        /** Cancelled tasks have to be gone in time even if an old leader answers until the end of its grace. */
+        private fun graceMs(deployment: Deployment): Long {
+            val spareMs = (deployment.cancelS - deployment.leaseS) * MS_PER_S
+            return (spareMs * GRACE_SHARE).toLong().coerceAtLeast(0)
+        }
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudInventoryIntake.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudInventoryIntake.kt
@@ -38,7 +38,7 @@
 
     /** The cloud has confirmed that these machines are terminated: nothing runs there any more. */
     fun machinesTerminated(machines: List<MachineId>) {
-        for (id in machines) if (id in inventory.retired) recordTerminated(id)
+        for (id in machines) if (id in inventory.terminatingMachines) recordTerminated(id)
     }
 
     private fun recordListed(listed: ListedMachine) {
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
@@ -13,6 +13,7 @@
 import cleathitch.scheduler.machines.Inventory
 import cleathitch.scheduler.machines.Machine
 import cleathitch.scheduler.model.Deployment
+import cleathitch.scheduler.model.MS_PER_S
 import cleathitch.scheduler.model.MachineId
 import cleathitch.scheduler.model.Offer
 import cleathitch.scheduler.model.Term
@@ -50,7 +51,7 @@
     /** Decides to give the machine back; the call goes out once the record is committed. */
     fun requestTermination(id: MachineId, reason: String) {
         // Terminations that aren't confirmed have to fit into one stored value; the next round tries again.
-        if (inventory.retired.size >= deployment.stateValueBytes / BYTES_PER_TERMINATION) return
+        if (inventory.terminatingMachines.size >= deployment.stateValueBytes / BYTES_PER_TERMINATION) return
         recordByName[id.text] = context.append(Event.MachineTerminationRequested(id))
         context.logEvent(LogLevel.INFO) { "machine $id is returned: $reason" }
     }
@@ -102,15 +103,17 @@
 
     /** Terminations go many to a call; the gap between calls gathers them. */
     private fun sendTerminations() {
-        if (inventory.retired.isNotEmpty() && context.now.steadyMs - lastTerminationCallMs >= timings.returnGapMs) {
-            val due = inventory.retired.filter { isRecorded(it.text) && isDue(terminationSentMs[it]) }.take(MAX_TERMINATIONS_PER_CALL)
+        if (inventory.terminatingMachines.isNotEmpty() && context.now.steadyMs - lastTerminationCallMs >= timings.terminationGapMs) {
+            val due = inventory.terminatingMachines.filter {
+                isRecorded(it.text) && isDue(terminationSentMs[it])
+            }.take(MAX_TERMINATIONS_PER_CALL)
             if (due.isNotEmpty()) {
                 lastTerminationCallMs = context.now.steadyMs
                 due.forEach { terminationSentMs[it] = context.now.steadyMs }
                 context.emit(Effect.TerminateMachines(due))
             }
         }
-        if (terminationSentMs.size > inventory.retired.size) terminationSentMs.keys.retainAll(inventory.retired)
+        if (terminationSentMs.size > inventory.terminatingMachines.size) terminationSentMs.keys.retainAll(inventory.terminatingMachines)
     }
 
     private fun isDue(sentMs: Long?): Boolean {
@@ -122,8 +125,6 @@
     private fun isRecorded(name: String) = (recordByName[name] ?: LogIndex.NONE) <= decisionLog.committedIndex
 
     private companion object {
-        const val MS_PER_S = 1000
-
         /** The cloud's limit for one termination call. */
         const val MAX_TERMINATIONS_PER_CALL = 100
 
--- a/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
@@ -47,7 +47,7 @@
 
     private fun terminateSuspects(up: List<Machine>) {
         val partition = PartitionDetector(up) { silentForMs(it) >= timings.probeMs }
-        inventory.partitionedZones = partition.partitionedZones
+        inventory.updatePartitionedZones(partition.partitionedZones)
         val silent = partition.suspects.filter { hasFailedProbes(it) && silentForMs(it) >= timings.silentMs }
         silent.forEach { if (!partition.isPartitioned(it)) terminate(it.id, "it is silent") }
         partition.suspects.filter { it.state == MachineState.UP && nowMs - it.lastProbeMs >= timings.probeGapMs }
@@ -72,7 +72,7 @@
     /** Machines that the job table names, and that neither reported nor were listed since the failover. */
     private fun terminateUnknown() {
         if (nowMs - startedMs < timings.lostMs) return
-        jobTable.machinesInUse.filter { it !in inventory.machines && it !in inventory.retired }
+        jobTable.machinesInUse.filter { it !in inventory.machines && it !in inventory.terminatingMachines }
             .forEach { terminate(it, "it hasn't reported since the take-over") }
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatIntake.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatIntake.kt
@@ -125,7 +125,7 @@
     /** Stops what can save its progress on a machine that is about to be preempted, so that it is saved in time. */
     private fun drain(machine: Machine) {
         for (attempt in jobTable.attemptsOn(machine.id)) {
-            if (attempt.stopCause == null && attempt.job.spec.checkpointS > 0) attempt.requestStop(StopCause.DRAIN)
+            if (attempt.stopCause == null && attempt.job.spec.checkpointIntervalS > 0) attempt.requestStop(StopCause.DRAIN)
         }
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
@@ -96,8 +96,8 @@
 
     private fun stopOf(attempt: Attempt, state: TaskState): WorkerCommand? {
         val spec = attempt.job.spec
-        val savesProgress = attempt.stopCause != StopCause.CANCELLED && attempt.stopCause != StopCause.STRAY && spec.checkpointS > 0
+        val savesProgress = attempt.stopCause != StopCause.CANCELLED && attempt.stopCause != StopCause.STRAY && spec.checkpointIntervalS > 0
         if (savesProgress && state == TaskState.SAVING) return null
-        return WorkerCommand.Stop(attempt.id, if (savesProgress) spec.saveS else 0.0)
+        return WorkerCommand.Stop(attempt.id, if (savesProgress) spec.checkpointWriteS else 0.0)
     }
 }
--- a/src/main/kotlin/cleathitch/storage/StoredSizeEstimator.kt
+++ b/src/main/kotlin/cleathitch/storage/StoredSizeEstimator.kt
@@ -27,7 +27,7 @@
     }
 
     private fun sizeOf(spec: JobSpec): Int {
-        val typesLength = spec.types?.sumOf { it.length + TYPE_OVERHEAD } ?: 0
+        val typesLength = spec.allowedTypes?.sumOf { it.length + TYPE_OVERHEAD } ?: 0
         val textLength = spec.className.length + spec.team.length + spec.image.length + (spec.zone?.length ?: 0) + typesLength
         return SPEC_BYTES + textLength * MAX_UTF8_BYTES
     }
--- a/src/test/kotlin/cleathitch/scheduler/capacity/CapacityPlannerTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/capacity/CapacityPlannerTest.kt
@@ -34,7 +34,7 @@
     ) = MachineDemand(
         PlacementClass(
             team = "red", kind = JobKind.ARRAY, priority = Priority.NORMAL, cpus = 2.0, gpus = 0.0, memoryGb = 2.0,
-            image = "image", types = null, zone = null, oneZone = false, spread = spread, spotAllowed = spotAllowed,
+            image = "image", allowedTypes = null, zone = null, oneZone = false, spread = spread, spotAllowed = spotAllowed,
         ),
         tasks,
         urgentTasks,
@@ -75,7 +75,7 @@
         inventory.recordRefusal(offer("a"), nowMs = 0)
         assertEquals(listOf(PlannedRental(offer("b"), 1)), plan(demand(2), nowMs = 8_999))
         assertEquals(listOf(PlannedRental(offer("a"), 1)), plan(demand(2), nowMs = 9_000))
-        inventory.partitionedZones = setOf("a", "b")
+        inventory.updatePartitionedZones(setOf("a", "b"))
         assertEquals(emptyList<PlannedRental>(), plan(demand(2), nowMs = 9_000))
     }
 
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
@@ -111,7 +111,7 @@
             image = "img",
             imageGb = 1.0,
             spotAllowed = kind != JobKind.SERVICE,
-            estimateS = 10.0,
+            estimatedRunS = 10.0,
         )
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedUsers.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedUsers.kt
@@ -96,7 +96,7 @@
         val unsatisfiable = listOf(
             satisfiable.copy(team = "green"),
             satisfiable.copy(cpus = 99.0),
-            satisfiable.copy(types = setOf("m9")),
+            satisfiable.copy(allowedTypes = setOf("m9")),
             satisfiable.copy(zone = "c"),
             satisfiable.copy(kind = JobKind.SERVICE, tasks = 7),
         )
