--- a/src/main/kotlin/cleathitch/cli/Application.kt
+++ b/src/main/kotlin/cleathitch/cli/Application.kt
@@ -11,11 +11,9 @@
 import cleathitch.http.HttpReply
 import cleathitch.leader.Clocks
 import cleathitch.leader.LeaderDependencies
-import cleathitch.metrics.MetricsText
+import cleathitch.leader.reportMs
 import cleathitch.metrics.ProcessingTimes
-import cleathitch.metrics.logValue
 import cleathitch.peers.PeerClient
-import cleathitch.peers.PeerCodec
 import cleathitch.protocol.MessageCodec
 import cleathitch.scheduler.api.SchedulerTimings
 import cleathitch.storage.KeyValueStoreClient
@@ -27,99 +25,120 @@
 import io.vertx.kotlin.coroutines.dispatcher
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.SupervisorJob
+import kotlinx.coroutines.cancel
 import kotlinx.coroutines.launch
-import kotlinx.serialization.SerializationException
 import org.slf4j.LoggerFactory
 import java.util.UUID
 import kotlin.math.ceil
 
-/** Puts a node together and runs it until the process is killed. */
-class Application(private val settings: Settings, private val operator: OperatorSettings = OperatorSettings.DEFAULT) {
-    private val vertx = loop()
+/**
+ * One controller process: makes the controller with its clients and endpoints from the settings, and owns the event loops
+ * and the scopes of all its coroutines. It runs until the process is killed, or [close] ends it.
+ */
+class Application(private val settings: Settings, private val operator: OperatorSettings = OperatorSettings.DEFAULT) : AutoCloseable {
+    private val vertx = newEventLoop()
 
-    /** Keeps the leader's lease, whatever there is to do on the other loop. */
-    private val leaseLoop = loop()
+    /** Keeps the leader's lease, however much there is to do on the other loop. */
+    private val leaseVertx = newEventLoop()
     private val scope = CoroutineScope(vertx.dispatcher() + SupervisorJob())
+    private val leaseScope = CoroutineScope(leaseVertx.dispatcher() + SupervisorJob())
     private val meters: MeterRegistry = SimpleMeterRegistry()
+    private val clocks = Clocks()
+    private val deployment = settings.deployment
+    private val timings = SchedulerTimings.of(deployment, operator.compactionPeriodS)
+    private val sockets = SocketBudget(settings.maxSockets, settings.peers.size)
+    private val storeTimeoutMs = timings.leaderLeaseMs / STORE_CALLS_PER_LEASE
 
+    /** Starts the controller: other controllers are answered at once, users and workers once a leader is known. */
     fun start() {
-        val clocks = Clocks()
-        val deployment = settings.deployment
-        val reportMs = (deployment.reportS * 1000).toLong()
-        // Workers report and users poll well within that.
-        val idleS = ceil(deployment.reportS * IDLE_REPORTS).toInt()
-        val timings = SchedulerTimings.of(deployment, operator.trimS)
-        val direct = maxOf(1, settings.maxSockets / DIRECT_PART)
+        val controller = newController()
+        scope.launch {
+            internalEndpoint(controller).listen(settings.internalAddress)
+            controller.start()
+            publicEndpoint(controller).listen(settings.bind)
+            log.info("event=listening member={} address={} internal_address={}", settings.member, settings.bind, settings.internalAddress)
+        }
+    }
+
+    /** Ends all coroutines and connections. */
+    override fun close() {
+        scope.cancel()
+        leaseScope.cancel()
+        vertx.close()
+        leaseVertx.close()
+    }
+
+    private fun newController() = Controller(
+        settings,
+        newDependencies(),
+        store = KeyValueStoreClient(vertx, settings.state, storeTimeoutMs, name = "state", meters),
+        newElection(),
+        leaseScope,
+        PeerClient(vertx, meters),
+        scope,
+    )
+
+    private fun newDependencies(): LeaderDependencies {
         val processingTimes = ProcessingTimes(meters)
-        val services = LeaderDependencies(
+        return LeaderDependencies(
             deployment,
             timings,
-            WorkerClient(vertx, timeoutMs = reportMs, probeMs = timings.probeGapMs, atOnce = direct, meters),
-            CloudClient(
-                vertx,
-                settings.cloud,
-                CallPacer(deployment.cloudRps * (operator.cloudShare ?: CLOUD_SHARE), clocks::steadyMs),
-                timeoutMs = reportMs * 2,
-                processingTimes,
-                meters,
-            ),
+            newWorkerClient(),
+            newCloudClient(processingTimes),
             clocks,
             meters,
             processingTimes,
             // Each waiting request holds a connection, here or at a follower.
             maxQueuedRequests = settings.maxSockets,
         )
-        val stateMs = timings.leaderLeaseMs / 3
-        val leadership = LeaderElection(
-            KeyValueStoreClient(leaseLoop, settings.state, stateMs, name = "lease", meters),
-            settings.member,
-            UUID.randomUUID().toString(),
-            timings.leaderLeaseMs,
-            Controller.LEADER_KEY,
-            clocks::steadyMs,
-        )
-        val leaseScope = CoroutineScope(leaseLoop.dispatcher() + SupervisorJob())
-        val state = KeyValueStoreClient(vertx, settings.state, stateMs, name = "state", meters)
-        val node = Controller(settings, services, state, leadership, leaseScope, PeerClient(vertx, meters), scope)
-        val peerSockets = settings.peers.size * PeerClient.CONNECTIONS
-        val ours = direct + peerSockets + OTHER_SOCKETS
-        val internalRoom = ConnectionLimit(peerSockets + OTHER_SOCKETS)
-        val room = ConnectionLimit(maxOf(settings.maxSockets / 2, settings.maxSockets - ours - internalRoom.most))
-        scope.launch {
-            HttpEndpoint(vertx, scope, PeerClient.MAX_BODY, idleS, internalRoom) { method, path, body ->
-                internal(node, method, path, body)
-            }.listen(settings.internalAddr)
-            node.start()
-            HttpEndpoint(vertx, scope, MessageCodec.MAX_BODY, idleS, room, node.requests::handle).listen(settings.bind)
-            log.info("event=listening member={} address={} internal_address={}", settings.member, settings.bind, settings.internalAddr)
-        }
     }
 
-    private fun loop() = Vertx.vertx(VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1))
+    private fun newWorkerClient() =
+        WorkerClient(vertx, timeoutMs = deployment.reportMs, probeMs = timings.probeGapMs, atOnce = sockets.directCalls, meters)
 
-    private suspend fun internal(node: Controller, method: String, path: String, body: ByteArray): HttpReply = when {
-        path == PeerClient.PATH && method == "POST" -> try {
-            HttpReply(200, PeerCodec.encode(node.peerRequests.handle(PeerCodec.decodeRequest(body))))
-        } catch (e: SerializationException) {
-            log.error("event=malformed_peer_request error={}", logValue(e.message.orEmpty()))
-            HttpReply(400)
-        }
-        path == "/metrics" && method == "GET" -> HttpReply(200, MetricsText.text(meters).toByteArray())
-        else -> HttpReply(404)
+    private fun newCloudClient(processingTimes: ProcessingTimes): CloudClient {
+        val pacer = CallPacer(deployment.cloudRps * (operator.cloudShare ?: DEFAULT_CLOUD_SHARE), clocks::steadyMs)
+        return CloudClient(vertx, settings.cloud, pacer, timeoutMs = deployment.reportMs * 2, processingTimes, meters)
+    }
+
+    private fun newElection() = LeaderElection(
+        KeyValueStoreClient(leaseVertx, settings.state, storeTimeoutMs, name = "lease", meters),
+        settings.member,
+        UUID.randomUUID().toString(),
+        timings.leaderLeaseMs,
+        Controller.LEADER_KEY,
+        clocks::steadyMs,
+    )
+
+    private fun internalEndpoint(controller: Controller): HttpEndpoint {
+        val router = InternalRouter(controller.peerRequests, meters)
+        return newEndpoint(PeerClient.MAX_BODY, sockets.internalConnections, router::handle)
+    }
+
+    private fun publicEndpoint(controller: Controller): HttpEndpoint =
+        newEndpoint(MessageCodec.MAX_BODY, sockets.publicConnections, controller.requests::handle)
+
+    private fun newEndpoint(maxBodyBytes: Int, maxConnections: Int, handle: RequestHandler): HttpEndpoint {
+        // Workers report and users poll well within that.
+        val idleS = ceil(deployment.reportS * IDLE_REPORTS).toInt()
+        return HttpEndpoint(vertx, scope, maxBodyBytes, idleS, ConnectionLimit(maxConnections), handle)
     }
 
     private companion object {
         val log = LoggerFactory.getLogger("cleathitch.cli")
 
-        /** What the leader may take of the cloud's calls; the rest is for the others' start. */
-        const val CLOUD_SHARE = 0.8
+        /** Which part of the cloud's calls the leader may take; the rest is for other controllers that start. */
+        const val DEFAULT_CLOUD_SHARE = 0.8
 
+        /** A connection that was idle for so many report periods is closed. */
         const val IDLE_REPORTS = 3
 
-        /** Direct orders and questions may hold one socket in so many; the rest is for who comes to us. */
-        const val DIRECT_PART = 10
+        /** A call to the key-value store that takes longer than this part of the lease is given up, so that it can be repeated. */
+        const val STORE_CALLS_PER_LEASE = 3
 
-        /** State service (work, lease and their watches) and cloud hold some 16; twice that is left for them, listeners and metrics. */
-        const val OTHER_SOCKETS = 32
+        /** An event loop of one thread: what runs on it needs no locks. */
+        fun newEventLoop(): Vertx = Vertx.vertx(VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1))
     }
 }
+
+private typealias RequestHandler = suspend (method: String, path: String, body: ByteArray) -> HttpReply
--- a/src/main/kotlin/cleathitch/cli/Main.kt
+++ b/src/main/kotlin/cleathitch/cli/Main.kt
@@ -11,6 +11,7 @@
 import java.nio.file.Path
 import kotlin.system.exitProcess
 
+/** The program's command line, whose subcommands do the work. */
 @Command(
     name = "cleathitch",
     description = ["A cluster scheduler that keeps its state in a small consistent store."],
@@ -22,22 +23,24 @@
     override fun run() = throw CommandLine.ParameterException(CommandLine(this), "a command is missing: serve or check-config")
 }
 
+/** The version from the archive's manifest. */
 class Version : IVersionProvider {
     override fun getVersion() = arrayOf("cleathitch ${Main::class.java.`package`.implementationVersion ?: "(not packaged)"}")
 }
 
-/** The files that every command about a controller reads. */
-class Files {
+/** The options of every command that reads a controller's settings. */
+class SettingsFiles {
     @Option(names = ["--config"], required = true, paramLabel = "FILE", description = ["the platform's settings (JSON)"])
     lateinit var config: Path
 
     @Option(names = ["--operator"], paramLabel = "FILE", description = ["the operators' own settings (EDN)"])
     var operator: Path? = null
 
-    fun settings() = Settings.read(config)
-    fun operatorSettings() = operator?.let(OperatorSettings::read) ?: OperatorSettings.DEFAULT
+    fun readSettings() = Settings.read(config)
+    fun readOperatorSettings() = operator?.let(OperatorSettings::read) ?: OperatorSettings.DEFAULT
 }
 
+/** Starts a controller; the process lives on by the threads of its event loops. */
 @Command(
     name = "serve",
     description = ["Runs a controller until it is killed."],
@@ -46,11 +49,12 @@
 )
 class Serve : Runnable {
     @Mixin
-    lateinit var files: Files
+    lateinit var files: SettingsFiles
 
-    override fun run() = Application(files.settings(), files.operatorSettings()).start()
+    override fun run() = Application(files.readSettings(), files.readOperatorSettings()).start()
 }
 
+/** Validates the settings without starting anything. */
 @Command(
     name = "check-config",
     description = ["Reads the settings, says what is wrong with them, and ends."],
@@ -59,26 +63,28 @@
 )
 class CheckConfig : Runnable {
     @Mixin
-    lateinit var files: Files
+    lateinit var files: SettingsFiles
 
     override fun run() {
-        val settings = files.settings()
-        files.operatorSettings()
+        val settings = files.readSettings()
+        files.readOperatorSettings()
         println("${files.config}: ok, member ${settings.member} of ${settings.deployment.nodes}")
     }
 }
 
+/** Has to run before the first logger is made. */
 private fun configureLogging() {
-    val level = System.getenv("LOG_LEVEL")?.lowercase()?.takeIf { it in setOf("error", "info", "debug") } ?: "info"
+    val level = System.getenv("LOG_LEVEL")?.lowercase()?.takeIf { it in LOG_LEVELS } ?: "info"
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error")
     System.setProperty("org.slf4j.simpleLogger.log.cleathitch", level)
-    // Each connection that a peer or worker resets; what follows from it is logged where it is known.
+    // It logs each connection that a peer or worker resets; what follows from that is logged where it is known.
     System.setProperty("org.slf4j.simpleLogger.log.io.vertx.core.net.impl", "off")
     System.setProperty("org.slf4j.simpleLogger.showThreadName", "false")
     System.setProperty("org.slf4j.simpleLogger.showDateTime", "true")
     System.setProperty("org.slf4j.simpleLogger.dateTimeFormat", "yyyy-MM-dd'T'HH:mm:ss.SSSXXX")
 }
 
+/** Runs the command; settings that can't be used end the process with a message and exit code 1. */
 fun main(args: Array<String>) {
     configureLogging()
     val exit = CommandLine(Main())
@@ -91,3 +97,5 @@
     // A server's threads live on after its command has returned.
     if (exit != CommandLine.ExitCode.OK) exitProcess(exit)
 }
+
+private val LOG_LEVELS = setOf("error", "info", "debug")
--- /dev/null
+++ b/src/main/kotlin/cleathitch/config/InvalidSettingsException.kt
@@ -0,0 +1,7 @@
+package cleathitch.config
+
+import java.nio.file.Path
+
+/** Settings that can't be used; the message names the file, the key if there is one, and the reason. */
+class InvalidSettingsException(file: Path, key: String?, reason: String) :
+    Exception(listOfNotNull("$file", key, reason).joinToString(": "))
--- a/src/main/kotlin/cleathitch/config/OperatorSettings.kt
+++ b/src/main/kotlin/cleathitch/config/OperatorSettings.kt
@@ -14,31 +14,31 @@
  *     {:trim-s 10 :cloud-share 0.8}
  */
 data class OperatorSettings(
-    /** How often records are folded and trimmed. */
-    val trimS: Double? = null,
-    /** What the leader may take of the cloud's calls. */
+    /** How often the log is compacted, in seconds. */
+    val compactionPeriodS: Double? = null,
+
+    /** Which part of the cloud's calls the leader may take. */
     val cloudShare: Double? = null,
 ) {
     companion object {
         val DEFAULT = OperatorSettings()
 
+        /** Reads the file; throws [InvalidSettingsException] if it can't be used. */
         fun read(file: Path): OperatorSettings {
             val map = parse(file) as? Map<*, *> ?: throw InvalidSettingsException(file, null, "isn't one map")
-            var settings = DEFAULT
-            for ((key, value) in map) {
-                val name = (key as? Keyword)?.name ?: throw InvalidSettingsException(file, "$key", "isn't a keyword")
-                val number = (value as? Number)?.toDouble()?.takeIf { it.isFinite() && it > 0 }
-                    ?: throw InvalidSettingsException(file, ":$name", "must be a number above zero")
-                settings = when (name) {
-                    "trim-s" -> settings.copy(trimS = number)
-                    "cloud-share" -> {
-                        if (number > 1) throw InvalidSettingsException(file, ":$name", "must be 1 at most")
-                        settings.copy(cloudShare = number)
-                    }
-                    else -> throw InvalidSettingsException(file, ":$name", "is unknown")
-                }
+            return map.entries.fold(DEFAULT) { settings, (key, value) -> settings.with(file, key, value) }
+        }
+
+        private fun OperatorSettings.with(file: Path, key: Any?, value: Any?): OperatorSettings {
+            val name = (key as? Keyword)?.name ?: throw InvalidSettingsException(file, "$key", "isn't a keyword")
+            val number = (value as? Number)?.toDouble()?.takeIf { it.isFinite() && it > 0 }
+                ?: throw InvalidSettingsException(file, ":$name", "must be a number above zero")
+            return when (name) {
+                "trim-s" -> copy(compactionPeriodS = number)
+                "cloud-share" ->
+                    if (number <= 1) copy(cloudShare = number) else throw InvalidSettingsException(file, ":$name", "must be 1 at most")
+                else -> throw InvalidSettingsException(file, ":$name", "is unknown")
             }
-            return settings
         }
 
         private fun parse(file: Path): Any? = try {
--- a/src/main/kotlin/cleathitch/controller/Controller.kt
+++ b/src/main/kotlin/cleathitch/controller/Controller.kt
@@ -5,6 +5,7 @@
 import cleathitch.election.LeaderLease
 import cleathitch.leader.LeaderDependencies
 import cleathitch.leader.LeaderTerm
+import cleathitch.leader.reportMs
 import cleathitch.peers.LeaderBatcher
 import cleathitch.peers.PeerClient
 import cleathitch.peers.WorkerCommandDelivery
@@ -34,7 +35,7 @@
     private val member = settings.member
     private val steadyMs = dependencies.clocks::steadyMs
     private val processingTimes = dependencies.processingTimes
-    private val reportMs = (settings.deployment.reportS * MS_PER_SECOND).toLong()
+    private val reportMs = settings.deployment.reportMs
     private val leaseMs = dependencies.timings.leaderLeaseMs
     private val peerAddresses = settings.peers.associate { it.member to it.address }
 
@@ -105,8 +106,6 @@
         /** Begins each key of the log. */
         private const val PREFIX = "cleathitch/"
 
-        private const val MS_PER_SECOND = 1000
-
         /** For how many leases a controller that starts waits for a leader before it listens to requests. */
         private const val FIRST_LEADER_LEASES = 4
 
--- a/src/main/kotlin/cleathitch/leader/CloudPolling.kt
+++ b/src/main/kotlin/cleathitch/leader/CloudPolling.kt
@@ -16,7 +16,7 @@
     }
 
     private suspend fun pollMachineTypes() {
-        val periodMs = (deployment.leaseS * MS_PER_SECOND).toLong()
+        val periodMs = deployment.leaseMs
         while (true) {
             cloud.types()?.let { enqueue(Input.MachineTypesListed(it)) }
             delay(periodMs)
@@ -25,14 +25,10 @@
 
     /** Asked more often than the cloud's list changes, it would return the same list again. */
     private suspend fun pollMachines() {
-        val periodMs = (maxOf(deployment.listLagS, deployment.reportS) * MS_PER_SECOND).toLong()
+        val periodMs = maxOf(deployment.listLagMs, deployment.reportMs)
         while (true) {
             cloud.machines()?.let { enqueue(Input.MachinesListed(it)) }
             delay(periodMs)
         }
     }
-
-    private companion object {
-        const val MS_PER_SECOND = 1000
-    }
 }
--- a/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
+++ b/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
@@ -56,7 +56,13 @@
 
     /** What this term is doing, as keys and values for the log. */
     val activity
-        get() = if (isReady) "phase=leading queued_requests=${queue.queuedRequests}" else "phase=recovering storage=${logValue(storage.activity)}"
+        get() = if (isReady) {
+            "phase=leading queued_requests=${queue.queuedRequests}"
+        } else {
+            "phase=recovering storage=${logValue(
+                storage.activity,
+            )}"
+        }
 
     /** Takes in what workers answered to commands that a follower delivered. */
     fun recordDeliveryResults(results: List<DeliveryResultMessage>) = delivery.answered(results)
--- a/src/main/kotlin/cleathitch/metrics/ProcessingTimes.kt
+++ b/src/main/kotlin/cleathitch/metrics/ProcessingTimes.kt
@@ -42,8 +42,7 @@
             longestNs = maxOf(longestNs, durationNs)
         }
 
-        fun summary(label: String) =
-            "${label}_count=$count ${label}_total_ms=${toMs(totalNs)} ${label}_longest_ms=${toMs(longestNs)}"
+        fun summary(label: String) = "${label}_count=$count ${label}_total_ms=${toMs(totalNs)} ${label}_longest_ms=${toMs(longestNs)}"
 
         fun reset() {
             count = 0
--- a/src/test/kotlin/cleathitch/config/SettingsTest.kt
+++ b/src/test/kotlin/cleathitch/config/SettingsTest.kt
@@ -53,7 +53,7 @@
     @Test
     fun `the operators' file is one map of known keys`() {
         assertEquals(
-            OperatorSettings(trimS = 5.0, cloudShare = 0.5),
+            OperatorSettings(compactionPeriodS = 5.0, cloudShare = 0.5),
             OperatorSettings.read(file("{:trim-s 5 ; seconds\n :cloud-share 0.5}")),
         )
         for ((text, reason) in mapOf(
