--- a/src/main/kotlin/cleathitch/cli/ClassArchiveTraining.kt
+++ b/src/main/kotlin/cleathitch/cli/ClassArchiveTraining.kt
@@ -4,7 +4,6 @@
 import cleathitch.http.Address
 import cleathitch.http.ConnectionLimit
 import cleathitch.http.HttpEndpoint
-import cleathitch.http.HttpReply
 import cleathitch.http.PooledHttpClient
 import cleathitch.peers.OutgoingBatch
 import cleathitch.peers.PeerClient
@@ -30,88 +29,93 @@
 import kotlin.system.exitProcess
 
 /**
- * Leads for a moment on loopback, with a platform that says yes to everything, and ends. The build runs
- * it so that the JVM can archive the classes that a controller needs: on a third of a core, loading
- * them anew takes a controller seconds after each restart.
+ * Leads for a moment on loopback, with a platform that agrees to everything, and ends. The build runs it so that the JVM
+ * can archive the classes that a controller needs: on a third of a core, loading them takes a controller seconds after
+ * each restart. All that it starts ends with the process.
  */
 @Command(name = "train-class-archive", hidden = true, description = ["Loads what a controller needs, for the build's class archive."])
 class ClassArchiveTraining : Runnable {
     private val vertx = Vertx.vertx()
+    private val scope = CoroutineScope(vertx.dispatcher() + SupervisorJob())
     private val client = PooledHttpClient(vertx, "class-archive-training", connections = 4)
-    private var revision = 1L
+    private val peers = PeerClient(vertx)
+    private val messages = TrainingMessages(ROUNDS)
     private var leaderTerm = 0L
 
     override fun run() {
-        val scope = CoroutineScope(vertx.dispatcher() + SupervisorJob())
         scope.launch {
-            val platform = HttpEndpoint(vertx, scope, MessageCodec.MAX_BODY, idleS = 60, ConnectionLimit(most = 100)) { method, path, _ ->
-                platform(method, path)
-            }
-                .listen(Address("127.0.0.1", 0))
-            val (bind, internal) = List(2) { ServerSocket(0) }.onEach { it.close() }.map { it.localPort }
-            val file = Files.createTempFile("cleathitch", ".json")
-            Files.writeString(file, settings(bind, internal, platform))
-            Application(Settings.read(file)).start()
-            Files.delete(file)
-            val node = Address("127.0.0.1", bind)
-            val peers = PeerClient(vertx)
+            val (publicPort, internalPort) = freePorts()
+            val application = startController(publicPort, internalPort, startPlatform())
+            val public = Address(LOOPBACK, publicPort)
+            val internal = Address(LOOPBACK, internalPort)
             repeat(ROUNDS) { round ->
-                client.call(node, HttpMethod.GET, "/ready", null, 1000)
-                client.call(node, HttpMethod.POST, "/submissions", MessageCodec.encode(submission(round)), 1000)
-                client.call(node, HttpMethod.GET, "/submissions/j-%06d".format(round), null, 1000)
-                client.call(node, HttpMethod.POST, "/submissions/j-%06d/abort".format(round / 2), null, 1000)
-                client.call(node, HttpMethod.POST, "/agent/beat", MessageCodec.encode(beat(round)), 1000)
-                actAsFollower(peers, Address("127.0.0.1", internal), round.toLong())
+                actAsUser(public, round)
+                actAsWorker(public, round)
+                actAsFollower(internal, sequenceNumber = round.toLong())
                 delay(PAUSE_MS)
             }
-            client.call(Address("127.0.0.1", internal), HttpMethod.GET, "/metrics", null, 1000)
+            call(internal, HttpMethod.GET, "/metrics")
+            application.close()
             exitProcess(0)
         }
     }
 
-    /** Sends what followers send: the first request learns the term, and so the next one is decided. */
-    private suspend fun actAsFollower(peers: PeerClient, node: Address, seq: Long) {
-        val report = Heartbeat(MachineId("vm-000002"), "127.0.0.1:1", "m", "z", true, 1, seq, FencingToken.NONE, null, emptyList())
-        val queue = HeartbeatQueue(answerWithinMs = 1000)
-        queue.add(report, nowMs = 0) {}
-        val batch = queue.nextBatch(leaderTerm, nowMs = 0)
-        val outgoing = OutgoingBatch(batch, listOf(JobId("j-000001")), emptyList())
-        val reply = peers.ask(node, PeerRequest.FollowerBatch.of("n1", outgoing), timeoutMs = 1000).reply ?: return
-        leaderTerm = reply.term
-        queue.decided(batch, reply.decisions.orEmpty().map { it.toDecision() }, reply.term, nowMs = 0)
+    /** The port of a platform on loopback. */
+    private suspend fun startPlatform(): Int {
+        val platform = TrainingPlatform()
+        val endpoint = HttpEndpoint(vertx, scope, MessageCodec.MAX_BODY, PLATFORM_IDLE_S, ConnectionLimit(PLATFORM_CONNECTIONS)) {
+                method,
+                path,
+                _,
+            ->
+            platform.answer(method, path)
+        }
+        return endpoint.listen(Address(LOOPBACK, 0))
     }
 
-    private fun platform(method: String, path: String): HttpReply {
-        val map = MessageCodec.newMap().put("asiento", ++revision).put("arriendo", 1).put("truncated", false)
-        map.putArray("log")
-        map.putArray("entries")
-        map.putArray("burros").let { if (method == "POST" && path == "/hosts") it.add("vm-000001") }
-        map.putArray("hornadas").addObject().put("label", "m").put("vcpus", 4).put("gpus", 0).put("memoryGb", 16)
-            .put("localGb", 10).put("fetchGbPerS", 1).put("rate", 1).put("spotPrice", 0.5).put("bootS", 10)
-            .putArray("comarcas").add("z")
-        return HttpReply(200, MessageCodec.encode(map))
+    private fun freePorts(): List<Int> = List(2) { ServerSocket(0) }.onEach { it.close() }.map { it.localPort }
+
+    private fun startController(publicPort: Int, internalPort: Int, platformPort: Int): Application {
+        val file = Files.createTempFile("cleathitch", ".json")
+        try {
+            Files.writeString(file, settings(publicPort, internalPort, platformPort))
+            return Application(Settings.read(file)).also { it.start() }
+        } finally {
+            Files.delete(file)
+        }
     }
 
-    private fun submission(round: Int): ObjectNode = MessageCodec.newMap().put("nameId", "j-%06d".format(round)).put("cuadrilla", "c")
-        .put("ownerCrew", "t").put("oficio", "array").put("urgencia", "normal").put("tareas", 2).put("vcpus", 1.0)
-        .put("gpus", 0.0).put("memoryGb", 1.0).put("imagen", "i").put("pullGb", 1.0).put("oneZone", false)
-        .put("scatter", false).put("prestados", true).put("aproxS", 1.0).put("hitoS", 0.0).put("guardadoS", 0.0)
+    private suspend fun actAsUser(controller: Address, round: Int) {
+        call(controller, HttpMethod.GET, "/ready")
+        call(controller, HttpMethod.POST, "/submissions", messages.submission(round))
+        call(controller, HttpMethod.GET, "/submissions/${messages.jobName(round)}")
+        call(controller, HttpMethod.POST, "/submissions/${messages.jobName(round / 2)}/abort")
+    }
 
-    private fun beat(round: Int): ObjectNode {
-        val map = MessageCodec.newMap().put("burro", "vm-000001").put("addr", "127.0.0.1:1").put("hornada", "m").put("comarca", "z")
-            .put("prestados", true).put("jornada", 1).put("folio", round).put("vara", 0)
-        val tasks = map.putArray("tareas")
-        for (index in 0 until minOf(round, 2)) {
-            val task = tasks.addObject().put("tarea", "j-000000/$index").put("intento", index + 1)
-            if (round < ROUNDS / 2) task.put("estado", "running") else task.put("estado", "exited").put("motivo", "done")
-        }
-        return map
+    private suspend fun actAsWorker(controller: Address, round: Int) =
+        call(controller, HttpMethod.POST, "/agent/beat", messages.heartbeat(round))
+
+    private suspend fun call(controller: Address, method: HttpMethod, path: String, message: ObjectNode? = null) {
+        client.call(controller, method, path, message?.let(MessageCodec::encode), TIMEOUT_MS)
+    }
+
+    /** Sends what followers send: the first request learns the term, and so the next one is decided. */
+    private suspend fun actAsFollower(controller: Address, sequenceNumber: Long) {
+        val heartbeat =
+            Heartbeat(MachineId("vm-000002"), "127.0.0.1:1", "m", "z", true, 1, sequenceNumber, FencingToken.NONE, null, emptyList())
+        val queue = HeartbeatQueue(answerWithinMs = TIMEOUT_MS)
+        queue.add(heartbeat, nowMs = 0) {}
+        val batch = queue.nextBatch(leaderTerm, nowMs = 0)
+        val outgoing = OutgoingBatch(batch, listOf(JobId("j-000001")), emptyList())
+        val reply = peers.ask(controller, PeerRequest.FollowerBatch.of("n1", outgoing), TIMEOUT_MS).reply ?: return
+        leaderTerm = reply.term
+        queue.decided(batch, reply.decisions.orEmpty().map { it.toDecision() }, reply.term, nowMs = 0)
     }
 
-    private fun settings(bind: Int, internal: Int, platform: Int) = """
-        {"member":"n0","domain":"z","bind":"127.0.0.1:$bind","internal_addr":"127.0.0.1:$internal",
-         "seeds":[{"member":"n1","domain":"z","addr":"127.0.0.1:$internal"}],
-         "outside":{"cloud":"127.0.0.1:$platform","state":"127.0.0.1:$platform"},
+    private fun settings(publicPort: Int, internalPort: Int, platformPort: Int) = """
+        {"member":"n0","domain":"z","bind":"127.0.0.1:$publicPort","internal_addr":"127.0.0.1:$internalPort",
+         "seeds":[{"member":"n1","domain":"z","addr":"127.0.0.1:$internalPort"}],
+         "outside":{"cloud":"127.0.0.1:$platformPort","state":"127.0.0.1:$platformPort"},
          "cluster":{"initial_size":2,"zones":["z"],"objectives":[],
           "teams":[{"name":"t","cpus":0,"cpus_max":0,"gpus":0,"gpus_max":0}],
           "workers":{"report_s":0.4,"lease_s":4,"cancel_s":8},
@@ -121,7 +125,11 @@
     """
 
     private companion object {
+        const val LOOPBACK = "127.0.0.1"
         const val ROUNDS = 16
         const val PAUSE_MS = 100L
+        const val TIMEOUT_MS = 1000L
+        const val PLATFORM_IDLE_S = 60
+        const val PLATFORM_CONNECTIONS = 100
     }
 }
