--- a/src/main/kotlin/cleathitch/cli/Main.kt
+++ b/src/main/kotlin/cleathitch/cli/Main.kt
@@ -36,7 +36,10 @@
     @Option(names = ["--operator"], paramLabel = "FILE", description = ["the operators' own settings (EDN)"])
     var operator: Path? = null
 
+    /** The platform's settings. */
     fun readSettings() = Settings.read(config)
+
+    /** The operators' settings, or the defaults if no file is given. */
     fun readOperatorSettings() = operator?.let(OperatorSettings::read) ?: OperatorSettings.DEFAULT
 }
 
--- a/src/main/kotlin/cleathitch/cli/TrainingMessages.kt
+++ b/src/main/kotlin/cleathitch/cli/TrainingMessages.kt
@@ -5,6 +5,7 @@
 
 /** What the users and the worker of [ClassArchiveTraining] send, round by round. */
 internal class TrainingMessages(private val rounds: Int) {
+    /** The name of the round's job. */
     fun jobName(round: Int) = "j-%06d".format(round)
 
     /** A small job of the round. */
--- a/src/main/kotlin/cleathitch/config/OperatorSettings.kt
+++ b/src/main/kotlin/cleathitch/config/OperatorSettings.kt
@@ -21,6 +21,7 @@
     val cloudShare: Double? = null,
 ) {
     companion object {
+        /** Every key left out. */
         val DEFAULT = OperatorSettings()
 
         /** Reads the file; throws [InvalidSettingsException] if it can't be used. */
--- a/src/main/kotlin/cleathitch/config/Settings.kt
+++ b/src/main/kotlin/cleathitch/config/Settings.kt
@@ -13,7 +13,19 @@
 /** Another controller, at its internal address. */
 data class Peer(val member: String, val address: Address)
 
-/** What the platform hands to a controller, as one JSON file. Keys that aren't known are ignored. */
+/**
+ * What the platform hands to a controller, as one JSON file. Keys that aren't known are ignored.
+ *
+ * @property member the name of this controller among its [peers].
+ * @property domain the zone in which this controller runs.
+ * @property bind where load balancer, users and workers are served.
+ * @property internalAddress where other controllers are served, and the metrics.
+ * @property cloud the cloud's address.
+ * @property state the key-value store's address.
+ * @property cpu the cores that this process may use.
+ * @property memoryMb the memory that this process may use.
+ * @property maxSockets the sockets that this process may hold.
+ */
 data class Settings(
     val member: String,
     val domain: String,
--- a/src/main/kotlin/cleathitch/controller/BatchForwarder.kt
+++ b/src/main/kotlin/cleathitch/controller/BatchForwarder.kt
@@ -20,6 +20,7 @@
     private val role: ControllerRole,
     private val processingTimes: ProcessingTimes,
 ) {
+    /** Sends [batch] to [leader] and waits for its decisions, for [timeoutMs] at most. */
     suspend fun send(leader: KnownLeader, batch: OutgoingBatch, timeoutMs: Long): BatchResult {
         val address = peerAddresses[leader.member] ?: return BatchResult.NotLeading
         val encoded = processingTimes.measure(ProcessingStage.BATCH_ENCODING) {
--- a/src/main/kotlin/cleathitch/controller/ControllerRole.kt
+++ b/src/main/kotlin/cleathitch/controller/ControllerRole.kt
@@ -48,7 +48,7 @@
         private set
 
     init {
-        meters.gauge("leader.term", this) { (it.activeTerm?.term?.revision ?: 0).toDouble() }
+        meters.gauge("leader.term", this) { (it.activeTerm?.revision ?: 0).toDouble() }
     }
 
     /** The leader to which a follower forwards requests; null while there is none, or it is this controller. */
@@ -105,7 +105,7 @@
     /** Ends the active term if [from] knows a newer one. */
     fun stepDownIfOlderThan(term: Long, from: String) {
         val active = activeTerm ?: return
-        if (active.term.revision < term) stepDown(active.term, "newer_term: $from knows $term")
+        if (active.revision < term) stepDown(active.term, "newer_term: $from knows $term")
     }
 
     /** Follows the member that holds the leader's key, or nobody. */
@@ -124,7 +124,7 @@
     /** The member [from] showed that it leads in [term]: by an announcement, a command, or its answer to a batch. */
     fun onLeaderAnnouncement(from: String, term: Long) {
         if (term < leaderTerm) return
-        activeTerm?.let { if (it.term.revision < term) stepDown(it.term, "newer_term: $from leads $term") }
+        activeTerm?.let { if (it.revision < term) stepDown(it.term, "newer_term: $from leads $term") }
         if (activeTerm != null) return
         if (leader != from) log.info("event=leader_changed leader={} term={} source=announcement", from, term)
         leader = from
--- a/src/main/kotlin/cleathitch/controller/FollowerContacts.kt
+++ b/src/main/kotlin/cleathitch/controller/FollowerContacts.kt
@@ -10,6 +10,7 @@
     private val lastContactMs = HashMap<String, Long>()
     private val followerByMachine = HashMap<MachineId, String>()
 
+    /** The follower has just shown that it lives. */
     fun recordContact(follower: String) {
         lastContactMs[follower] = steadyMs()
     }
@@ -32,6 +33,7 @@
         machines.forEach { followerByMachine[it] = follower }
     }
 
+    /** The follower through which the machine sent its last heartbeat, if one did. */
     fun followerOf(machine: MachineId): String? = followerByMachine[machine]
 
     private companion object {
--- a/src/main/kotlin/cleathitch/controller/HeartbeatRouter.kt
+++ b/src/main/kotlin/cleathitch/controller/HeartbeatRouter.kt
@@ -28,6 +28,7 @@
     private val processingTimes: ProcessingTimes,
     private val steadyMs: () -> Long,
 ) {
+    /** Answers one heartbeat, given as the body of its request. */
     suspend fun handle(body: ByteArray): HttpReply {
         // Right after an election the whole fleet reports at once: a heartbeat that can't be answered isn't even decoded.
         if (role.activeTerm?.isReady == false || role.activeTerm == null && role.leader == null) return HttpReply(503)
--- a/src/main/kotlin/cleathitch/controller/LeaderAnnouncer.kt
+++ b/src/main/kotlin/cleathitch/controller/LeaderAnnouncer.kt
@@ -40,10 +40,10 @@
     private fun needsAnnouncement(follower: String) = !contacts.isRecent(follower, withinMs = leaseMs / RECENT_CONTACTS_PER_LEASE)
 
     private suspend fun announce(term: LeaderTerm, peer: Peer) {
-        val announcement = PeerRequest.AnnounceLeader(member, member, term.term.revision)
+        val announcement = PeerRequest.AnnounceLeader(member, member, term.revision)
         val reply = client.ask(peer.address, announcement, timeoutMs = periodMs).reply ?: return
         contacts.recordContact(peer.member)
-        if (reply.term > term.term.revision) role.stepDown(term.term, "newer_term: ${peer.member} knows ${reply.term}")
+        if (reply.term > term.revision) role.stepDown(term.term, "newer_term: ${peer.member} knows ${reply.term}")
     }
 
     private companion object {
--- a/src/main/kotlin/cleathitch/controller/PeerRequestHandler.kt
+++ b/src/main/kotlin/cleathitch/controller/PeerRequestHandler.kt
@@ -30,6 +30,7 @@
     private val processingTimes: ProcessingTimes,
     private val scope: CoroutineScope,
 ) {
+    /** Answers one request; [PeerReply.status] follows HTTP. */
     suspend fun handle(request: PeerRequest): PeerReply = when (request) {
         is PeerRequest.AnnounceLeader -> {
             role.onLeaderAnnouncement(request.from, request.term)
@@ -48,7 +49,7 @@
     /** Decides the heartbeats and polls of a follower, if this controller leads in the batch's term. */
     private suspend fun decide(batch: PeerRequest.FollowerBatch): PeerReply {
         role.stepDownIfOlderThan(batch.term, batch.from)
-        val term = role.activeTerm?.takeIf { it.term.revision == batch.term && it.isReady } ?: return reply(503)
+        val term = role.activeTerm?.takeIf { it.revision == batch.term && it.isReady } ?: return reply(503)
         contacts.recordContact(batch.from)
         term.recordDeliveryResults(batch.directResults)
         val heartbeats = processingTimes.measure(ProcessingStage.BATCH_DECODING) { batch.toReports() }
--- a/src/main/kotlin/cleathitch/controller/ProcessingTimesLog.kt
+++ b/src/main/kotlin/cleathitch/controller/ProcessingTimesLog.kt
@@ -10,6 +10,7 @@
     private val processingTimes: ProcessingTimes,
     private val periodMs: Long,
 ) {
+    /** Whether the log level shows what [run] writes. */
     val isEnabled get() = log.isInfoEnabled
 
     /** Logs until it is cancelled. */
--- a/src/main/kotlin/cleathitch/controller/Readiness.kt
+++ b/src/main/kotlin/cleathitch/controller/Readiness.kt
@@ -14,6 +14,7 @@
     private val leaseMs: Long,
     private val steadyMs: () -> Long,
 ) {
+    /** The answer to the load balancer. */
     fun isReady(): Boolean = role.activeTerm?.let(::isReadyAsLeader) ?: isReadyAsFollower()
 
     private fun isReadyAsLeader(term: LeaderTerm): Boolean {
--- a/src/main/kotlin/cleathitch/controller/RequestRouter.kt
+++ b/src/main/kotlin/cleathitch/controller/RequestRouter.kt
@@ -8,10 +8,11 @@
     private val heartbeats: HeartbeatRouter,
     private val userRequests: UserRequestRouter,
 ) {
+    /** Answers one request to the public address. */
     suspend fun handle(method: String, path: String, body: ByteArray): HttpReply = when {
         path == READY_PATH -> if (method == "GET") HttpReply(if (readiness.isReady()) 200 else 503) else HttpReply(405)
         path == HEARTBEAT_PATH -> if (method == "POST") heartbeats.handle(body) else HttpReply(405)
-        UserRequest.isPrefixOf(path) -> userRequests.handle(method, path, body, forwarded = false)
+        UserRequest.isUserPath(path) -> userRequests.handle(method, path, body, forwarded = false)
         else -> HttpReply(404)
     }
 
--- a/src/main/kotlin/cleathitch/controller/UserRequest.kt
+++ b/src/main/kotlin/cleathitch/controller/UserRequest.kt
@@ -10,8 +10,13 @@
     /** A request that the leader answers. */
     sealed interface ForLeader : UserRequest
 
+    /** A job to accept. */
     data class Submit(val spec: JobSpec) : ForLeader
+
+    /** A question about a job's state. */
     data class Poll(val job: JobId) : ForLeader
+
+    /** A job to cancel. */
     data class Cancel(val job: JobId) : ForLeader
 
     /** The path names a job in a form that no job's name has. */
@@ -19,18 +24,21 @@
 
     /** The path is right, and the method isn't one of its methods. */
     data object MethodNotAllowed : UserRequest
+
+    /** No user request has this path. */
     data object UnknownPath : UserRequest
 
     /** The body can't be parsed. */
     data class Malformed(val reason: String) : UserRequest
 
     companion object {
-        const val PATH = "/submissions"
+        private const val PATH = "/submissions"
         private const val CANCEL = "abort"
 
         /** Whether [path] is one of the paths for users, by its beginning. */
-        fun isPrefixOf(path: String) = path == PATH || path.startsWith("$PATH/")
+        fun isUserPath(path: String) = path == PATH || path.startsWith("$PATH/")
 
+        /** Reads a request whose path [isUserPath] has recognized. */
         fun parse(method: String, path: String, body: ByteArray): UserRequest {
             if (path == PATH) return if (method == "POST") parseSubmission(body) else MethodNotAllowed
             val parts = path.removePrefix("$PATH/").split('/')
--- a/src/main/kotlin/cleathitch/controller/UserRequestRouter.kt
+++ b/src/main/kotlin/cleathitch/controller/UserRequestRouter.kt
@@ -18,7 +18,7 @@
     private val client: PeerClient,
     private val peerAddresses: Map<String, Address>,
 ) {
-    /** A request that a peer has [forwarded] isn't forwarded again: the peers would pass it round between two terms. */
+    /** Answers one request. One that a peer has [forwarded] isn't forwarded again: the peers would pass it round between two terms. */
     suspend fun handle(method: String, path: String, body: ByteArray, forwarded: Boolean): HttpReply =
         when (val request = UserRequest.parse(method, path, body)) {
             UserRequest.MethodNotAllowed -> HttpReply(405)
--- a/src/main/kotlin/cleathitch/leader/InputQueue.kt
+++ b/src/main/kotlin/cleathitch/leader/InputQueue.kt
@@ -30,6 +30,7 @@
     var queuedRequests = 0
         private set
 
+    /** Whether no input is queued. */
     val isEmpty get() = queued.values.all { it.isEmpty() }
 
     /** Adds the input; false if it is a request and too many are queued already. */
--- a/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
+++ b/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
@@ -49,6 +49,11 @@
     val requests = TermRequests(queue, clocks::steadyMs, wakeUp = { wakeUp.trySend(Unit) })
 
     val term get() = lease.term
+
+    /** The number of the term, which grows from term to term. */
+    val revision get() = term.revision
+
+    /** When this term began, by the steady clock. */
     val electedAtMs = clocks.steadyMs()
 
     /** Whether the log is replayed and the term goes on, so that requests are answered. */
@@ -110,7 +115,7 @@
         onRecovered()
         log.info(
             "term={} event=recovered duration_ms={} jobs_open={} records={}",
-            term.revision,
+            revision,
             clocks.steadyMs() - startMs,
             scheduler.openJobs,
             recovered.records.size,
--- a/src/main/kotlin/cleathitch/leader/RequestOutcome.kt
+++ b/src/main/kotlin/cleathitch/leader/RequestOutcome.kt
@@ -2,7 +2,10 @@
 
 /** What came of a request to the scheduler. */
 sealed interface RequestOutcome<out T> {
+    /** The scheduler's answer. */
     data class Answered<T>(val answer: T) : RequestOutcome<T>
+
+    /** There is no answer, and why. */
     data class Unanswered(val reason: UnansweredReason) : RequestOutcome<Nothing>
 }
 
--- a/src/main/kotlin/cleathitch/leader/TermRequests.kt
+++ b/src/main/kotlin/cleathitch/leader/TermRequests.kt
@@ -28,8 +28,13 @@
     /** How long the scheduler took for each input of its last batch. */
     private var lastBatchMsPerInput = 0.0
 
+    /** Accepts a job; a repeated submission is answered like the first. */
     suspend fun submit(spec: JobSpec): UserReply = awaitUserReply { Input.Submit(it, spec) }
+
+    /** The state of a job. */
     suspend fun poll(job: JobId): UserReply = awaitUserReply { Input.Poll(it, job) }
+
+    /** Cancels a job. */
     suspend fun cancel(job: JobId): UserReply = awaitUserReply { Input.Cancel(it, job) }
 
     /** The answer to a worker's heartbeat; without one, the worker's lease must not be renewed. */
--- a/src/main/kotlin/cleathitch/metrics/MetricsText.kt
+++ b/src/main/kotlin/cleathitch/metrics/MetricsText.kt
@@ -6,6 +6,7 @@
 
 /** The metrics as text, a line for each measurement: name with statistic, tags, value. */
 object MetricsText {
+    /** All present values, by name. */
     fun text(meters: MeterRegistry): String = meters.meters.sortedBy { it.id.name }.joinToString("", transform = ::lines)
 
     private fun lines(meter: Meter): String = meter.measure().joinToString("") { line(meter.id, it) }
--- a/src/test/kotlin/cleathitch/config/SettingsTest.kt
+++ b/src/test/kotlin/cleathitch/config/SettingsTest.kt
@@ -49,22 +49,4 @@
             assertTrue(message.startsWith(folder.toString()) && reason in message, message)
         }
     }
-
-    @Test
-    fun `the operators' file is one map of known keys`() {
-        assertEquals(
-            OperatorSettings(compactionPeriodS = 5.0, cloudShare = 0.5),
-            OperatorSettings.read(file("{:trim-s 5 ; seconds\n :cloud-share 0.5}")),
-        )
-        for ((text, reason) in mapOf(
-            "{:trims 5}" to ":trims: is unknown",
-            "{:trim-s \"x\"}" to ":trim-s",
-            "{:a" to "isn't EDN",
-            "3" to "isn't one map",
-            "{} {}" to "more than one",
-        )) {
-            val message = assertThrows(InvalidSettingsException::class.java) { OperatorSettings.read(file(text)) }.message.orEmpty()
-            assertTrue(reason in message, message)
-        }
-    }
 }
--- /dev/null
+++ b/src/test/kotlin/cleathitch/leader/TermRequestsTest.kt
@@ -0,0 +1,73 @@
+package cleathitch.leader
+
+import cleathitch.scheduler.api.Input
+import cleathitch.scheduler.api.UserReply
+import cleathitch.scheduler.model.JobId
+import kotlinx.coroutines.CoroutineScope
+import kotlinx.coroutines.CoroutineStart
+import kotlinx.coroutines.async
+import kotlinx.coroutines.cancelAndJoin
+import kotlinx.coroutines.runBlocking
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+class TermRequestsTest {
+    private var nowMs = 0L
+    private val queue = InputQueue(maxQueuedRequests = 2)
+    private val requests = TermRequests(queue, steadyMs = { nowMs }, wakeUp = {})
+    private val job = JobId("j-000001")
+
+    private fun CoroutineScope.polling() = async(start = CoroutineStart.UNDISPATCHED) { requests.poll(job) }
+
+    @Test
+    fun `before the replay has ended nothing is queued, and the reason is said`() = runBlocking {
+        assertEquals(UserReply.Unavailable("taking over"), requests.poll(job))
+        assertEquals(RequestOutcome.Unanswered(UnansweredReason.RECOVERING), requests.followerBatch(emptyList(), listOf(job)))
+        assertTrue(queue.isEmpty)
+    }
+
+    @Test
+    fun `beyond the queue's limit a request is refused, with the time in which the queue is served`() = runBlocking {
+        requests.open()
+        requests.recordBatch(inputs = 1, durationMs = 2500.0)
+        val queued = List(2) { polling() }
+        assertEquals(UserReply.Unavailable("too many requests wait", retryAfterS = 5), requests.poll(job))
+        assertEquals(RequestOutcome.Unanswered(UnansweredReason.QUEUE_FULL), requests.followerBatch(emptyList(), listOf(job)))
+        queued.forEach { it.cancelAndJoin() }
+    }
+
+    @Test
+    fun `the end of the term ends what waits and accepts nothing more`() = runBlocking {
+        requests.open()
+        val poll = polling()
+        requests.close()
+        assertEquals(UserReply.Unavailable("not the leader any more"), poll.await())
+        assertFalse(requests.isOpen)
+        assertEquals(UserReply.Unavailable("taking over"), requests.poll(job))
+    }
+
+    @Test
+    fun `a request that the scheduler leaves unanswered ends after three seconds`() = runBlocking {
+        requests.open()
+        val poll = polling()
+        nowMs = 2999
+        requests.expire()
+        assertTrue(poll.isActive)
+        nowMs = 3000
+        requests.expire()
+        assertEquals(UserReply.Unavailable("not the leader any more"), poll.await())
+    }
+
+    @Test
+    fun `a request is awaited until its sender gives up, other inputs always`() = runBlocking {
+        requests.open()
+        val poll = polling()
+        val input = queue.nextBatch { true }.single()
+        assertTrue(requests.isAwaited(input))
+        poll.cancelAndJoin()
+        assertFalse(requests.isAwaited(input))
+        assertTrue(requests.isAwaited(Input.Tick))
+    }
+}
