--- a/src/main/kotlin/cleathitch/controller/Controller.kt
+++ b/src/main/kotlin/cleathitch/controller/Controller.kt
@@ -36,18 +36,18 @@
     private val steadyMs = dependencies.clocks::steadyMs
     private val processingTimes = dependencies.processingTimes
     private val reportMs = settings.deployment.reportMs
-    private val leaseMs = dependencies.timings.leaderLeaseMs
+    private val leaderLeaseMs = dependencies.timings.leaderLeaseMs
     private val peerAddresses = settings.peers.associate { it.member to it.address }
 
     private val machineTypes = MachineTypeDiscovery(dependencies.cloud, retryMs = reportMs / 3)
     private val imageCacheHints = ImageCacheHintSharing(settings.peers, peers, processingTimes, timeoutMs = reportMs / 3, scope)
-    private val contacts = FollowerContacts(steadyMs, reachableMs = leaseMs)
+    private val contacts = FollowerContacts(steadyMs, reachableMs = leaderLeaseMs)
     private val role = ControllerRole(member, steadyMs, scope, dependencies.meters, ::newTerm)
-    private val announcer = LeaderAnnouncer(member, settings.peers, peers, role, contacts, leaseMs, scope)
+    private val announcer = LeaderAnnouncer(member, settings.peers, peers, role, contacts, leaderLeaseMs, scope)
     private val processingTimesLog = ProcessingTimesLog(role, processingTimes, periodMs = reportMs * LOG_PERIOD_REPORTS)
     private val batches = LeaderBatcher(
         intervalMs = dependencies.timings.forwardMs,
-        unreachableMs = leaseMs,
+        unreachableMs = leaderLeaseMs,
         nowMs = steadyMs,
         leader = role::knownLeader,
         send = BatchForwarder(member, peerAddresses, peers, role, processingTimes)::send,
@@ -56,7 +56,7 @@
 
     /** Answers the load balancer, users and workers. */
     val requests = RequestRouter(
-        Readiness(role, contacts, settings.peers.size, leaseMs, steadyMs),
+        Readiness(role, contacts, settings.peers.size, leaderLeaseMs, steadyMs),
         HeartbeatRouter(member, role, contacts, batches, WorkerDistribution(reportMs), processingTimes, steadyMs),
         userRequests,
     )
@@ -81,12 +81,12 @@
         if (processingTimesLog.isEnabled) scope.launch { processingTimesLog.run() }
         leaseScope.launch { election.run(role) }
         // Requests that come before there is a leader to answer them only delay its discovery.
-        role.awaitLeader(timeoutMs = leaseMs * FIRST_LEADER_LEASES)
+        role.awaitLeader(timeoutMs = leaderLeaseMs * FIRST_LEADER_LEASES)
     }
 
     private fun newTerm(lease: LeaderLease, stepDown: (Effect.StepDown) -> Unit): LeaderTerm {
         val term = lease.term
-        val routes = TermCommandRoutes(term, member, contacts, peerAddresses, peers, dependencies.workers, timeoutMs = leaseMs)
+        val routes = TermCommandRoutes(term, member, contacts, peerAddresses, peers, dependencies.workers, timeoutMs = leaderLeaseMs)
         return LeaderTerm(
             lease,
             dependencies,
--- a/src/main/kotlin/cleathitch/controller/LeaderAnnouncer.kt
+++ b/src/main/kotlin/cleathitch/controller/LeaderAnnouncer.kt
@@ -19,10 +19,10 @@
     private val client: PeerClient,
     private val role: ControllerRole,
     private val contacts: FollowerContacts,
-    private val leaseMs: Long,
+    private val leaderLeaseMs: Long,
     private val scope: CoroutineScope,
 ) {
-    private val periodMs = leaseMs / ANNOUNCEMENTS_PER_LEASE
+    private val periodMs = leaderLeaseMs / ANNOUNCEMENTS_PER_LEASE
 
     /** Announces the active term in each period, until it is cancelled. */
     suspend fun run() {
@@ -37,7 +37,7 @@
     }
 
     /** A follower whose batch was answered a moment ago knows the leader from that answer. */
-    private fun needsAnnouncement(follower: String) = !contacts.isRecent(follower, withinMs = leaseMs / RECENT_CONTACTS_PER_LEASE)
+    private fun needsAnnouncement(follower: String) = !contacts.isRecent(follower, withinMs = leaderLeaseMs / RECENT_CONTACTS_PER_LEASE)
 
     private suspend fun announce(term: LeaderTerm, peer: Peer) {
         val announcement = PeerRequest.AnnounceLeader(member, member, term.revision)
--- a/src/main/kotlin/cleathitch/controller/Readiness.kt
+++ b/src/main/kotlin/cleathitch/controller/Readiness.kt
@@ -11,7 +11,7 @@
     private val role: ControllerRole,
     private val contacts: FollowerContacts,
     private val peerCount: Int,
-    private val leaseMs: Long,
+    private val leaderLeaseMs: Long,
     private val steadyMs: () -> Long,
 ) {
     /** The answer to the load balancer. */
@@ -19,14 +19,14 @@
 
     private fun isReadyAsLeader(term: LeaderTerm): Boolean {
         val now = steadyMs()
-        if (!term.isReady) return now - term.electedAtMs < leaseMs
-        return now < term.lease.validUntilMs + leaseMs || contacts.reachableFollowers().size * 2 >= peerCount
+        if (!term.isReady) return now - term.electedAtMs < leaderLeaseMs
+        return now < term.lease.validUntilMs + leaderLeaseMs || contacts.reachableFollowers().size * 2 >= peerCount
     }
 
     private fun isReadyAsFollower(): Boolean {
         val silentMs = steadyMs() - (role.leaderContactMs ?: return false)
         // A dead leader's key goes with its lease. While the key stands, the leader lives: it is slow, or a partition hides it.
-        return silentMs < leaseMs * if (role.leader == null) ELECTION_LEASES else SILENT_LEASES
+        return silentMs < leaderLeaseMs * if (role.leader == null) ELECTION_LEASES else SILENT_LEASES
     }
 
     private companion object {
--- a/src/main/kotlin/cleathitch/leader/CloudPolling.kt
+++ b/src/main/kotlin/cleathitch/leader/CloudPolling.kt
@@ -16,7 +16,7 @@
     }
 
     private suspend fun pollMachineTypes() {
-        val periodMs = deployment.leaseMs
+        val periodMs = deployment.workerLeaseMs
         while (true) {
             cloud.types()?.let { enqueue(Input.MachineTypesListed(it)) }
             delay(periodMs)
--- a/src/main/kotlin/cleathitch/leader/DeploymentPeriods.kt
+++ b/src/main/kotlin/cleathitch/leader/DeploymentPeriods.kt
@@ -8,7 +8,7 @@
 val Deployment.reportMs get() = toMs(reportS)
 
 /** For how long a worker's lease outlives its last renewal. */
-val Deployment.leaseMs get() = toMs(leaseS)
+val Deployment.workerLeaseMs get() = toMs(leaseS)
 
 /** By how much the cloud's list of machines lags behind. */
 val Deployment.listLagMs get() = toMs(listLagS)
--- /dev/null
+++ b/src/test/kotlin/cleathitch/controller/ControllerRoleTest.kt
@@ -0,0 +1,75 @@
+package cleathitch.controller
+
+import cleathitch.peers.KnownLeader
+import io.micrometer.core.instrument.simple.SimpleMeterRegistry
+import kotlinx.coroutines.CoroutineScope
+import kotlinx.coroutines.Dispatchers
+import kotlinx.coroutines.runBlocking
+import kotlinx.coroutines.withTimeout
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+/** A controller that follows: whom it follows, and whether it is ready. */
+class ControllerRoleTest {
+    private val leaderLeaseMs = 1000L
+    private var nowMs = 5000L
+    private val role = ControllerRole("n0", { nowMs }, CoroutineScope(Dispatchers.Unconfined), SimpleMeterRegistry()) { _, _ ->
+        throw AssertionError("a follower has no term")
+    }
+    private val contacts = FollowerContacts({ nowMs }, leaderLeaseMs)
+    private val readiness = Readiness(role, contacts, peerCount = 2, leaderLeaseMs, { nowMs })
+
+    @Test
+    fun `the holder of the leader's key is followed, and its term known`() {
+        assertEquals(null, role.knownLeader())
+        role.leaderIs("n1", 7)
+        assertEquals(KnownLeader("n1", 7), role.knownLeader())
+        role.leaderIs(null, 8)
+        assertEquals(null, role.knownLeader())
+        assertEquals(8, role.leaderTerm)
+    }
+
+    @Test
+    fun `an announcement of a newer term changes the leader, one of an older term doesn't`() {
+        role.onLeaderAnnouncement("n1", 7)
+        role.onLeaderAnnouncement("n2", 8)
+        role.onLeaderAnnouncement("n1", 7)
+        assertEquals(KnownLeader("n2", 8), role.knownLeader())
+    }
+
+    @Test
+    fun `a controller doesn't forward to itself after it has led`() {
+        role.leaderIs("n0", 7)
+        assertEquals(null, role.knownLeader())
+    }
+
+    @Test
+    fun `the wait for a leader ends with the first holder of the key`() = runBlocking {
+        role.leaderIs("n1", 7)
+        withTimeout(10_000) { role.awaitLeader(timeoutMs = Long.MAX_VALUE) }
+    }
+
+    @Test
+    fun `a follower is ready until its leader has been silent for three leases`() {
+        assertFalse(readiness.isReady())
+        role.onLeaderAnnouncement("n1", 7)
+        nowMs += 3 * leaderLeaseMs - 1
+        assertTrue(readiness.isReady())
+        nowMs += 1
+        assertFalse(readiness.isReady())
+        role.onLeaderAnnouncement("n1", 7)
+        assertTrue(readiness.isReady())
+    }
+
+    @Test
+    fun `a new holder of the key counts as alive, the same holder seen again doesn't`() {
+        role.leaderIs("n1", 7)
+        nowMs += 3 * leaderLeaseMs
+        role.leaderIs("n1", 7)
+        assertFalse(readiness.isReady())
+        role.leaderIs("n2", 8)
+        assertTrue(readiness.isReady())
+    }
+}
--- a/src/test/kotlin/cleathitch/leader/InputQueueTest.kt
+++ b/src/test/kotlin/cleathitch/leader/InputQueueTest.kt
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A flood of requests, and what must not wait behind it. */
+/** Priority classes and limits of the scheduler's inputs under a flood of requests. */
 class InputQueueTest {
     private val queue = InputQueue(maxQueuedRequests = 1000)
     private var requests = 0L
@@ -21,7 +21,7 @@
     private fun next(isAwaited: (Input) -> Boolean = { true }) = queue.nextBatch(isAwaited)
 
     @Test
-    fun `what comes in the middle of a flood about lease and commits is in the very next batch, and first`() {
+    fun `lease and commits come first in the next batch, even in the middle of a flood`() {
         repeat(1000) { queue.offer(submit(it)) }
         next()
         queue.offer(Input.LeaseRenewed(5))
@@ -38,7 +38,7 @@
     }
 
     @Test
-    fun `a batch is bounded, and takes some of each kind`() {
+    fun `a batch is bounded, and takes some of each priority class`() {
         repeat(400) { queue.offer(submit(it)) }
         repeat(400) { queue.offer(poll(1000 + it)) }
         queue.offer(Input.Tick)
@@ -48,7 +48,7 @@
     }
 
     @Test
-    fun `requests over the bound are refused, and what isn't a request is not`() {
+    fun `requests beyond the limit are refused, other inputs are not`() {
         repeat(1000) { assertTrue(queue.offer(submit(it))) }
         assertFalse(queue.offer(poll(1)))
         assertTrue(queue.offer(Input.CommitSucceeded(LogIndex(1), 2)))
@@ -57,7 +57,7 @@
     }
 
     @Test
-    fun `requests about one job keep their order`() {
+    fun `requests about the same job keep their order`() {
         val inputs = listOf(submit(job = 1), cancel(job = 1), poll(job = 1))
         inputs.forEach { queue.offer(it) }
         assertEquals(inputs, next())
@@ -68,7 +68,7 @@
     }
 
     @Test
-    fun `what its sender gave up on is dropped and makes room`() {
+    fun `requests that their sender gave up are dropped and make room`() {
         repeat(1000) { queue.offer(submit(it)) }
         var batches = 0
         while (!queue.isEmpty) {
