--- a/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
+++ b/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
@@ -60,13 +60,10 @@
     val isReady get() = requests.isOpen
 
     /** What this term is doing, as keys and values for the log. */
-    val activity
-        get() = if (isReady) {
-            "phase=leading queued_requests=${queue.queuedRequests}"
-        } else {
-            "phase=recovering storage=${logValue(
-                storage.activity,
-            )}"
+    val activity: String
+        get() = when {
+            isReady -> "phase=leading queued_requests=${queue.queuedRequests}"
+            else -> "phase=recovering storage=${logValue(storage.activity)}"
         }
 
     /** Takes in what workers answered to commands that a follower delivered. */
