--- a/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
+++ b/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
@@ -49,14 +49,22 @@
     val requests = TermRequests(queue, clocks::steadyMs, wakeUp = { wakeUp.trySend(Unit) })
 
     val term get() = lease.term
+
+    /** The number of the term, which grows from term to term. */
+    val revision get() = term.revision
+
+    /** When this term began, by the steady clock. */
     val electedAtMs = clocks.steadyMs()
 
     /** Whether the log is replayed and the term goes on, so that requests are answered. */
     val isReady get() = requests.isOpen
 
     /** What this term is doing, as keys and values for the log. */
-    val activity
-        get() = if (isReady) "phase=leading queued_requests=${queue.queuedRequests}" else "phase=recovering storage=${logValue(storage.loadProgress.toString())}"
+    val activity: String
+        get() = when {
+            isReady -> "phase=leading queued_requests=${queue.queuedRequests}"
+            else -> "phase=recovering storage=${logValue(storage.loadProgress.toString())}"
+        }
 
     /** Takes in what workers answered to commands that a follower delivered. */
     fun recordDeliveryResults(results: List<DeliveryResultMessage>) = delivery.onDeliveryResults(results)
@@ -104,7 +112,7 @@
         onRecovered()
         log.info(
             "term={} event=recovered duration_ms={} jobs_open={} records={}",
-            term.revision,
+            revision,
             clocks.steadyMs() - startMs,
             scheduler.openJobs,
             recovered.records.size,
