--- a/src/main/kotlin/cleathitch/controller/Controller.kt
+++ b/src/main/kotlin/cleathitch/controller/Controller.kt
@@ -285,7 +285,7 @@
 
     /** A poll that came to a follower: its leader is asked together with others. */
     private suspend fun poll(job: JobId): HttpReply {
-        val reply = if (otherLeader() == null || batches.leaderUnreachable) null else batches.forwardPoll(job).replyOrNull()
+        val reply = if (otherLeader() == null || batches.isLeaderUnreachable) null else batches.forwardPoll(job).replyOrNull()
         return reply?.let(UserProtocol::reply) ?: UserProtocol.unavailableHere("no way to the leader")
     }
 
@@ -313,7 +313,7 @@
     private suspend fun workerReport(body: ByteArray): HttpReply {
         // Right after an election the whole fleet comes at once; what needs no look at the report gets none.
         if (leading?.ready == false || leading == null && leader == null) return HttpReply(503)
-        if (leading == null && batches.leaderUnreachable) return HttpReply(421, WorkerProtocol.redirect(leader))
+        if (leading == null && batches.isLeaderUnreachable) return HttpReply(421, WorkerProtocol.redirect(leader))
         val report = try {
             services.processingTimes.measure(ProcessingStage.HEARTBEAT_DECODING) { WorkerProtocol.heartbeat(body) }
         } catch (e: MalformedMessageException) {
--- a/src/main/kotlin/cleathitch/http/CallOutcome.kt
+++ b/src/main/kotlin/cleathitch/http/CallOutcome.kt
@@ -24,7 +24,7 @@
         private const val TOO_MANY_REQUESTS = 429
         private const val FIRST_SERVER_ERROR = 500
 
-        /** The one place that tells a refusal from an answer. */
+        /** The only place that distinguishes a refusal from an answer. */
         fun of(result: CallResult): CallOutcome = when (result) {
             is CallResult.Failed -> Failed(result.failure)
             is CallResult.Answered -> if (isRefusal(result.status)) Refused(result.status) else Answered
--- a/src/main/kotlin/cleathitch/peers/LeaderBatcher.kt
+++ b/src/main/kotlin/cleathitch/peers/LeaderBatcher.kt
@@ -31,7 +31,7 @@
     private var unreachableSinceMs: Long? = null
 
     /** A batch failed to reach the leader within the last [unreachableMs]. */
-    val leaderUnreachable get() = unreachableSinceMs?.let { nowMs() - it < unreachableMs } == true
+    val isLeaderUnreachable get() = unreachableSinceMs?.let { nowMs() - it < unreachableMs } == true
 
     private val isEmpty get() = heartbeats.isEmpty && polls.isEmpty && deliveryResults.isEmpty()
 
--- a/src/main/kotlin/cleathitch/peers/PeerCodec.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerCodec.kt
@@ -5,7 +5,10 @@
 import kotlinx.serialization.SerializationException
 import kotlinx.serialization.cbor.Cbor
 
-/** The CBOR form of messages between nodes. Decoding ignores unknown fields, and throws [SerializationException] for a malformed message. */
+/**
+ * The CBOR form of messages between nodes. Decoding ignores unknown fields, and throws [SerializationException] for a malformed
+ * message.
+ */
 @OptIn(ExperimentalSerializationApi::class)
 object PeerCodec {
     private val cbor = Cbor {
@@ -27,6 +30,6 @@
     } catch (e: SerializationException) {
         throw e
     } catch (e: RuntimeException) {
-        throw SerializationException("the message is garbled", e)
+        throw SerializationException("the message is malformed", e)
     }
 }
--- a/src/main/kotlin/cleathitch/protocol/UserProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/UserProtocol.kt
@@ -32,7 +32,7 @@
     /** Decodes a submitted job; throws [MalformedMessageException], whose message is for the user, if it isn't as the page says. */
     fun submission(body: ByteArray): JobSpec {
         val map = MessageCodec.decodeMap(body)
-        // Read first: of several malformed fields the user is told the first.
+        // Read first: with several malformed fields, the response names the first that is read.
         val machineTypes = machineTypes(map)
         val spec = JobSpec(
             id = jobId(map.requiredText("nameId")) ?: throw MalformedMessageException("nameId isn't of the form j-000412"),
--- a/src/test/kotlin/cleathitch/http/HttpEndpointTest.kt
+++ b/src/test/kotlin/cleathitch/http/HttpEndpointTest.kt
@@ -60,13 +60,13 @@
         true
     }
 
-    /** Kept connections of a whole fleet once took every socket, and with them the way to the state service. */
+    /** Without a limit, the kept connections of a whole fleet use up the sockets, and the node can't reach the key-value store. */
     @Test
-    fun `past its share each answer ends its connection, and past the most nobody gets in`() {
+    fun `past its share each answer closes its connection, and past the maximum none is accepted`() {
         val kept = List(max - max / 20) { open() }
         kept.forEach { assertTrue("connection: close" !in it.ask()!!) }
         val late = List(max - kept.size) { open() }
-        // The late ones are in, but nobody after them.
+        // The late ones are accepted, but none after them.
         late.last().ask().let { assertTrue("connection: close" in it!!) }
         assertTrue(late.last().ended())
         val next = List(20) { open() }.count { it.ask() != null }
@@ -74,9 +74,9 @@
         assertTrue(limit.open <= max + 20)
     }
 
-    /** Open connections are never moved: without an end to it, a user stays with a node that can't serve. */
+    /** A load balancer never moves an open connection: a user whose connection stays open stays with a node that can't serve. */
     @Test
-    fun `a node that can't serve ends the user's connection with its answer`() {
+    fun `a node that can't serve closes the user's connection with its answer`() {
         val socket = open()
         assertTrue("connection: close" !in socket.ask("/")!!)
         val answer = socket.ask("/elsewhere")!!
--- a/src/test/kotlin/cleathitch/http/PooledHttpClientTest.kt
+++ b/src/test/kotlin/cleathitch/http/PooledHttpClientTest.kt
@@ -68,7 +68,7 @@
         assertAllConnectionsFree()
     }
 
-    /** As all calls of a term are when it ends. */
+    /** All calls of a term are cancelled when it ends. */
     @Test
     fun `a connection that comes free after its call was cancelled goes back to the pool`(): Unit = runBlocking {
         holdAllConnections()
@@ -79,7 +79,7 @@
         assertAllConnectionsFree()
     }
 
-    /** As behind a cut that holds packets: the connection opens when the first packet is sent again, a second later. */
+    /** A partition that drops packets does this: the connection opens when the first packet is sent again, a second later. */
     @Test
     fun `a connection that opens after its call gave up goes back to the pool`(): Unit = runBlocking {
         ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { listener ->
--- a/src/test/kotlin/cleathitch/http/StubServer.kt
+++ b/src/test/kotlin/cleathitch/http/StubServer.kt
@@ -7,7 +7,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue
 
 /**
- * An HTTP server on loopback whose answers a test holds back, cuts off or gives. It has an event loop of its own. What
+ * An HTTP server on loopback whose responses a test delays, cuts off or sends. It has an event loop of its own. What
  * happens to a request depends on its path, or on [choose] if that is given.
  */
 class StubServer(private val choose: ((String) -> String)? = null) : AutoCloseable {
@@ -51,7 +51,7 @@
         const val CUT_OFF = "/cut-off"
         val TREATMENTS = listOf(AT_ONCE, HELD, LATE, RESET, CUT_OFF)
 
-        /** Of all answers: none of the clients takes one with it for garbled. */
+        /** The status of all responses; no client decodes the body of one with this status. */
         const val STATUS = 503
         private const val LATE_MS = 15L
     }
--- a/src/test/kotlin/cleathitch/peers/LeaderBatcherTest.kt
+++ b/src/test/kotlin/cleathitch/peers/LeaderBatcherTest.kt
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Those who wait for a follower's batch get an answer, whatever becomes of it. */
+/** Every caller that waits for a follower's batch gets an outcome, whatever becomes of the batch. */
 class LeaderBatcherTest {
     private val job = JobId("j-000001")
     private val done = UserReply.Status(job, JobState.DONE, 1, 0)
@@ -39,7 +39,7 @@
 
     @Test
     fun `a batch that fails is unanswered, and the next one is sent`() = whileRunning {
-        send = { throw IllegalArgumentException("garbled") }
+        send = { throw IllegalArgumentException("malformed") }
         coroutineScope {
             val status = async { batcher.forwardPoll(job) }
             val outcome = async { batcher.forwardHeartbeat(heartbeat) }
@@ -75,7 +75,7 @@
         }
     }
 
-    /** As users do who give up. */
+    /** Users who give up cancel their polls. */
     @Test
     fun `polls that are cancelled take no answer from others`() = whileRunning {
         send = {
--- a/src/test/kotlin/cleathitch/peers/WorkerCommandDeliveryTest.kt
+++ b/src/test/kotlin/cleathitch/peers/WorkerCommandDeliveryTest.kt
@@ -87,7 +87,7 @@
     }
 
     @Test
-    fun `a worker that gives no answer is told as such`() {
+    fun `a worker that gives no answer is reported as unanswered`() {
         workersAnswer = false
         deliver(commandTo(5))
         assertEquals(listOf<Input>(Input.DirectCallUnanswered(MachineId("vm-5"))), posted)
--- a/src/test/kotlin/cleathitch/protocol/ProtocolCodecTest.kt
+++ b/src/test/kotlin/cleathitch/protocol/ProtocolCodecTest.kt
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.TestFactory
 
-/** What workers, cloud, state service and peers send: read as the page says; garbled ones are rejected. */
+/** What workers, cloud, state service and peers send: read as the page says; malformed ones are rejected. */
 class ProtocolCodecTest {
     private val json = ObjectMapper()
     private fun node(text: String) = json.readTree(text) as ObjectNode
@@ -91,13 +91,9 @@
             listOf("missing" to null, "of another type" to json.readTree("""[{"x":"y"}]""")).map { (how, value) ->
                 DynamicTest.dynamicTest("${message.name}: $field $how") {
                     val broken = node(message.text)
-                    val (holder, name) = if ('.' in
-                        field
-                    ) {
-                        broken.get(field.substringBefore('.'))[0] as ObjectNode to field.substringAfter('.')
-                    } else {
-                        broken to field
-                    }
+                    val isNested = '.' in field
+                    val holder = if (isNested) broken.get(field.substringBefore('.'))[0] as ObjectNode else broken
+                    val name = field.substringAfter('.')
                     if (value == null) holder.remove(name) else holder.set<ObjectNode>(name, if (name == "data") json.nullNode() else value)
                     assertThrows(MalformedMessageException::class.java) { message.read(MessageCodec.encode(broken)) }
                 }
@@ -157,7 +153,7 @@
     }
 
     @Test
-    fun `peers understand each other, and garbled requests are rejected`() {
+    fun `requests between peers arrive as sent, and malformed ones are rejected`() {
         val held = mapOf(
             MachineId("vm-1") to ImageCache(2, mapOf("a" to 1.5, "b" to 0.5)),
             MachineId("vm-2") to ImageCache(1, mapOf("b" to 0.5)),
--- a/src/test/kotlin/cleathitch/workers/WorkerDistributionTest.kt
+++ b/src/test/kotlin/cleathitch/workers/WorkerDistributionTest.kt
@@ -19,7 +19,7 @@
         assertEquals(mapOf("n1" to 100, "n2" to 100, "n3" to 100), counts)
     }
 
-    /** Followers that had just started were once sent a whole fleet at once, and most of it came back. */
+    /** A follower that has just started can't serve a whole fleet at once: most workers would time out and return to the leader. */
     @Test
     fun `a follower gets new workers at a bounded pace, and the leader serves the rest`() {
         val atOnce = (1..1000).mapNotNull { distribution.followerFor(machine(it), followers, nowMs = 0) }
