--- a/src/main/kotlin/cleathitch/http/OutageLog.kt
+++ b/src/main/kotlin/cleathitch/http/OutageLog.kt
@@ -13,6 +13,7 @@
         var failures = 0
             private set
 
+        /** Counts one more failed call. */
         fun recordFailure(failure: String) {
             countsByFailure.merge(failure, 1, Int::plus)
             failures++
--- a/src/main/kotlin/cleathitch/peers/DeliveryMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/DeliveryMessage.kt
@@ -7,7 +7,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
 
-/** Commands for one worker that a follower delivers for the leader; without [commands] it is a probe. */
+/** Commands for one worker that a follower delivers for the leader; without [commands] it is a probe. [token] is [FencingToken.packed]. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 @CborArray
@@ -27,6 +27,7 @@
     }
 
     companion object {
+        /** The message that delivers the commands of [effect]; the result will carry [id]. */
         fun of(id: Long, effect: Effect.SendCommands) = DeliveryMessage(
             id,
             effect.machine,
@@ -36,6 +37,7 @@
             effect.commands.map(WorkerCommandMessage::of),
         )
 
+        /** The message that asks a follower to probe a worker; the result will carry [id]. */
         fun of(id: Long, probe: Effect.Probe) =
             DeliveryMessage(id, probe.machine, probe.address, incarnation = 0, token = 0, commands = emptyList())
     }
--- a/src/main/kotlin/cleathitch/peers/HeartbeatDecisionMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/HeartbeatDecisionMessage.kt
@@ -25,6 +25,7 @@
         REQUEST_FULL,
     }
 
+    /** The decision that this message carries. */
     fun toDecision(): HeartbeatDecision = when (kind) {
         Kind.ANSWER -> HeartbeatDecision.Answer(FencingToken(token), commands.map { it.toWorkerCommand() })
         Kind.REFUSE -> HeartbeatDecision.Refuse
@@ -35,6 +36,7 @@
         private val refuse = HeartbeatDecisionMessage(Kind.REFUSE, 0, emptyList())
         private val requestFull = HeartbeatDecisionMessage(Kind.REQUEST_FULL, 0, emptyList())
 
+        /** The message that carries [decision]. */
         fun of(decision: HeartbeatDecision): HeartbeatDecisionMessage = when (decision) {
             is HeartbeatDecision.Answer ->
                 HeartbeatDecisionMessage(Kind.ANSWER, decision.token.packed, decision.commands.map(WorkerCommandMessage::of))
--- a/src/main/kotlin/cleathitch/peers/PeerCodec.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerCodec.kt
@@ -16,12 +16,16 @@
         alwaysUseByteString = true
     }
 
+    /** The bytes of [request]. */
     fun encode(request: PeerRequest): ByteArray = cbor.encodeToByteArray(PeerRequest.serializer(), request)
 
+    /** The request in [bytes]. */
     fun decodeRequest(bytes: ByteArray): PeerRequest = decode(bytes, PeerRequest.serializer())
 
+    /** The bytes of [reply]. */
     fun encode(reply: PeerReply): ByteArray = cbor.encodeToByteArray(PeerReply.serializer(), reply)
 
+    /** The reply in [bytes]. */
     fun decodeReply(bytes: ByteArray): PeerReply = decode(bytes, PeerReply.serializer())
 
     /** For some malformed messages the library throws exceptions of other kinds, as for an index out of range. */
--- a/src/main/kotlin/cleathitch/peers/PollOutcome.kt
+++ b/src/main/kotlin/cleathitch/peers/PollOutcome.kt
@@ -4,11 +4,13 @@
 
 /** What a follower learned from the leader about one poll. */
 sealed interface PollOutcome {
+    /** The leader's reply, in time. */
     data class Answered(val reply: UserReply) : PollOutcome
 
     /** There is no answer that may be passed on. */
     data class Unanswered(val reason: Reason) : PollOutcome
 
+    /** Why there is no answer. */
     enum class Reason {
         /** No leader is known. */
         NO_LEADER,
--- a/src/main/kotlin/cleathitch/peers/PollQueue.kt
+++ b/src/main/kotlin/cleathitch/peers/PollQueue.kt
@@ -18,6 +18,7 @@
      */
     private val inFlight = HashMap<JobId, List<PendingPoll>>()
 
+    /** No poll waits to be sent; some may be in flight. */
     val isEmpty get() = waiting.isEmpty()
 
     /** Adds a poll; [complete] is called once, with its outcome. */
--- a/src/main/kotlin/cleathitch/peers/UnchangedHeartbeatMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/UnchangedHeartbeatMessage.kt
@@ -19,10 +19,12 @@
     val preemptionNoticeS: Double?,
     val baseSequenceNumber: Long,
 ) {
+    /** The heartbeat that this message carries. */
     fun toHeartbeat() =
         ForwardedHeartbeat.Unchanged(machine, incarnation, sequenceNumber, FencingToken(token), preemptionNoticeS, baseSequenceNumber)
 
     companion object {
+        /** The message that carries [heartbeat]. */
         fun of(heartbeat: ForwardedHeartbeat.Unchanged) = UnchangedHeartbeatMessage(
             heartbeat.machine,
             heartbeat.incarnation,
--- a/src/main/kotlin/cleathitch/peers/WorkerCommandMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/WorkerCommandMessage.kt
@@ -9,7 +9,10 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
 
-/** One command to a worker, in a decision about its heartbeat or in a delivery. [graceS] has a meaning in [Kind.STOP] alone. */
+/**
+ * One command to a worker, in a decision about its heartbeat or in a delivery. [graceS], in seconds, has a meaning in
+ * [Kind.STOP] alone.
+ */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 @CborArray
@@ -27,6 +30,7 @@
         FORGET,
     }
 
+    /** The command that this message carries. */
     fun toWorkerCommand(): WorkerCommand {
         val id = AttemptId(TaskId(job, index), attempt)
         return when (kind) {
@@ -37,6 +41,7 @@
     }
 
     companion object {
+        /** The message that carries [command]. */
         fun of(command: WorkerCommand): WorkerCommandMessage {
             val kind = when (command) {
                 is WorkerCommand.Start -> Kind.START
--- a/src/main/kotlin/cleathitch/protocol/KeyValueStoreProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/KeyValueStoreProtocol.kt
@@ -21,6 +21,8 @@
     sealed interface Write {
         /** Sets [key]; with a [lease] the key is deleted when that expires. */
         data class Put(val key: String, val value: ObjectNode, val lease: Long? = null) : Write
+
+        /** Deletes [key]. */
         data class Delete(val key: String) : Write
     }
 
--- a/src/main/kotlin/cleathitch/protocol/MessageCodec.kt
+++ b/src/main/kotlin/cleathitch/protocol/MessageCodec.kt
@@ -26,6 +26,7 @@
     /** An empty message, to be filled and passed to [encode]. */
     fun newMap(): ObjectNode = JsonNodeFactory.instance.objectNode()
 
+    /** The MessagePack bytes of [node]. */
     fun encode(node: JsonNode): ByteArray = mapper.writeValueAsBytes(node)
 
     /** Reads a body that must be exactly one map; throws [MalformedMessageException] for anything else. */
--- a/src/main/kotlin/cleathitch/workers/HeartbeatQueue.kt
+++ b/src/main/kotlin/cleathitch/workers/HeartbeatQueue.kt
@@ -31,6 +31,7 @@
     /** The last heartbeat of each machine that the leader of [term] answered through this node. */
     private val acknowledged = HashMap<MachineId, Heartbeat>()
 
+    /** No heartbeat waits to be sent. */
     val isEmpty get() = waiting.isEmpty()
 
     /** A whole batch waits, so the next one need not wait for more. */
