--- a/src/main/kotlin/cleathitch/controller/HeartbeatRouter.kt
+++ b/src/main/kotlin/cleathitch/controller/HeartbeatRouter.kt
@@ -32,7 +32,7 @@
     suspend fun handle(body: ByteArray): HttpReply {
         // Right after an election the whole fleet reports at once: a heartbeat that can't be answered isn't even decoded.
         if (role.activeTerm?.isReady == false || role.activeTerm == null && role.leader == null) return HttpReply(503)
-        if (role.activeTerm == null && batches.leaderUnreachable) return reportTo(role.leader)
+        if (role.activeTerm == null && batches.isLeaderUnreachable) return reportTo(role.leader)
         val heartbeat = try {
             processingTimes.measure(ProcessingStage.HEARTBEAT_DECODING) { WorkerProtocol.heartbeat(body) }
         } catch (e: MalformedMessageException) {
--- a/src/main/kotlin/cleathitch/controller/UserRequestRouter.kt
+++ b/src/main/kotlin/cleathitch/controller/UserRequestRouter.kt
@@ -44,7 +44,7 @@
 
     /** Polls go to the leader in batches. */
     private suspend fun poll(job: JobId): HttpReply {
-        if (role.knownLeader() == null || batches.leaderUnreachable) return unreachableLeader()
+        if (role.knownLeader() == null || batches.isLeaderUnreachable) return unreachableLeader()
         return batches.forwardPoll(job).replyOrNull()?.let(UserProtocol::reply) ?: unreachableLeader()
     }
 
