--- a/src/test/kotlin/cleathitch/scheduler/ForwardedHeartbeatsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/ForwardedHeartbeatsTest.kt
@@ -49,7 +49,7 @@
     }
 
     @Test
-    fun `an unchanged heartbeat of another incarnation, an unknown machine or an earlier term is answered with a request for the full one`() {
+    fun `an unchanged heartbeat of another incarnation, unknown machine or earlier term is answered with a request for the full one`() {
         becomeLeaderOf(machines = 1)
         forward(full(heartbeat(0, sequenceNumber = 2)))
 
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SafetyRules.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SafetyRules.kt
@@ -6,15 +6,15 @@
 import cleathitch.scheduler.model.TaskId
 import cleathitch.scheduler.simulation.SimulatedUsers.KnownState
 
-/** The rules that hold whatever fails. */
+/** The rules that hold whatever fails, with the name that the protocol's pages give to a breach, where they have one. */
 enum class Rule(private val meaning: String) {
-    RUNS_ONCE("no task runs on two machines at the same time"),
-    CANCELLED_TASKS_STOP("no task of a cancelled job runs after the cancellation deadline"),
-    QUOTA("no team uses more than its limit"),
-    ALLOWED_PLACE("tasks run only where their job allows it"),
-    REMEMBERED("an accepted job is never forgotten"),
-    FINAL_STATE("a final state never changes, and a job is cancelled only by its user"),
-    DONE_MEANS_RESULTS("a job is done only with the results of all tasks"),
+    RUNS_ONCE("ran_twice: no task runs on two machines at the same time"),
+    CANCELLED_TASKS_STOP("ran_cancelled: no task of a cancelled job runs after the cancellation deadline"),
+    QUOTA("quota: no team uses more than its limit"),
+    ALLOWED_PLACE("wrong_place: tasks run only where their job allows it"),
+    REMEMBERED("forgotten: an accepted job is never forgotten"),
+    FINAL_STATE("went_back: a final state never changes, and a job is cancelled only by its user"),
+    DONE_MEANS_RESULTS("not_done: a job is done only with the results of all tasks"),
     UNSATISFIABLE_REFUSED("a job that can never run is refused"),
     NO_NEEDLESS_WAIT("with faults over, no job waits long while a machine has room for it"),
     ;
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SubmittedJob.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SubmittedJob.kt
@@ -7,7 +7,7 @@
     var isAccepted = false
         private set
 
-    /** When the user was first told that the job is cancelled. */
+    /** When the user first got the answer that the job is cancelled. */
     var cancellationConfirmedMs: Long? = null
         private set
 
