--- a/src/test/kotlin/cleathitch/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/cleathitch/loopback/LoopbackCluster.kt
@@ -30,7 +30,8 @@
         val settings = dir.resolve("n$node.json")
         Files.writeString(settings, settings(node))
         val java = Path.of(System.getProperty("java.home"), "bin", "java").toString()
-        val command = listOf(java, "-Xmx128m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1") + build.javaOptions + listOf("serve", "--config", "$settings")
+        val arguments = listOf("serve", "--config", "$settings")
+        val command = listOf(java) + JVM_OPTIONS + build.javaOptions + arguments
         val log = Redirect.appendTo(logFile(node).toFile())
         processes[node] = ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log).start()
     }
@@ -114,5 +115,8 @@
         private const val AWAIT_TIMEOUT_MS = 60_000L
         private const val POLL_MS = 100L
         private const val LOG_CHARS = 3000
+
+        /** As the service's own, as far as the test's classes allow. */
+        private val JVM_OPTIONS = listOf("-Xmx128m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1")
     }
 }
