--- a/src/main/kotlin/cleathitch/scheduler/TermLease.kt
+++ b/src/main/kotlin/cleathitch/scheduler/TermLease.kt
@@ -5,7 +5,7 @@
 import cleathitch.scheduler.machines.Inventory
 import cleathitch.scheduler.model.ClockReading
 
-/** What the leader's lease allows in this term, and since when machines could be heard. Confined to the leader's event loop. */
+/** What the leader's lease allows in this term, and since when heartbeats are taken in. Confined to the leader's event loop. */
 internal class TermLease(
     private val context: SchedulerContext,
     private val timings: SchedulerTimings,
--- a/src/main/kotlin/cleathitch/scheduler/api/Effect.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/Effect.kt
@@ -28,6 +28,7 @@
 
     /** A direct call to a worker, other than the answer to its heartbeat. */
     sealed interface ToWorker : Effect {
+        /** The worker's machine. */
         val machine: MachineId
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/api/ForwardedHeartbeat.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/ForwardedHeartbeat.kt
@@ -6,6 +6,7 @@
 
 /** A worker's heartbeat as a follower passes it on to the leader. */
 sealed interface ForwardedHeartbeat {
+    /** The machine of the worker that sent the heartbeat. */
     val machine: MachineId
 
     /** The heartbeat as the worker sent it. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
@@ -58,7 +58,7 @@
 
     /**
      * A machine that answers probes, but whose own heartbeats don't arrive, has lost its lease, and nothing can run there.
-     * Many of these at once are a partition as much as silent machines are, and get twice the time.
+     * Many of these at once are treated as a partition, as silent machines are, and get twice the time.
      */
     private fun terminateWithoutHeartbeats(up: List<Machine>) {
         val partition = PartitionDetector(up) { withoutHeartbeatMs(it) >= timings.silentMs }
--- a/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatIntake.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatIntake.kt
@@ -91,7 +91,7 @@
      */
     private fun observe(heartbeat: Heartbeat): Boolean {
         if (heartbeat.token > dispatcher.token) {
-            context.stepDown("machine ${heartbeat.machine} has seen version ${heartbeat.token}, ours is ${dispatcher.token}")
+            context.stepDown("machine ${heartbeat.machine} has seen token ${heartbeat.token}, ours is ${dispatcher.token}")
             return false
         }
         if (registry.isTerminated(heartbeat.machine)) return false
--- a/src/main/kotlin/cleathitch/scheduler/machines/Machine.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Machine.kt
@@ -176,7 +176,7 @@
         state = MachineState.TERMINATING
     }
 
-    /** The cloud lists the machine; its [address] counts until the worker tells its own. */
+    /** The cloud lists the machine; its [address] counts until the worker reports its own. */
     fun recordListing(isRunning: Boolean, address: String?) {
         isListedRunning = isRunning
         if (this.address == null) this.address = address
--- a/src/main/kotlin/cleathitch/scheduler/machines/PartitionDetector.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/PartitionDetector.kt
@@ -9,6 +9,7 @@
  * terminated piece by piece.
  */
 class PartitionDetector(up: List<Machine>, isSuspected: (Machine) -> Boolean) {
+    /** The machines that are suspected, in the order given. */
     val suspects: List<Machine> = up.filter(isSuspected)
 
     /** Counted only where there are suspects: the detector runs often, and mostly finds none. */
