--- a/src/test/kotlin/cleathitch/architecture/DocumentedNamesTest.kt
+++ b/src/test/kotlin/cleathitch/architecture/DocumentedNamesTest.kt
@@ -47,10 +47,13 @@
 
 /** Names that [files] declare, and the check of a page's text against them. */
 private class DeclaredNames(files: List<SourceFile>) {
-    val types: Set<String> = files.flatMapTo(HashSet()) { file -> TYPE.findAll(file.code).map { it.groupValues[1] } }
-    private val members: Set<String> = files.flatMapTo(HashSet()) { file ->
-        (MEMBER.findAll(file.code) + ENTRY.findAll(file.code)).map { it.groupValues[1] }
-    }
+    /** Each type with what the files that declare it declare: its members, nested types and constants, among others. */
+    private val declared: Map<String, Set<String>> = files.flatMap { file ->
+        val names = DECLARATIONS.flatMapTo(HashSet()) { pattern -> pattern.findAll(file.code).map { it.groupValues[1] } }
+        TYPE.findAll(file.code).map { it.groupValues[1] to names }
+    }.groupBy({ it.first }, { it.second }).mapValues { (_, names) -> names.flatten().toSet() }
+
+    val types: Set<String> get() = declared.keys
 
     /** The names in backticks, and the types in diagrams, that stand for nothing. */
     fun missing(page: String): List<String> {
@@ -61,10 +64,7 @@
     }
 
     private fun isKnown(name: String): Boolean = when {
-        name.matches(QUALIFIED_TYPE) -> name.split('.').let { parts ->
-            parts.first() in types &&
-                parts.drop(1).all { it in types || it in members }
-        }
+        name.matches(QUALIFIED_TYPE) -> name.split('.').let { parts -> declared[parts.first()]?.containsAll(parts.drop(1)) == true }
         name.matches(HTTP_PATH) -> SourceTree.main.any { "\"${name.substringAfter(' ')}" in it.text }
         name.matches(FILE) -> name in OPTIONAL_FILES || Files.exists(Path.of(name))
         else -> true
@@ -76,6 +76,7 @@
 
         /** Entries of enums and constants. */
         val ENTRY = Regex("""\b([A-Z][A-Z_]+)\b""")
+        val DECLARATIONS = listOf(TYPE, MEMBER, ENTRY)
         val FENCED = Regex("""(?ms)^```.*?^```""")
         val QUOTED = Regex("""`([^`\n]+)`""")
         val CAMEL_CASE = Regex("""\b(?:[A-Z][a-z]+){2,}\b""")
