--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
@@ -29,7 +29,9 @@
     private val inventory: Inventory,
     private val decisionLog: DecisionLog,
     term: Term,
+    /** Whether the cloud has confirmed the machine's termination; a late answer to its rental may still name it. */
     private val isGone: (MachineId) -> Boolean,
+    /** Adds a rented machine to the inventory. */
     private val adopt: (MachineId, Offer) -> Machine,
 ) {
     private val rentalSentMs = HashMap<String, Long>()
--- a/src/main/kotlin/cleathitch/scheduler/model/JobKind.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/JobKind.kt
@@ -2,6 +2,7 @@
 
 import kotlinx.serialization.Serializable
 
+/** How the tasks of a job belong together. Stored by name: a renamed value can't be read back. */
 @Serializable
 enum class JobKind {
     /** Independent tasks. */
--- a/src/test/kotlin/cleathitch/scheduler/placement/SchedulingOrderTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/placement/SchedulingOrderTest.kt
@@ -33,7 +33,7 @@
         assertEquals(listOf(1, 2, 4, 3), order(10, large, small, guaranteed, service))
     }
 
-    /** With shortest-first alone (virtualSubmissionMs without its bounds) the large job never comes up. */
+    /** With plain shortest-first, virtualSubmissionMs without its bounds, the large job never comes up. */
     @Test
     fun `no stream of small jobs keeps a large one from its turn`() {
         val large = job(1, submittedS = 0, tasks = 100)
@@ -42,7 +42,7 @@
     }
 
     @Test
-    fun `a job that can't meet an aim any more gives way, but not for ever`() {
+    fun `a job that can't meet an objective any more gives way, but not for ever`() {
         val lost = job(1, submittedS = 0, tasks = 5)
         assertEquals(listOf(2, 1), order(95, lost, job(2, submittedS = 50, tasks = 5)))
         assertEquals(listOf(1, 2), order(160, lost, job(2, submittedS = 120, tasks = 5)))
