--- a/src/main/kotlin/cleathitch/cli/Application.kt
+++ b/src/main/kotlin/cleathitch/cli/Application.kt
@@ -93,8 +93,13 @@
         )
     }
 
-    private fun newWorkerClient() =
-        WorkerClient(vertx, commandTimeoutMs = deployment.reportMs, probeTimeoutMs = timings.probeGapMs, maxConcurrentCalls = sockets.directCalls, meters)
+    private fun newWorkerClient() = WorkerClient(
+        vertx,
+        commandTimeoutMs = deployment.reportMs,
+        probeTimeoutMs = timings.probeGapMs,
+        maxConcurrentCalls = sockets.directCalls,
+        meters,
+    )
 
     private fun newCloudClient(processingTimes: ProcessingTimes): CloudClient {
         val rateLimiter = CallRateLimiter(deployment.cloudRps * (operator.cloudShare ?: DEFAULT_CLOUD_SHARE), clocks::steadyMs)
--- a/src/main/kotlin/cleathitch/election/LeaderRecord.kt
+++ b/src/main/kotlin/cleathitch/election/LeaderRecord.kt
@@ -3,8 +3,8 @@
 import cleathitch.protocol.KeyValueStoreProtocol
 import cleathitch.protocol.MalformedMessageException
 import cleathitch.protocol.MessageCodec
-import cleathitch.protocol.requiredText
 import cleathitch.protocol.requiredLong
+import cleathitch.protocol.requiredText
 import com.fasterxml.jackson.databind.node.ObjectNode
 
 /** The value of the leader's key: who leads, in which [incarnation] of its process, under which [lease]. */
--- a/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
+++ b/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
@@ -56,7 +56,12 @@
 
     /** Runs a round once a period, unless the log is behind: a decision that waits for a commit could go stale. */
     fun runIfDue() {
-        if (context.now.steadyMs - lastRoundMs < timings.roundMs || !decisionLog.isIdle || decisionLog.pendingRecordCount > MAX_BACKLOG) return
+        if (context.now.steadyMs - lastRoundMs < timings.roundMs ||
+            !decisionLog.isIdle ||
+            decisionLog.pendingRecordCount > MAX_BACKLOG
+        ) {
+            return
+        }
         lastRoundMs = context.now.steadyMs
         val waiting = jobTable.jobs.filter { it.waiting > 0 && it.retryNotBeforeMs <= context.now.steadyMs }
         if (waiting.isEmpty()) demands = emptyList() else run(waiting)
--- a/src/main/kotlin/cleathitch/scheduler/capacity/FleetScaling.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/FleetScaling.kt
@@ -35,7 +35,9 @@
     }
 
     private fun scaleIn() {
-        scaleInCandidates.idle(context.now.steadyMs, context.listeningSinceMs).forEach { cloudRequests.requestTermination(it.id, "it is idle") }
+        scaleInCandidates.idle(context.now.steadyMs, context.listeningSinceMs).forEach {
+            cloudRequests.requestTermination(it.id, "it is idle")
+        }
     }
 
     private companion object {
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Quota.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Quota.kt
@@ -1,8 +1,8 @@
 package cleathitch.scheduler.jobs
 
-import cleathitch.scheduler.model.RESOURCE_TOLERANCE
 import cleathitch.scheduler.model.JobKind
 import cleathitch.scheduler.model.JobSpec
+import cleathitch.scheduler.model.RESOURCE_TOLERANCE
 import cleathitch.scheduler.model.Team
 
 /**
--- a/src/main/kotlin/cleathitch/scheduler/log/StoredValue.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/StoredValue.kt
@@ -1,7 +1,5 @@
 package cleathitch.scheduler.log
 
-import cleathitch.scheduler.jobs.Job
-import cleathitch.scheduler.machines.Inventory
 import cleathitch.scheduler.model.Term
 
 /** What a key of [LogKeys] can hold. */
--- a/src/main/kotlin/cleathitch/scheduler/placement/PlacementRound.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/PlacementRound.kt
@@ -1,11 +1,11 @@
 package cleathitch.scheduler.placement
 
-import cleathitch.scheduler.model.RESOURCE_TOLERANCE
 import cleathitch.scheduler.jobs.Job
 import cleathitch.scheduler.jobs.JobTable
 import cleathitch.scheduler.machines.Inventory
 import cleathitch.scheduler.machines.Machine
 import cleathitch.scheduler.model.PlacementClass
+import cleathitch.scheduler.model.RESOURCE_TOLERANCE
 
 /**
  * Decides in one scheduling round where tasks go and whose tasks make room for them. What it sees of the fleet is fixed at its
--- a/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
@@ -155,7 +155,9 @@
     /** A final state that a user was told can't be taken back, so the log keeps on what record it rests. */
     private fun logFinalState(id: JobId, state: JobState, source: String) {
         if (state != JobState.DONE && state != JobState.CANCELLED) return
-        context.logEvent(LogLevel.DEBUG) { "job $id may be called $state: $source; records up to ${decisionLog.committedIndex} are committed" }
+        context.logEvent(LogLevel.DEBUG) {
+            "job $id may be called $state: $source; records up to ${decisionLog.committedIndex} are committed"
+        }
     }
 
     private fun jobState(state: FinalState) = when (state) {
--- a/src/main/kotlin/cleathitch/storage/LogCodec.kt
+++ b/src/main/kotlin/cleathitch/storage/LogCodec.kt
@@ -3,8 +3,8 @@
 import cleathitch.protocol.KeyValueStoreProtocol
 import cleathitch.protocol.MalformedMessageException
 import cleathitch.protocol.MessageCodec
-import cleathitch.protocol.requiredText
 import cleathitch.protocol.requiredLong
+import cleathitch.protocol.requiredText
 import cleathitch.scheduler.log.FinishedJobsSnapshot
 import cleathitch.scheduler.log.InventorySnapshot
 import cleathitch.scheduler.log.JobSnapshot
--- a/src/test/kotlin/cleathitch/scheduler/SchedulerHarness.kt
+++ b/src/test/kotlin/cleathitch/scheduler/SchedulerHarness.kt
@@ -80,7 +80,15 @@
         isStoreOut = false
         heldCommits.clear()
         term = ++revision
-        scheduler = Scheduler(deployment, timings, Term(term), LogCodec.recoveredState(storedEntries()), ClockReading(nowMs, nowMs), StoredSizeEstimator)
+        scheduler =
+            Scheduler(
+                deployment,
+                timings,
+                Term(term),
+                LogCodec.recoveredState(storedEntries()),
+                ClockReading(nowMs, nowMs),
+                StoredSizeEstimator,
+            )
         return becomeLeader()
     }
 
--- a/src/test/kotlin/cleathitch/scheduler/SchedulerTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/SchedulerTest.kt
@@ -107,7 +107,8 @@
     private fun renewLease() = step(Input.LeaseRenewed(Long.MAX_VALUE / 2))
 
     /** The commits among [effects] succeed. */
-    private fun commit(effects: List<Effect>): List<Effect> = effects.commits().flatMap { step(Input.CommitSucceeded(it.index, ++revision)) }
+    private fun commit(effects: List<Effect>): List<Effect> =
+        effects.commits().flatMap { step(Input.CommitSucceeded(it.index, ++revision)) }
 
     private fun heartbeat(sequenceNumber: Long, token: FencingToken = FencingToken.NONE) = Heartbeat(
         machine = MachineId("vm-1"),
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
@@ -9,9 +9,9 @@
 import cleathitch.scheduler.model.Objective
 import cleathitch.scheduler.model.Priority
 import cleathitch.scheduler.model.Team
-import kotlin.random.Random
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
+import kotlin.random.Random
 
 /**
  * Schedulers with simulated controllers, workers, cloud, key-value store, network and users round them, in virtual time. A
