--- a/src/main/kotlin/cleathitch/cli/ClassArchiveTraining.kt
+++ b/src/main/kotlin/cleathitch/cli/ClassArchiveTraining.kt
@@ -10,6 +10,7 @@
 import cleathitch.peers.PeerRequest
 import cleathitch.peers.reply
 import cleathitch.protocol.MessageCodec
+import cleathitch.protocol.TrainingMessages
 import cleathitch.scheduler.model.FencingToken
 import cleathitch.scheduler.model.Heartbeat
 import cleathitch.scheduler.model.JobId
@@ -41,7 +42,6 @@
     private val meters = SimpleMeterRegistry()
     private val client = PooledHttpClient(vertx, "class-archive-training", maxConnections = 4, meters)
     private val peers = PeerClient(vertx, meters)
-    private val messages = TrainingMessages(ROUNDS)
     private var leaderTerm = 0L
 
     override fun run() {
@@ -89,13 +89,13 @@
 
     private suspend fun actAsUser(controller: Address, round: Int) {
         call(controller, HttpMethod.GET, "/ready")
-        call(controller, HttpMethod.POST, "/submissions", messages.submission(round))
-        call(controller, HttpMethod.GET, "/submissions/${messages.jobName(round)}")
-        call(controller, HttpMethod.POST, "/submissions/${messages.jobName(round / 2)}/abort")
+        call(controller, HttpMethod.POST, "/submissions", TrainingMessages.submission(round))
+        call(controller, HttpMethod.GET, "/submissions/${TrainingMessages.jobName(round)}")
+        call(controller, HttpMethod.POST, "/submissions/${TrainingMessages.jobName(round / 2)}/abort")
     }
 
     private suspend fun actAsWorker(controller: Address, round: Int) =
-        call(controller, HttpMethod.POST, "/agent/beat", messages.heartbeat(round))
+        call(controller, HttpMethod.POST, "/agent/beat", TrainingMessages.heartbeat(round, ROUNDS))
 
     private suspend fun call(controller: Address, method: HttpMethod, path: String, message: ObjectNode? = null) {
         client.call(controller, method, path, message?.let(MessageCodec::encode), TIMEOUT_MS)
