--- a/src/main/kotlin/cleathitch/config/OperatorSettings.kt
+++ b/src/main/kotlin/cleathitch/config/OperatorSettings.kt
@@ -53,9 +53,9 @@
                 value
             }
         } catch (e: IOException) {
-            throw InvalidSettingsException(file, null, "can't be read (${e.javaClass.simpleName})")
+            throw InvalidSettingsException(file, null, "can't be read (${e.javaClass.simpleName})", e)
         } catch (e: EdnException) {
-            throw InvalidSettingsException(file, null, "isn't EDN: ${e.message}")
+            throw InvalidSettingsException(file, null, "isn't EDN: ${e.message}", e)
         }
     }
 }
--- a/src/main/kotlin/cleathitch/config/Settings.kt
+++ b/src/main/kotlin/cleathitch/config/Settings.kt
@@ -50,12 +50,12 @@
             val bytes = try {
                 Files.readAllBytes(file)
             } catch (e: IOException) {
-                throw InvalidSettingsException(file, null, "can't be read (${e.javaClass.simpleName})")
+                throw InvalidSettingsException(file, null, "can't be read (${e.javaClass.simpleName})", e)
             }
             val root = try {
                 ObjectMapper().readTree(bytes)
             } catch (e: JsonProcessingException) {
-                throw InvalidSettingsException(file, null, "isn't JSON: ${e.originalMessage}")
+                throw InvalidSettingsException(file, null, "isn't JSON: ${e.originalMessage}", e)
             }
             if (root == null || !root.isObject) throw InvalidSettingsException(file, null, "isn't a JSON object")
             return of(SettingsSection(file, "", root))
--- a/src/main/kotlin/cleathitch/http/HttpEndpoint.kt
+++ b/src/main/kotlin/cleathitch/http/HttpEndpoint.kt
@@ -74,6 +74,8 @@
         scope.launch(start = CoroutineStart.UNDISPATCHED) { respond(request, replyTo(request, body.bytes)) }
     }
 
+    // A request that fails for whatever reason is answered and logged; the server and its other requests go on.
+    @Suppress("TooGenericExceptionCaught")
     private suspend fun replyTo(request: HttpServerRequest, body: ByteArray): HttpReply = try {
         handle(request.method().name(), request.path() ?: "", body)
     } catch (e: CancellationException) {
--- a/src/main/kotlin/cleathitch/http/PooledHttpClient.kt
+++ b/src/main/kotlin/cleathitch/http/PooledHttpClient.kt
@@ -47,6 +47,8 @@
     }
 
     /** Every failure of [exchange] becomes a value here, and its connection is released however it ends. */
+    // Vert.x fails a request with exceptions of many kinds, some of them plain runtime exceptions.
+    @Suppress("TooGenericExceptionCaught")
     private suspend fun withConnection(timeoutMs: Long, exchange: suspend (ConnectionCheckout) -> CallResult.Answered): CallResult {
         val checkout = ConnectionCheckout(clientMeters)
         return try {
--- a/src/main/kotlin/cleathitch/leader/EffectExecutor.kt
+++ b/src/main/kotlin/cleathitch/leader/EffectExecutor.kt
@@ -19,6 +19,8 @@
  * Executes the scheduler's effects. What they lead to comes back as inputs through [enqueue]. Runs on the event loop;
  * the coroutines that it launches belong to [scope] and end with the term.
  */
+// Each parameter is where one kind of effect goes; groups of them would have no meaning of their own.
+@Suppress("LongParameterList")
 internal class EffectExecutor(
     private val scope: CoroutineScope,
     private val lease: LeaderLease,
--- a/src/main/kotlin/cleathitch/leader/InputQueue.kt
+++ b/src/main/kotlin/cleathitch/leader/InputQueue.kt
@@ -14,11 +14,11 @@
     /** The classes of inputs in the order in which a batch holds them. */
     private enum class PriorityClass(val maxPerBatch: Int, val isRequest: Boolean) {
         /** The outcomes of calls to other services: lease, commits, machine types. */
-        OUTCOME(Int.MAX_VALUE, isRequest = false),
-        HEARTBEAT_OR_CANCELLATION(256, isRequest = true),
-        POLL(128, isRequest = true),
-        SUBMISSION(64, isRequest = true),
-        OTHER(16, isRequest = false),
+        OUTCOME(maxPerBatch = Int.MAX_VALUE, isRequest = false),
+        HEARTBEAT_OR_CANCELLATION(maxPerBatch = 256, isRequest = true),
+        POLL(maxPerBatch = 128, isRequest = true),
+        SUBMISSION(maxPerBatch = 64, isRequest = true),
+        OTHER(maxPerBatch = 16, isRequest = false),
     }
 
     private val queued = PriorityClass.entries.associateWith { ArrayDeque<Input>() }
--- a/src/main/kotlin/cleathitch/peers/LeaderBatcher.kt
+++ b/src/main/kotlin/cleathitch/peers/LeaderBatcher.kt
@@ -85,6 +85,8 @@
         OutgoingBatch(heartbeats.nextBatch(term, nowMs()), polls.take(MAX_POLLS_PER_BATCH), takeDeliveryResults(term))
 
     /** Whatever goes wrong with one batch, its waiting callers are completed, and the next one is sent. */
+    // An exception of any kind would end the sending loop, and with it all forwarding of heartbeats.
+    @Suppress("TooGenericExceptionCaught")
     private suspend fun sendSafely(receiver: KnownLeader, batch: OutgoingBatch, timeoutMs: Long): BatchResult = try {
         send(receiver, batch, timeoutMs)
     } catch (e: CancellationException) {
--- a/src/main/kotlin/cleathitch/peers/PeerCodec.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerCodec.kt
@@ -28,7 +28,8 @@
     /** The reply in [bytes]. */
     fun decodeReply(bytes: ByteArray): PeerReply = decode(bytes, PeerReply.serializer())
 
-    /** For some malformed messages the library throws exceptions of other kinds, as for an index out of range. */
+    // For some malformed messages the library throws exceptions of other kinds, as for an index out of range.
+    @Suppress("TooGenericExceptionCaught")
     private fun <T> decode(bytes: ByteArray, deserializer: DeserializationStrategy<T>): T = try {
         cbor.decodeFromByteArray(deserializer, bytes)
     } catch (e: SerializationException) {
--- a/src/main/kotlin/cleathitch/protocol/MessageCodec.kt
+++ b/src/main/kotlin/cleathitch/protocol/MessageCodec.kt
@@ -11,7 +11,7 @@
 import java.io.IOException
 
 /** A message that breaks its protocol: what is wrong, and in which field. Nothing of such a message may be used. */
-class MalformedMessageException(message: String) : Exception(message) {
+class MalformedMessageException(message: String, cause: Throwable? = null) : Exception(message, cause) {
     // Thrown for input that can't be parsed, where the stack says nothing; filling it in would make a flood of bad input cost more.
     override fun fillInStackTrace(): Throwable = this
 }
@@ -32,19 +32,20 @@
     /** Reads a body that must be exactly one map; throws [MalformedMessageException] for anything else. */
     fun decodeMap(bytes: ByteArray): ObjectNode {
         if (bytes.isEmpty()) throw MalformedMessageException("the body is empty")
-        val node = try {
-            checkNoTrailingBytes(bytes)
-            mapper.readTree(bytes)
-        } catch (e: MalformedMessageException) {
-            throw e
-        } catch (e: JsonProcessingException) {
-            throw MalformedMessageException("not MessagePack: ${e.originalMessage}")
-        } catch (e: RuntimeException) {
-            throw MalformedMessageException("not MessagePack: ${e.message}")
-        } catch (e: IOException) {
-            throw MalformedMessageException("not MessagePack: ${e.message}")
-        }
-        return node as? ObjectNode ?: throw MalformedMessageException("not a map")
+        return readTree(bytes) as? ObjectNode ?: throw MalformedMessageException("not a map")
+    }
+
+    // For some malformed bytes the library throws runtime exceptions of several kinds.
+    @Suppress("TooGenericExceptionCaught")
+    private fun readTree(bytes: ByteArray): JsonNode? = try {
+        checkNoTrailingBytes(bytes)
+        mapper.readTree(bytes)
+    } catch (e: JsonProcessingException) {
+        throw MalformedMessageException("not MessagePack: ${e.originalMessage}", e)
+    } catch (e: RuntimeException) {
+        throw MalformedMessageException("not MessagePack: ${e.message}", e)
+    } catch (e: IOException) {
+        throw MalformedMessageException("not MessagePack: ${e.message}", e)
     }
 
     /** Jackson's own check can't be used: its parser for MessagePack ends in an error instead of a last token. */
--- a/src/main/kotlin/cleathitch/protocol/TrainingMessages.kt
+++ b/src/main/kotlin/cleathitch/protocol/TrainingMessages.kt
@@ -34,7 +34,7 @@
         return map
     }
 
-    /** An answer of the key-value store or the cloud that holds the fields of all their answers; [isRental] if it names a rented machine. */
+    /** An answer that holds the fields of all answers of key-value store and cloud; with [isRental] it names a rented machine. */
     fun platformAnswer(revision: Long, isRental: Boolean): ByteArray {
         val map = MessageCodec.newMap().put("asiento", revision).put("arriendo", 1).put("truncated", false)
         map.putArray("log")
--- a/src/main/kotlin/cleathitch/protocol/UserProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/UserProtocol.kt
@@ -13,7 +13,8 @@
 /** The messages between users and controllers. */
 object UserProtocol {
     private val jobIdForm = Regex("j-[0-9]{1,18}")
-    private val taskCounts = 1..100_000L
+    private const val MAX_TASKS = 100_000L
+    private val taskCounts = 1..MAX_TASKS
     private const val MAX_NAME_LENGTH = 256
     private const val MAX_MACHINE_TYPES = 256
 
--- a/src/main/kotlin/cleathitch/storage/LoadProgress.kt
+++ b/src/main/kotlin/cleathitch/storage/LoadProgress.kt
@@ -2,6 +2,7 @@
 
 /** How far a new leader has come in reading the decision log. */
 sealed interface LoadProgress {
+    /** Nothing is requested yet. */
     data object NotStarted : LoadProgress {
         override fun toString() = "log not read yet"
     }
@@ -11,6 +12,7 @@
         override fun toString() = "reading log page=$page entries=$entries attempt=$attempt"
     }
 
+    /** The whole log is read. */
     data object Complete : LoadProgress {
         override fun toString() = "log read"
     }
--- a/src/main/kotlin/cleathitch/storage/StoredSizeEstimator.kt
+++ b/src/main/kotlin/cleathitch/storage/StoredSizeEstimator.kt
@@ -15,7 +15,7 @@
         is Event.AttemptStarted -> EVENT_BYTES + sizeOf(event.job.text) + sizeOf(event.machine.text)
         is Event.JobEvent -> EVENT_BYTES + sizeOf(event.job.text)
         is Event.RentalRequested ->
-            EVENT_BYTES * 4 + sizeOf(event.request) + sizeOf(event.offer.type) + sizeOf(event.offer.zone)
+            RENTAL_EVENT_BYTES + sizeOf(event.request) + sizeOf(event.offer.type) + sizeOf(event.offer.zone)
         is Event.RentalResolved -> EVENT_BYTES * 2 + sizeOf(event.request)
         is Event.MachineTerminationRequested -> EVENT_BYTES * 2 + sizeOf(event.machine.text)
         is Event.MachineTerminated -> EVENT_BYTES * 2 + sizeOf(event.machine.text)
@@ -34,7 +34,7 @@
 
     private fun sizeOf(text: String) = inBase64(text.length) + TEXT_OVERHEAD_BYTES
 
-    private fun inBase64(bytes: Int) = bytes * 4 / 3
+    private fun inBase64(bytes: Int) = bytes * BASE64_GROUP_CHARS / BASE64_GROUP_BYTES
 
     /** What a spec takes beside its texts. */
     private const val SPEC_BYTES = 700
@@ -42,9 +42,16 @@
     /** What an event takes beside its texts. */
     private const val EVENT_BYTES = 32
 
+    /** What the request of a rental takes beside its texts. */
+    private const val RENTAL_EVENT_BYTES = 4 * EVENT_BYTES
+
     /** What a live attempt takes beside its machine's id. */
     private const val LIVE_ATTEMPT_BYTES = 16
 
+    /** Base64 gives each group of bytes as so many characters. */
+    private const val BASE64_GROUP_BYTES = 3
+    private const val BASE64_GROUP_CHARS = 4
+
     private const val TEXT_OVERHEAD_BYTES = 2
 
     /** What each machine type takes beside its name. */
--- a/src/main/kotlin/cleathitch/workers/WorkerDistribution.kt
+++ b/src/main/kotlin/cleathitch/workers/WorkerDistribution.kt
@@ -21,12 +21,18 @@
         val last = redirects[machine]
         if (last != null && nowMs - last.atMs < heartbeatMs * RETRY_HEARTBEATS) return null
         val others = followers.filter { it != last?.follower }.ifEmpty { followers }
-        val follower = others.minByOrNull { lastRedirectMs[it] ?: Long.MIN_VALUE } ?: return null
-        if (nowMs - (lastRedirectMs[follower] ?: Long.MIN_VALUE / 2) < heartbeatMs / WORKERS_PER_HEARTBEAT_PERIOD) return null
+        val follower = others.minByOrNull { lastRedirectMs[it] ?: Long.MIN_VALUE }?.takeIf { mayReceiveWorker(it, nowMs) }
+        if (follower != null) recordRedirect(machine, follower, nowMs)
+        return follower
+    }
+
+    private fun mayReceiveWorker(follower: String, nowMs: Long) =
+        nowMs - (lastRedirectMs[follower] ?: Long.MIN_VALUE / 2) >= heartbeatMs / WORKERS_PER_HEARTBEAT_PERIOD
+
+    private fun recordRedirect(machine: MachineId, follower: String, nowMs: Long) {
         if (redirects.size > MAX_REDIRECTS) redirects.clear()
         redirects[machine] = Redirect(follower, nowMs)
         lastRedirectMs[follower] = nowMs
-        return follower
     }
 
     /** With a single follower the leader serves a share itself, since the follower alone would have more work than the leader. */
