--- a/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
+++ b/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
@@ -30,6 +30,8 @@
  * The periodic scheduling round: starts waiting tasks where they find room, preempts for production work, and reports what
  * demand for machines is left. Confined to the leader's event loop.
  */
+// The collaborators of one step; an object that groups them would only hide what the step depends on.
+@Suppress("LongParameterList")
 internal class SchedulingRound(
     private val context: SchedulerContext,
     deployment: Deployment,
--- a/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
@@ -70,6 +70,9 @@
         /** How many rounds fit into the shortest wait that is promised: one may be missed by a failover, and a start takes time. */
         private const val ROUNDS_PER_WAIT = 4
 
+        /** How often the fleet is checked in a heartbeat period, so that an overdue heartbeat is noticed soon. */
+        private const val FLEET_CHECKS_PER_HEARTBEAT = 6
+
         /** A round writes two changes, its record and the log's head. */
         private const val CHANGES_PER_ROUND = 2
 
@@ -85,7 +88,7 @@
             val roundMs = roundMs(deployment)
             return SchedulerTimings(
                 roundMs = roundMs,
-                watchMs = max(roundMs, (reportMs / 6).toLong()),
+                watchMs = max(roundMs, (reportMs / FLEET_CHECKS_PER_HEARTBEAT).toLong()),
                 trimMs = trimS?.let { (it * MS_PER_S).toLong() } ?: DEFAULT_TRIM_MS,
                 graceMs = graceMs(deployment),
                 leaseMarginMs = (deployment.leaseS * MS_PER_S * MAX_CLOCK_DRIFT + reportMs / 4).toLong(),
--- a/src/main/kotlin/cleathitch/scheduler/log/Event.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/Event.kt
@@ -34,6 +34,7 @@
         override val job get() = spec.id
     }
 
+    /** A user has cancelled the job: none of its tasks starts any more. */
     @Serializable
     @SerialName("cancelled")
     data class JobCancelled(override val job: JobId) : JobEvent
--- a/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
@@ -53,6 +53,7 @@
         partitionedZones = partitioned
     }
 
+    /** Applies an event that is recorded, or queued to be recorded. */
     fun apply(event: Event.InventoryEvent) {
         when (event) {
             is Event.RentalRequested -> rentalsByRequest[event.request] = event
@@ -71,6 +72,7 @@
     /** The part of the inventory that the log keeps, after the record [upTo]. */
     fun snapshot(upTo: LogIndex) = InventorySnapshot(upTo, rentalsByRequest.values.toList(), terminating.toList())
 
+    /** Takes over what the log's snapshot holds; called once, before the events after it are applied. */
     fun restore(snapshot: InventorySnapshot) {
         snapshot.pendingRentals.forEach { rentalsByRequest[it.request] = it }
         terminating += snapshot.terminatingMachines
--- a/src/main/kotlin/cleathitch/scheduler/machines/MachineWatch.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/MachineWatch.kt
@@ -10,6 +10,8 @@
  * The periodic look at the whole fleet: ends attempts whose worker's lease has surely run out, and runs the failure detector.
  * Confined to the leader's event loop.
  */
+// The collaborators of one step; an object that groups them would only hide what the step depends on.
+@Suppress("LongParameterList")
 internal class MachineWatch(
     private val context: SchedulerContext,
     private val timings: SchedulerTimings,
--- a/src/main/kotlin/cleathitch/scheduler/model/FencingToken.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/FencingToken.kt
@@ -14,10 +14,13 @@
 @JvmInline
 value class FencingToken(val packed: Long) : Comparable<FencingToken> {
     override fun compareTo(other: FencingToken) = packed.compareTo(other.packed)
+
+    /** The token with the next count; the caller makes sure that [countLeft] isn't used up. */
     fun next() = FencingToken(packed + 1)
 
     /** How often [next] may still be called before the next record has to be committed. */
     val countLeft: Long get() = MAX_COUNT - (packed and MAX_COUNT)
+
     override fun toString() = "${packed shr COUNT_BITS}.${packed and MAX_COUNT}"
 
     companion object {
--- a/src/main/kotlin/cleathitch/scheduler/model/MachineType.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/MachineType.kt
@@ -24,5 +24,6 @@
     fun canHold(placementClass: PlacementClass) =
         placementClass.cpus <= cpus && placementClass.gpus <= gpus && placementClass.memoryGb <= memoryGb
 
+    /** The price of a machine of this type for a unit of time, as a spot machine or on demand. */
     fun priceOf(spot: Boolean) = if (spot) spotPrice else price
 }
--- a/src/main/kotlin/cleathitch/scheduler/model/WorkerCommand.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/WorkerCommand.kt
@@ -4,6 +4,7 @@
 sealed interface WorkerCommand {
     val attempt: AttemptId
 
+    /** Starts the attempt. */
     data class Start(override val attempt: AttemptId) : WorkerCommand
 
     /** Stops the attempt; it has [graceS] seconds to write its checkpoint. */
--- a/src/main/kotlin/cleathitch/scheduler/placement/AllowedZones.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/AllowedZones.kt
@@ -12,6 +12,7 @@
         override fun contains(zone: String) = true
     }
 
+    /** The job's rules leave just [zones]. */
     data class Only(val zones: Set<String>) : AllowedZones {
         override fun contains(zone: String) = zone in zones
     }
@@ -24,14 +25,22 @@
         fun of(job: Job, inventory: Inventory): AllowedZones {
             val spec = job.spec
             if (!spec.oneZone && !spec.spread) return All
+            val tasksByZone = countTasksByZone(job, inventory) ?: return Only(emptySet())
+            return when {
+                spec.oneZone && tasksByZone.isNotEmpty() -> Only(tasksByZone.keys)
+                spec.spread -> Only(inventory.zones.filterTo(HashSet()) { (tasksByZone[it] ?: 0) < spec.maxPerZone })
+                else -> Only(inventory.zones)
+            }
+        }
+
+        /** The number of the job's live attempts in each zone; null if one may run on a machine whose zone isn't known. */
+        private fun countTasksByZone(job: Job, inventory: Inventory): Map<String, Int>? {
             val tasksByZone = HashMap<String, Int>()
             for (attempt in job.liveAttempts.values) {
-                val zone = inventory.machines[attempt.machine]?.offer?.zone ?: return Only(emptySet())
+                val zone = inventory.machines[attempt.machine]?.offer?.zone ?: return null
                 tasksByZone.merge(zone, 1, Int::plus)
             }
-            if (spec.oneZone && tasksByZone.isNotEmpty()) return Only(tasksByZone.keys)
-            if (!spec.spread) return Only(inventory.zones)
-            return Only(inventory.zones.filterTo(HashSet()) { (tasksByZone[it] ?: 0) < spec.maxPerZone })
+            return tasksByZone
         }
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/placement/PlacementRound.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/PlacementRound.kt
@@ -38,8 +38,7 @@
         for ((zone, ranked) in rankings.getOrPut(placementClass) { rankByZone(placementClass) }) {
             if (zone !in allowedZones) continue
             ranked.skipFull(placementClass)
-            if (ranked.first == null) continue
-            if (cheapest == null || ranked.firstCost < cheapest.firstCost) cheapest = ranked
+            if (ranked.first != null && (cheapest == null || ranked.firstCost < cheapest.firstCost)) cheapest = ranked
         }
         val candidate = cheapest?.first ?: return null
         candidate.reserve(placementClass)
--- a/src/main/kotlin/cleathitch/scheduler/placement/SchedulingOrder.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/SchedulingOrder.kt
@@ -21,6 +21,7 @@
     /** A job with the keys by which it is ordered; the smaller is served first. */
     private class QueuedJob(val job: Job, val priority: Priority, val exceedsGuarantee: Boolean, val virtualSubmissionMs: Long)
 
+    /** The [waiting] jobs in the order in which they are served. */
     fun order(waiting: List<Job>): List<Job> {
         val largestByClass = HashMap<String, Int>()
         waiting.forEach { largestByClass.merge(it.spec.className, it.waiting, ::maxOf) }
--- a/src/test/kotlin/cleathitch/loopback/FaultyProxy.kt
+++ b/src/test/kotlin/cleathitch/loopback/FaultyProxy.kt
@@ -58,11 +58,9 @@
     private fun pump(from: Socket, to: Socket, isRequest: Boolean) {
         val buffer = ByteArray(BUFFER_BYTES)
         try {
-            while (true) {
+            do {
                 val count = from.getInputStream().read(buffer)
-                if (count < 0) break
-                if (!forward(buffer, count, from, to.getOutputStream(), isRequest)) break
-            }
+            } while (count >= 0 && forward(buffer, count, from, to.getOutputStream(), isRequest))
         } catch (_: IOException) {
             // The other side's pump, or the end of the proxy, has closed the sockets.
         }
--- a/src/test/kotlin/cleathitch/scheduler/EffectQueries.kt
+++ b/src/test/kotlin/cleathitch/scheduler/EffectQueries.kt
@@ -6,9 +6,6 @@
 import cleathitch.scheduler.model.MachineId
 import cleathitch.scheduler.model.WorkerCommand
 
-/** A start command that a direct call carries to a machine. */
-data class DirectStart(val machine: MachineId, val attempt: AttemptId)
-
 fun List<Effect>.directCalls() = filterIsInstance<Effect.SendCommands>()
 
 fun List<Effect>.directStarts() = directCalls().flatMap { call ->
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedWorker.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedWorker.kt
@@ -103,7 +103,7 @@
         advance()
         if (call.token >= token && call.incarnation == incarnation) {
             token = call.token
-            execute(call.commands)
+            call.commands.forEach(::execute)
         }
         return heartbeat()
     }
@@ -172,16 +172,14 @@
         advance()
         token = newToken
         leaseFromMs = maxOf(leaseFromMs, sentMs)
-        execute(commands)
+        commands.forEach(::execute)
     }
 
-    private fun execute(commands: List<WorkerCommand>) {
-        for (command in commands) {
-            when (command) {
-                is WorkerCommand.Start -> if (command.attempt !in tasks) launch(command.attempt)
-                is WorkerCommand.Stop -> tasks[command.attempt]?.stop()
-                is WorkerCommand.Forget -> tasks[command.attempt]?.let { if (it.hasExited) tasks.remove(command.attempt) }
-            }
+    private fun execute(command: WorkerCommand) {
+        when (command) {
+            is WorkerCommand.Start -> if (command.attempt !in tasks) launch(command.attempt)
+            is WorkerCommand.Stop -> tasks[command.attempt]?.stop()
+            is WorkerCommand.Forget -> if (tasks[command.attempt]?.hasExited == true) tasks.remove(command.attempt)
         }
     }
 
