--- a/src/main/kotlin/cleathitch/scheduler/LogWriter.kt
+++ b/src/main/kotlin/cleathitch/scheduler/LogWriter.kt
@@ -44,13 +44,13 @@
 
     /** Applies [event] in memory and queues it; returns the index of the record that will hold it. */
     fun append(event: Event): LogIndex {
-        val seq = decisionLog.append(event)
+        val index = decisionLog.append(event)
         if (event !is Event.TaskCompleted && event !is Event.AttemptTerminated) isUrgent = true
         when (event) {
-            is Event.JobEvent -> jobTable.apply(event, seq)
+            is Event.JobEvent -> jobTable.apply(event, index)
             is Event.InventoryEvent -> inventory.apply(event)
         }
-        return seq
+        return index
     }
 
     /**
@@ -79,9 +79,9 @@
         context.emit(Effect.Write(commit))
     }
 
-    /** The commit in flight, up to record [seq], is durable. */
-    fun recordCommit(seq: LogIndex) {
-        decisionLog.recordCommitted(seq, jobTable)
+    /** The commit in flight, up to record [index], is durable. */
+    fun recordCommit(index: LogIndex) {
+        decisionLog.recordCommitted(index, jobTable)
         writeSinceMs = null
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -165,7 +165,7 @@
 
     /** What waited for the commit goes out: stops first, as users are told next that their jobs are cancelled. */
     private fun commitSucceeded(input: Input.CommitSucceeded) {
-        logWriter.recordCommit(input.seq)
+        logWriter.recordCommit(input.index)
         dispatcher.recordRevision(input.revision)
         dispatcher.sendCommittedStops()
         jobRequests.answerCommitted()
--- a/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
+++ b/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
@@ -147,11 +147,11 @@
     }
 
     private fun start(job: Job, index: Int, machine: Machine, number: Long = job.lastNumber + 1) {
-        val seq = context.append(Event.AttemptStarted(job.id, index, number, machine.id))
+        val recordIndex = context.append(Event.AttemptStarted(job.id, index, number, machine.id))
         machine.recordUse(context.now.steadyMs)
-        dispatcher.pushAfter(seq, machine.id)
+        dispatcher.pushAfter(recordIndex, machine.id)
         context.logEvent(LogLevel.DEBUG) {
-            "event=attempt_started attempt=${job.id}/$index#${job.lastNumber} machine=${machine.id} record=${seq.number}"
+            "event=attempt_started attempt=${job.id}/$index#${job.lastNumber} machine=${machine.id} record=${recordIndex.number}"
         }
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/api/Input.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/Input.kt
@@ -40,8 +40,8 @@
     /** The key-value store extended this leader's lease, up to [untilMs] of the steady clock. */
     data class LeaseRenewed(val untilMs: Long) : Input
 
-    /** The commit that ends with record [seq] is durable; [revision] is the store's revision, a source of new fencing tokens. */
-    data class CommitSucceeded(val seq: LogIndex, val revision: Long) : Input
+    /** The commit that ends with record [index] is durable; [revision] is the store's revision, a source of new fencing tokens. */
+    data class CommitSucceeded(val index: LogIndex, val revision: Long) : Input
 
     /** The cloud listed its machine types, with their zones and prices. */
     data class MachineTypesListed(val types: List<MachineType>) : Input
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Attempt.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Attempt.kt
@@ -10,7 +10,7 @@
  * A start of a task that isn't known to be over. While it is live, the task counts in quota, spread and the machine's
  * load, and is started nowhere else. Owned by [JobTable]; confined to the leader's event loop.
  */
-class Attempt(val id: AttemptId, val job: Job, val machine: MachineId, val startSeq: LogIndex) {
+class Attempt(val id: AttemptId, val job: Job, val machine: MachineId, val startIndex: LogIndex) {
     /** The state that the machine's newest heartbeat shows, null if it doesn't list the attempt. */
     var observedState: TaskState? = null
         private set
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
@@ -15,7 +15,7 @@
     /** The wall clock's time of the acceptance, from which the job's age is counted across terms. */
     val wallMs: Long,
     /** The record that accepts the job: nothing of it is shown to users before that is committed. */
-    val acceptedSeq: LogIndex,
+    val acceptedIndex: LogIndex,
 ) {
     val id: JobId get() = spec.id
 
@@ -35,11 +35,11 @@
         private set
 
     /** The record that cancels the job, null while it isn't cancelled. */
-    var cancelledSeq: LogIndex? = null
+    var cancelledIndex: LogIndex? = null
         private set
 
     /** The record with the job's last result, null while tasks are missing. */
-    var finishedSeq: LogIndex? = null
+    var finishedIndex: LogIndex? = null
         private set
 
     /** Tasks that have failed by themselves since the last that completed. */
@@ -55,10 +55,10 @@
     /** Tasks that wait for another attempt; they go first. */
     private val retryIndexes = TreeSet<Int>()
 
-    val isCancelled: Boolean get() = cancelledSeq != null
+    val isCancelled: Boolean get() = cancelledIndex != null
 
     /** Whether nothing of the job is started any more. */
-    val isOver: Boolean get() = isCancelled || finishedSeq != null
+    val isOver: Boolean get() = isCancelled || finishedIndex != null
 
     /** How many tasks wait to be started. */
     val waiting: Int get() = if (isOver) 0 else spec.tasks - doneCount - attemptsByTask.size
@@ -94,8 +94,8 @@
         consecutiveFailures = 0
     }
 
-    internal fun recordCancellation(seq: LogIndex) {
-        cancelledSeq = seq
+    internal fun recordCancellation(recordIndex: LogIndex) {
+        cancelledIndex = recordIndex
     }
 
     internal fun recordStart(attempt: Attempt) {
@@ -110,19 +110,19 @@
         if (!completedTasks[index]) retryIndexes.add(index)
     }
 
-    internal fun recordCompletion(index: Int, seq: LogIndex) {
+    internal fun recordCompletion(index: Int, recordIndex: LogIndex) {
         if (completedTasks[index]) return
         completedTasks.set(index)
         doneCount++
         retryIndexes.remove(index)
-        if (doneCount == spec.tasks && !isCancelled) finishedSeq = seq
+        if (doneCount == spec.tasks && !isCancelled) finishedIndex = recordIndex
     }
 
     /** Takes over the progress that a snapshot holds. */
     internal fun restoreProgress(doneBits: ByteArray, lastNumber: Long) {
         completedTasks.or(BitSet.valueOf(doneBits))
         doneCount = completedTasks.cardinality()
-        if (doneCount == spec.tasks) finishedSeq = LogIndex.NONE
+        if (doneCount == spec.tasks) finishedIndex = LogIndex.NONE
         this.lastNumber = lastNumber
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/jobs/JobTable.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/JobTable.kt
@@ -50,18 +50,18 @@
     /** The machines with live attempts; a live view. */
     val machinesInUse: Set<MachineId> get() = attemptsByMachine.keys
 
-    /** Applies an event, which is in record [seq]. */
-    fun apply(event: Event.JobEvent, seq: LogIndex) {
+    /** Applies an event, which is in record [recordIndex]. */
+    fun apply(event: Event.JobEvent, recordIndex: LogIndex) {
         when (event) {
-            is Event.JobAccepted -> jobsById.getOrPut(event.job) { Job(event.spec, event.acceptedAtWallMs, seq) }
-            is Event.JobCancelled -> jobsById[event.job]?.let { if (!it.isOver) it.recordCancellation(seq) }
+            is Event.JobAccepted -> jobsById.getOrPut(event.job) { Job(event.spec, event.acceptedAtWallMs, recordIndex) }
+            is Event.JobCancelled -> jobsById[event.job]?.let { if (!it.isOver) it.recordCancellation(recordIndex) }
             is Event.AttemptStarted -> jobsById[event.job]?.let {
-                addAttempt(Attempt(AttemptId(TaskId(event.job, event.taskIndex), event.number), it, event.machine, seq))
+                addAttempt(Attempt(AttemptId(TaskId(event.job, event.taskIndex), event.number), it, event.machine, recordIndex))
             }
             is Event.AttemptTerminated -> jobsById[event.job]?.liveAttempts?.get(event.taskIndex)
                 ?.takeIf { it.id.number == event.number }?.let(::removeAttempt)
             is Event.TaskCompleted -> jobsById[event.job]?.let { job ->
-                job.recordCompletion(event.taskIndex, seq)
+                job.recordCompletion(event.taskIndex, recordIndex)
                 job.liveAttempts[event.taskIndex]?.takeIf { it.id.number == event.number }?.let(::removeAttempt)
             }
         }
--- a/src/main/kotlin/cleathitch/scheduler/machines/CommandDispatcher.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/CommandDispatcher.kt
@@ -75,14 +75,14 @@
         context.emit(Effect.SendCommands(machine.id, address, machine.incarnation, token, commands))
     }
 
-    /** Pushes to the machine once record [seq] is committed. */
-    fun pushAfter(seq: LogIndex, machine: MachineId) {
-        pushesAwaitingCommit.getOrPut(seq) { LinkedHashSet() } += machine
+    /** Pushes to the machine once record [recordIndex] is committed. */
+    fun pushAfter(recordIndex: LogIndex, machine: MachineId) {
+        pushesAwaitingCommit.getOrPut(recordIndex) { LinkedHashSet() } += machine
     }
 
-    /** Sends the stops of [attempts] once record [seq] is committed. */
-    fun stopAfter(seq: LogIndex, attempts: Collection<Attempt>) {
-        stopsAwaitingCommit.getOrPut(seq) { ArrayList() } += attempts
+    /** Sends the stops of [attempts] once record [recordIndex] is committed. */
+    fun stopAfter(recordIndex: LogIndex, attempts: Collection<Attempt>) {
+        stopsAwaitingCommit.getOrPut(recordIndex) { ArrayList() } += attempts
     }
 
     /** Sends the stops whose records are committed. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatReconciler.kt
@@ -120,7 +120,7 @@
         job.liveAttempts[index]?.requestStop(StopCause.STRAY)
         if (jobTable.attemptsOn(machine.id).isEmpty()) machine.recordUse(context.now.steadyMs)
         job.stopIfOver()
-        if (job.finishedSeq != null) context.logEvent(LogLevel.DEBUG) { "event=job_completed job=${job.id}" }
+        if (job.finishedIndex != null) context.logEvent(LogLevel.DEBUG) { "event=job_completed job=${job.id}" }
     }
 
     /** A failing job is tried ever more rarely, down to once in a worker's lease. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
@@ -22,15 +22,15 @@
      */
     private val outcomeRecords = HashMap<MachineId, HashMap<AttemptId, LogIndex>>()
 
-    /** The outcome of an attempt on the machine will be in record [seq]. */
-    fun recordOutcome(machine: MachineId, attempt: AttemptId, seq: LogIndex) {
-        outcomeRecords.getOrPut(machine) { HashMap() }[attempt] = seq
+    /** The outcome of an attempt on the machine will be in record [recordIndex]. */
+    fun recordOutcome(machine: MachineId, attempt: AttemptId, recordIndex: LogIndex) {
+        outcomeRecords.getOrPut(machine) { HashMap() }[attempt] = recordIndex
     }
 
     /** Drops the committed outcomes of attempts that the machine's newest heartbeat doesn't list any more. */
     fun dropSettledOutcomes(machine: MachineId, listedAttempts: Set<AttemptId>) {
         val outcomes = outcomeRecords[machine] ?: return
-        outcomes.entries.removeAll { (id, seq) -> id !in listedAttempts && seq <= decisionLog.committedIndex }
+        outcomes.entries.removeAll { (id, recordIndex) -> id !in listedAttempts && recordIndex <= decisionLog.committedIndex }
         if (outcomes.isEmpty()) outcomeRecords.remove(machine)
     }
 
@@ -83,7 +83,7 @@
         // Nothing runs yet, but the stop's token shuts out a start that is still in flight.
         attempt.stopCause != null ->
             WorkerCommand.Stop(attempt.id, 0.0).takeIf { attempt.newestStartToken != null && mayStop(attempt) }
-        attempt.startSeq <= decisionLog.committedIndex && machine.state == MachineState.UP -> WorkerCommand.Start(attempt.id)
+        attempt.startIndex <= decisionLog.committedIndex && machine.state == MachineState.UP -> WorkerCommand.Start(attempt.id)
         else -> null
     }
 
@@ -92,7 +92,7 @@
 
     /** The stop of a cancelled attempt waits for its record: it couldn't be taken back if the record is never committed. */
     private fun mayStop(attempt: Attempt) = attempt.stopCause != StopCause.CANCELLED ||
-        (attempt.job.cancelledSeq ?: attempt.job.finishedSeq ?: LogIndex.NONE) <= decisionLog.committedIndex
+        (attempt.job.cancelledIndex ?: attempt.job.finishedIndex ?: LogIndex.NONE) <= decisionLog.committedIndex
 
     private fun stopOf(attempt: Attempt, state: TaskState): WorkerCommand? {
         val spec = attempt.job.spec
--- a/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
@@ -51,7 +51,7 @@
             return answer(request, UserReply.Accepted(spec.id, jobState(it), known = true))
         }
         jobTable.job(spec.id)?.let { job ->
-            return answerAfter(job.acceptedSeq, request, UserReply.Accepted(job.id, committedState(job), known = true))
+            return answerAfter(job.acceptedIndex, request, UserReply.Accepted(job.id, committedState(job), known = true))
         }
         if (inventory.types.isEmpty()) return answer(request, UserReply.Unavailable("machine types aren't known yet"))
         whyUnsatisfiable(spec)?.let { return answer(request, UserReply.Unsatisfiable(it)) }
@@ -90,7 +90,7 @@
     }
 
     /** The record in which the job was accepted; none for a job that is archived or unknown. */
-    private fun acceptanceRecord(id: JobId): LogIndex = jobTable.job(id)?.acceptedSeq ?: LogIndex.NONE
+    private fun acceptanceRecord(id: JobId): LogIndex = jobTable.job(id)?.acceptedIndex ?: LogIndex.NONE
 
     private fun status(id: JobId): UserReply {
         jobTable.finalState(id)?.let {
@@ -100,7 +100,7 @@
         val job = jobTable.job(id) ?: return UserReply.NotFound
         val running = job.liveAttempts.values.count { it.observedState == TaskState.RUNNING }
         val state = committedState(job)
-        logFinalState(id, state, "record ${job.cancelledSeq ?: job.finishedSeq}")
+        logFinalState(id, state, "record ${job.cancelledIndex ?: job.finishedIndex}")
         return UserReply.Status(id, state, job.doneCount, running)
     }
 
@@ -115,7 +115,7 @@
             recordCancellation(job)
         }
         val state = if (job.isCancelled) JobState.CANCELLED else JobState.DONE
-        val record = checkNotNull(job.cancelledSeq ?: job.finishedSeq) { "job $id is over without a record of its end" }
+        val record = checkNotNull(job.cancelledIndex ?: job.finishedIndex) { "job $id is over without a record of its end" }
         logFinalState(id, state, "once record $record is committed")
         answerAfter(record, request, UserReply.Cancelled(id, state))
     }
@@ -167,8 +167,8 @@
 
     /** The state that users may be told: an end counts only once its record is committed. */
     private fun committedState(job: Job): JobState {
-        job.cancelledSeq?.let { if (it <= decisionLog.committedIndex) return JobState.CANCELLED }
-        job.finishedSeq?.let { if (it <= decisionLog.committedIndex) return JobState.DONE }
+        job.cancelledIndex?.let { if (it <= decisionLog.committedIndex) return JobState.CANCELLED }
+        job.finishedIndex?.let { if (it <= decisionLog.committedIndex) return JobState.DONE }
         return if (job.liveAttempts.values.any { it.observedState == TaskState.RUNNING }) JobState.RUNNING else JobState.QUEUED
     }
 }
