--- a/src/main/kotlin/cleathitch/leader/EffectExecutor.kt
+++ b/src/main/kotlin/cleathitch/leader/EffectExecutor.kt
@@ -71,8 +71,8 @@
     }
 
     private fun rent(effect: Effect.Rent) = scope.launch {
-        val answer = cloud.rent(effect.asked)
-        enqueue(Input.RentalCompleted(effect.asked.request, answer))
+        val answer = cloud.rent(effect.rental)
+        enqueue(Input.RentalCompleted(effect.rental.request, answer))
     }
 
     private fun terminate(effect: Effect.TerminateMachines) = scope.launch {
--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -73,8 +73,8 @@
         inventory,
         decisionLog,
         term,
-        isGone = registry::isTerminated,
-        adopt = { id, offer -> registry.register(id, offer, now.steadyMs) },
+        isTerminated = registry::isTerminated,
+        register = { id, offer -> registry.register(id, offer, now.steadyMs) },
     )
     private val failureDetector = FailureDetector(context, inventory, jobTable, timings, start.steadyMs, cloudRequests::requestTermination)
     private val workerReconciler = WorkerReconciler(jobTable, decisionLog)
--- a/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
+++ b/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
@@ -65,7 +65,7 @@
             return
         }
         lastRoundMs = context.now.steadyMs
-        val waiting = jobTable.jobs.filter { it.waiting > 0 && it.retryNotBeforeMs <= context.now.steadyMs }
+        val waiting = jobTable.jobs.filter { it.waitingTasks > 0 && it.retryNotBeforeMs <= context.now.steadyMs }
         if (waiting.isEmpty()) demands = emptyList() else run(waiting)
     }
 
@@ -110,7 +110,7 @@
         private fun recordUnplaced(job: Job) {
             // A class that fits nowhere for one job fits for no other, unless the job's own tasks restrict the zones.
             if (!job.spec.oneZone && !job.spec.spread) unplaceableClasses += job.spec.placementClass
-            val count = minOf(job.waiting, quota.remainingTasks(job.spec))
+            val count = minOf(job.waitingTasks, quota.remainingTasks(job.spec))
             val left = count - preempt(job, count)
             if (left > 0) unplacedTasks += UnplacedTasks(job.spec, left)
         }
@@ -133,25 +133,25 @@
 
         /** Starts the gang once all its tasks find room and nothing is left of an earlier start. */
         private fun placeGang(job: Job) {
-            if (job.liveAttempts.isNotEmpty() || quota.remainingTasks(job.spec) < job.waiting) return
+            if (job.liveAttempts.isNotEmpty() || quota.remainingTasks(job.spec) < job.waitingTasks) return
             val machines = candidates.chooseGangMachines(job)
             if (machines == null) {
-                unplacedTasks += UnplacedTasks(job.spec, job.waiting)
+                unplacedTasks += UnplacedTasks(job.spec, job.waitingTasks)
                 return
             }
             // The tasks of a gang find each other by the attempt number, so all share one.
-            val number = job.lastNumber + 1
+            val number = job.lastAttemptNumber + 1
             decisionLog.reserveRoomFor(machines.mapIndexed { index, machine -> Event.AttemptStarted(job.id, index, number, machine.id) })
             for (machine in machines) start(job, job.nextWaiting() ?: return, machine, number)
         }
     }
 
-    private fun start(job: Job, index: Int, machine: Machine, number: Long = job.lastNumber + 1) {
+    private fun start(job: Job, index: Int, machine: Machine, number: Long = job.lastAttemptNumber + 1) {
         val recordIndex = context.append(Event.AttemptStarted(job.id, index, number, machine.id))
         machine.recordUse(context.now.steadyMs)
         dispatcher.pushAfter(recordIndex, machine.id)
         context.logEvent(LogLevel.DEBUG) {
-            "event=attempt_started attempt=${job.id}/$index#${job.lastNumber} machine=${machine.id} record=${recordIndex.number}"
+            "event=attempt_started attempt=${job.id}/$index#${job.lastAttemptNumber} machine=${machine.id} record=${recordIndex.number}"
         }
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/api/Effect.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/Effect.kt
@@ -45,7 +45,7 @@
     data class Probe(override val machine: MachineId, val address: String) : ToWorker
 
     /** Asks the cloud for machines. The cloud treats a repeated request as the same rental. */
-    data class Rent(val asked: Event.RentalRequested) : Effect
+    data class Rent(val rental: Event.RentalRequested) : Effect
 
     /** Asks the cloud to terminate machines. */
     data class TerminateMachines(val machines: List<MachineId>) : Effect
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
@@ -30,9 +30,9 @@
     private val decisionLog: DecisionLog,
     term: Term,
     /** Whether the cloud has confirmed the machine's termination; a late answer to its rental may still name it. */
-    private val isGone: (MachineId) -> Boolean,
+    private val isTerminated: (MachineId) -> Boolean,
     /** Adds a rented machine to the inventory. */
-    private val adopt: (MachineId, Offer) -> Machine,
+    private val register: (MachineId, Offer) -> Machine,
 ) {
     private val rentalSentMs = HashMap<String, Long>()
     private val terminationSentMs = HashMap<MachineId, Long>()
@@ -77,7 +77,7 @@
 
     /** The cloud may give fewer machines than asked for; what is missing isn't asked for again under this name. */
     private fun recordRented(rental: Event.RentalRequested, rented: List<MachineId>) {
-        rented.filter { !isGone(it) }.forEach { adopt(it, rental.offer).confirm() }
+        rented.filter { !isTerminated(it) }.forEach { register(it, rental.offer).confirm() }
         if (rented.size < rental.count) inventory.recordRefusal(rental.offer, context.now.steadyMs)
         context.append(Event.RentalResolved(rental.request))
         context.logEvent(LogLevel.INFO) { "rental ${rental.request}: ${rented.size} of ${rental.count} ${rental.offer}" }
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
@@ -13,7 +13,7 @@
 class Job(
     val spec: JobSpec,
     /** The wall clock's time of the acceptance, from which the job's age is counted across terms. */
-    val wallMs: Long,
+    val acceptedAtWallMs: Long,
     /** The record that accepts the job: nothing of it is shown to users before that is committed. */
     val acceptedIndex: LogIndex,
 ) {
@@ -31,7 +31,7 @@
     val liveAttempts: Map<Int, Attempt> get() = attemptsByTask
 
     /** The highest attempt number given so far. */
-    var lastNumber = 0L
+    var lastAttemptNumber = 0L
         private set
 
     /** The record that cancels the job, null while it isn't cancelled. */
@@ -61,7 +61,7 @@
     val isOver: Boolean get() = isCancelled || finishedIndex != null
 
     /** How many tasks wait to be started. */
-    val waiting: Int get() = if (isOver) 0 else spec.tasks - doneCount - attemptsByTask.size
+    val waitingTasks: Int get() = if (isOver) 0 else spec.tasks - doneCount - attemptsByTask.size
 
     /** Whether the task's result is there. */
     fun isDone(index: Int): Boolean = completedTasks[index]
@@ -102,7 +102,7 @@
         val index = attempt.id.task.index
         attemptsByTask[index] = attempt
         retryIndexes.remove(index)
-        lastNumber = maxOf(lastNumber, attempt.id.number)
+        lastAttemptNumber = maxOf(lastAttemptNumber, attempt.id.number)
     }
 
     internal fun recordEnd(index: Int) {
@@ -119,11 +119,11 @@
     }
 
     /** Takes over the progress that a snapshot holds. */
-    internal fun restoreProgress(doneBits: ByteArray, lastNumber: Long) {
+    internal fun restoreProgress(doneBits: ByteArray, lastAttemptNumber: Long) {
         completedTasks.or(BitSet.valueOf(doneBits))
         doneCount = completedTasks.cardinality()
         if (doneCount == spec.tasks) finishedIndex = LogIndex.NONE
-        this.lastNumber = lastNumber
+        this.lastAttemptNumber = lastAttemptNumber
     }
 
     private companion object {
--- a/src/main/kotlin/cleathitch/scheduler/jobs/JobTable.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/JobTable.kt
@@ -42,10 +42,10 @@
     fun attempt(id: AttemptId): Attempt? = jobsById[id.task.job]?.liveAttempts?.get(id.task.index)?.takeIf { it.id == id }
 
     /** What the live attempts on the machine hold, null if there are none. */
-    fun loadOf(machine: MachineId): ResourceUsage? = usageByMachine[machine]
+    fun usageOnMachine(machine: MachineId): ResourceUsage? = usageByMachine[machine]
 
     /** What the team's live attempts hold, null if there never were any. */
-    fun loadOfTeam(team: String): ResourceUsage? = usageByTeam[team]
+    fun usageOfTeam(team: String): ResourceUsage? = usageByTeam[team]
 
     /** The machines with live attempts; a live view. */
     val machinesInUse: Set<MachineId> get() = attemptsByMachine.keys
@@ -105,11 +105,11 @@
     private fun snapshotOf(job: Job, lastIncludedIndex: LogIndex) = JobSnapshot(
         lastIncludedIndex,
         job.spec,
-        job.wallMs,
+        job.acceptedAtWallMs,
         job.isCancelled,
         job.doneBits(),
         job.liveAttempts.values.map { LiveAttempt(it.id.task.index, it.id.number, it.machine) },
-        job.lastNumber,
+        job.lastAttemptNumber,
     )
 
     private fun addAttempt(attempt: Attempt) {
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Quota.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Quota.kt
@@ -13,7 +13,7 @@
     /** Whether the team's limit allows one more task like this now. */
     fun allows(spec: JobSpec): Boolean {
         val team = teams[spec.team] ?: return false
-        val usage = jobTable.loadOfTeam(spec.team)
+        val usage = jobTable.usageOfTeam(spec.team)
         return isWithin((usage?.cpus ?: 0.0) + spec.cpus, team.maxCpus) &&
             isWithin((usage?.gpus ?: 0.0) + spec.gpus, team.maxGpus)
     }
@@ -28,7 +28,7 @@
     /** Whether the team stays within its guarantee with one more task like this. */
     fun isWithinGuarantee(spec: JobSpec): Boolean {
         val team = teams[spec.team] ?: return false
-        val usage = jobTable.loadOfTeam(spec.team)
+        val usage = jobTable.usageOfTeam(spec.team)
         return isWithin((usage?.cpus ?: 0.0) + spec.cpus, team.cpus) &&
             isWithin((usage?.gpus ?: 0.0) + spec.gpus, team.gpus)
     }
@@ -36,7 +36,7 @@
     /** How many more tasks like this the team's limit allows now. */
     fun remainingTasks(spec: JobSpec): Int {
         val team = teams[spec.team] ?: return 0
-        val usage = jobTable.loadOfTeam(spec.team)
+        val usage = jobTable.usageOfTeam(spec.team)
         return minOf(
             remainingTasks(usage?.cpus ?: 0.0, spec.cpus, team.maxCpus),
             remainingTasks(usage?.gpus ?: 0.0, spec.gpus, team.maxGpus),
--- a/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatReconciler.kt
@@ -95,7 +95,7 @@
                 machine.recordTaskFailure()
                 delayRetry(job)
                 context.logEvent(LogLevel.INFO) {
-                    "event=attempt_failed attempt=${attempt.id} machine=${machine.id} failures_on_machine=${machine.faults}"
+                    "event=attempt_failed attempt=${attempt.id} machine=${machine.id} failures_on_machine=${machine.taskFailures}"
                 }
             }
             ExitReason.UNKNOWN -> delayRetry(job)
--- a/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
@@ -79,7 +79,7 @@
     }
 
     /** The machine of this id; one that isn't known yet is added as starting, or as retired if its termination is recorded. */
-    fun adopt(id: MachineId, offer: Offer, rentedAtMs: Long): Machine = machinesById.getOrPut(id) {
+    fun register(id: MachineId, offer: Offer, rentedAtMs: Long): Machine = machinesById.getOrPut(id) {
         Machine(id, offer, types[offer.type], rentedAtMs).also { if (id in terminating) it.recordTerminationRequest() }
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/machines/Machine.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Machine.kt
@@ -87,7 +87,7 @@
         private set
 
     /** How many tasks have failed here by themselves: the more, the less work is placed here. */
-    var faults = 0
+    var taskFailures = 0
         private set
 
     /** Whether the cloud's list shows the machine running. */
@@ -195,7 +195,7 @@
 
     /** A task has failed here by itself. */
     fun recordTaskFailure() {
-        faults++
+        taskFailures++
     }
 
     /** The worker has refused a task for lack of room. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/MachineRegistry.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/MachineRegistry.kt
@@ -33,7 +33,7 @@
     }
 
     /** The machine with this id, entered into the inventory if it isn't there. */
-    fun register(id: MachineId, offer: Offer, rentedAtMs: Long): Machine = inventory.adopt(id, offer, rentedAtMs).also {
+    fun register(id: MachineId, offer: Offer, rentedAtMs: Long): Machine = inventory.register(id, offer, rentedAtMs).also {
         it.extendLease(maxOf(inheritedLeaseEndMs, leaseEndFromNowMs()))
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/placement/GangPlacement.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/GangPlacement.kt
@@ -23,12 +23,12 @@
         for (candidate in candidates) {
             repeat(candidate.fittingTasks(placementClass)) {
                 val zoneHasRoom = (tasksByZone[candidate.zone] ?: 0) < job.spec.maxPerZone
-                if (chosen.size < job.waiting && zoneHasRoom) {
+                if (chosen.size < job.waitingTasks && zoneHasRoom) {
                     tasksByZone.merge(candidate.zone, 1, Int::plus)
                     chosen += candidate
                 }
             }
         }
-        return chosen.takeIf { it.size == job.waiting }
+        return chosen.takeIf { it.size == job.waitingTasks }
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/placement/PlacementCost.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/PlacementCost.kt
@@ -22,7 +22,7 @@
     val machineKind = if (wastesOnDemand) ON_DEMAND_COST else 0.0
     val paid = if (placementClass.kind != JobKind.SERVICE && candidate.runsService) PAID_MACHINE_BONUS else 0.0
     val looseness = (candidate.freeCpus - placementClass.cpus) / candidate.totalCpus
-    return fetch + machineKind + paid + looseness + candidate.machine.faults
+    return fetch + machineKind + paid + looseness + candidate.machine.taskFailures
 }
 
 /** Images that are fetched together share the machine's rate, so each one on its way makes another dearer. */
--- a/src/main/kotlin/cleathitch/scheduler/placement/PlacementRound.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/PlacementRound.kt
@@ -21,7 +21,7 @@
     private val nowMs: Long,
 ) {
     private val candidates = usableMachines.mapNotNull { machine ->
-        machine.type?.let { CandidateMachine(machine, it, jobTable.loadOf(machine.id), jobTable.attemptsOn(machine.id)) }
+        machine.type?.let { CandidateMachine(machine, it, jobTable.usageOnMachine(machine.id), jobTable.attemptsOn(machine.id)) }
     }.filter { it.freeCpus > RESOURCE_TOLERANCE }
     private val rankings = HashMap<PlacementClass, Map<String, RankedMachines>>()
     private val preemptionPlanners = HashMap<PlacementClass, PreemptionPlanner>()
--- a/src/main/kotlin/cleathitch/scheduler/placement/PreemptionPlanner.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/PreemptionPlanner.kt
@@ -97,7 +97,7 @@
     /** How many tasks of the class fit into what is free of the machine once [removed] have left it. */
     private fun fittingTasksWithout(removed: List<Attempt>, machine: Machine): Int {
         val type = machine.type ?: return 0
-        val usage = jobTable.loadOf(machine.id)
+        val usage = jobTable.usageOnMachine(machine.id)
         return placementClass.fittingTasks(
             type.cpus - (usage?.cpus ?: 0.0) + removed.sumOf { it.job.spec.cpus },
             type.gpus - (usage?.gpus ?: 0.0) + removed.sumOf { it.job.spec.gpus },
--- a/src/main/kotlin/cleathitch/scheduler/placement/SchedulingOrder.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/SchedulingOrder.kt
@@ -24,7 +24,7 @@
     /** The [waiting] jobs in the order in which they are served. */
     fun order(waiting: List<Job>): List<Job> {
         val largestByClass = HashMap<String, Int>()
-        waiting.forEach { largestByClass.merge(it.spec.className, it.waiting, ::maxOf) }
+        waiting.forEach { largestByClass.merge(it.spec.className, it.waitingTasks, ::maxOf) }
         return waiting.map { queued(it, largestByClass.getValue(it.spec.className)) }
             .sortedWith(compareBy<QueuedJob>({ it.priority }, { it.exceedsGuarantee }, { it.virtualSubmissionMs }))
             .map { it.job }
@@ -36,11 +36,11 @@
     /** The wall time by which the job is ordered: later than its submission by parts of its class's first objective. */
     private fun virtualSubmissionMs(job: Job, largestOfClass: Int): Long {
         val objectivesS = completionObjectives[job.spec.className].orEmpty()
-        val firstObjectiveS = objectivesS.minOrNull() ?: return job.wallMs
-        val ageS = (nowWallMs - job.wallMs) / MS_PER_S
+        val firstObjectiveS = objectivesS.minOrNull() ?: return job.acceptedAtWallMs
+        val ageS = (nowWallMs - job.acceptedAtWallMs) / MS_PER_S
         val missedObjectives = objectivesS.count { ageS + job.spec.estimatedRunS > it }
-        val delay = missedObjectives + SIZE_WEIGHT * job.waiting / largestOfClass
-        return job.wallMs + (firstObjectiveS * MS_PER_S * delay).toLong()
+        val delay = missedObjectives + SIZE_WEIGHT * job.waitingTasks / largestOfClass
+        return job.acceptedAtWallMs + (firstObjectiveS * MS_PER_S * delay).toLong()
     }
 
     companion object {
@@ -51,6 +51,6 @@
         private const val OVERDUE_AFTER_MS = 120_000L
 
         /** Whether nothing of the job was started for so long that its first task goes before the order. */
-        fun isOverdue(job: Job, nowWallMs: Long) = job.lastNumber == 0L && nowWallMs - job.wallMs >= OVERDUE_AFTER_MS
+        fun isOverdue(job: Job, nowWallMs: Long) = job.lastAttemptNumber == 0L && nowWallMs - job.acceptedAtWallMs >= OVERDUE_AFTER_MS
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/FailureDetectorTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FailureDetectorTest.kt
@@ -91,7 +91,7 @@
         val effects = beforeJobs + (1..4).flatMap { runInterval(zoneB) }
 
         assertEquals(emptySet<MachineId>(), effects.terminatedMachines())
-        assertEquals(setOf("b"), effects.filterIsInstance<Effect.Rent>().map { it.asked.offer.zone }.toSet())
+        assertEquals(setOf("b"), effects.filterIsInstance<Effect.Rent>().map { it.rental.offer.zone }.toSet())
     }
 
     /** As when answers take longer than workers wait for them. Judged one by one, all would be terminated. */
--- a/src/test/kotlin/cleathitch/scheduler/capacity/CapacityPlannerTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/capacity/CapacityPlannerTest.kt
@@ -59,7 +59,7 @@
 
     @Test
     fun `machines that boot and rentals without an answer serve demands first`() {
-        inventory.adopt(MachineId("m-1"), offer("b"), 0)
+        inventory.register(MachineId("m-1"), offer("b"), 0)
         assertEquals(listOf(PlannedRental(offer("a"), 2)), plan(demand(6)))
         inventory.apply(Event.RentalRequested("r-1", offer("a"), 2))
         assertEquals(emptyList<PlannedRental>(), plan(demand(6)))
--- a/src/test/kotlin/cleathitch/scheduler/placement/PlacementRoundTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/placement/PlacementRoundTest.kt
@@ -31,7 +31,7 @@
     private val inventory = Inventory(deployment).also { it.updateTypes(listOf(type)) }
     private var lastRecord = LogIndex.NONE
 
-    private fun machine(name: String, zone: String = "a"): Machine = inventory.adopt(MachineId(name), Offer("m4", zone, spot = false), 0)
+    private fun machine(name: String, zone: String = "a"): Machine = inventory.register(MachineId(name), Offer("m4", zone, spot = false), 0)
 
     private fun spec(
         name: String,
--- a/src/test/kotlin/cleathitch/scheduler/placement/SchedulingOrderTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/placement/SchedulingOrderTest.kt
@@ -53,7 +53,7 @@
         val waiting = job(1, submittedS = 0, tasks = 5)
         assertFalse(SchedulingOrder.isOverdue(waiting, 119_000))
         assertTrue(SchedulingOrder.isOverdue(waiting, 120_000))
-        waiting.restoreProgress(ByteArray(0), lastNumber = 1)
+        waiting.restoreProgress(ByteArray(0), lastAttemptNumber = 1)
         assertFalse(SchedulingOrder.isOverdue(waiting, 120_000))
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCloud.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCloud.kt
@@ -12,11 +12,11 @@
     /** The machines that exist, with the worker on each, in the order of their rental. */
     val machines: Map<MachineId, SimulatedWorker> get() = workers
 
-    fun rent(asked: Event.RentalRequested): List<MachineId> = rentals.getOrPut(asked.request) {
-        val count = minOf(asked.count, maxMachines - workers.size).coerceAtLeast(0)
+    fun rent(rental: Event.RentalRequested): List<MachineId> = rentals.getOrPut(rental.request) {
+        val count = minOf(rental.count, maxMachines - workers.size).coerceAtLeast(0)
         List(count) {
             val id = MachineId("vm-%06d".format(machinesRented++))
-            val worker = SimulatedWorker(cluster, id, asked.offer)
+            val worker = SimulatedWorker(cluster, id, rental.offer)
             workers[id] = worker
             cluster.events.after(cluster.random.nextLong(1000, 5000)) { worker.start() }
             id
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedController.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedController.kt
@@ -184,8 +184,8 @@
     }
 
     private fun rent(effect: Effect.Rent) = cluster.network.send {
-        val machines = cluster.cloud.rent(effect.asked)
-        cluster.network.send { handle(Input.RentalCompleted(effect.asked.request, RentalAnswer.Rented(machines))) }
+        val machines = cluster.cloud.rent(effect.rental)
+        cluster.network.send { handle(Input.RentalCompleted(effect.rental.request, RentalAnswer.Rented(machines))) }
     }
 
     private fun terminate(effect: Effect.TerminateMachines) = cluster.network.send {
