--- a/src/main/kotlin/cleathitch/controller/Controller.kt
+++ b/src/main/kotlin/cleathitch/controller/Controller.kt
@@ -46,7 +46,7 @@
     private val announcer = LeaderAnnouncer(member, settings.peers, peers, role, contacts, leaderLeaseMs, scope)
     private val processingTimesLog = ProcessingTimesLog(role, processingTimes, periodMs = reportMs * LOG_PERIOD_REPORTS)
     private val batches = LeaderBatcher(
-        intervalMs = dependencies.timings.forwardMs,
+        intervalMs = dependencies.timings.forwardIntervalMs,
         unreachableMs = leaderLeaseMs,
         nowMs = steadyMs,
         leader = role::knownLeader,
--- a/src/main/kotlin/cleathitch/scheduler/LogWriter.kt
+++ b/src/main/kotlin/cleathitch/scheduler/LogWriter.kt
@@ -33,11 +33,11 @@
     /** When the commit in flight was handed out, null while none is. */
     private var writeSinceMs: Long? = null
     private var lastWriteMs = 0L
-    private var lastTrimMs = start.steadyMs
+    private var lastCompactionMs = start.steadyMs
 
     /** A queued event holds up a reply or a command, so its commit doesn't wait for the next round. */
     private var isUrgent = false
-    private var isTrimming = false
+    private var isCompacting = false
 
     /** Whether the key-value store leaves a commit without an answer for long. */
     fun isStalled(): Boolean = writeSinceMs?.let { context.now.steadyMs - it > timings.commitStallMs } == true
@@ -55,23 +55,23 @@
 
     /**
      * Writes at once what a reply or a command waits for, and the rest once a round, as far as the budget goes.
-     * Half of a second's budget is never spent on trimming, so that a trim doesn't delay a decision.
+     * Half of a second's budget is never spent on compaction, so that it doesn't delay a decision.
      */
     fun write() {
         if (!decisionLog.isIdle) return
         val nowMs = context.now.steadyMs
-        if (nowMs - lastTrimMs >= timings.trimMs) {
-            lastTrimMs = nowMs
-            isTrimming = true
+        if (nowMs - lastCompactionMs >= timings.compactionMs) {
+            lastCompactionMs = nowMs
+            isCompacting = true
         }
         val allowed = budget.available(nowMs)
-        val trimChanges = if (isTrimming) minOf(deployment.stateTxnOps / 2, allowed - budget.burst / 2) else 0
-        val mayTrim = trimChanges >= MIN_TRIM_CHANGES
+        val compactionChanges = if (isCompacting) minOf(deployment.stateTxnOps / 2, allowed - budget.burst / 2) else 0
+        val mayCompact = compactionChanges >= MIN_COMPACTION_CHANGES
         val isDue = isUrgent || nowMs - lastWriteMs >= timings.roundMs
         val mayWriteEvents = decisionLog.hasPendingRecords && isDue && allowed >= EVENT_COMMIT_CHANGES
-        if (!mayWriteEvents && !mayTrim) return
-        val commit = decisionLog.nextCommit(term, jobTable, inventory::snapshot, if (mayTrim) trimChanges else 0) ?: return
-        if (mayTrim) isTrimming = decisionLog.isCompactionIncomplete
+        if (!mayWriteEvents && !mayCompact) return
+        val commit = decisionLog.nextCommit(term, jobTable, inventory::snapshot, if (mayCompact) compactionChanges else 0) ?: return
+        if (mayCompact) isCompacting = decisionLog.isCompactionIncomplete
         budget.consume(commit.changes.sumOf { if (it is Mutation.Put) it.parts else 1 })
         lastWriteMs = nowMs
         isUrgent = decisionLog.hasPendingRecords
@@ -89,8 +89,8 @@
         /** The leader's share of the key-value store's write rate; elections need the rest. */
         const val WRITE_SHARE = 0.8
 
-        /** A trim that could make fewer changes isn't worth a commit. */
-        const val MIN_TRIM_CHANGES = 4
+        /** A step of the compaction that could make fewer changes isn't worth a commit. */
+        const val MIN_COMPACTION_CHANGES = 4
 
         /** The smallest commit of events: a record and the head. */
         const val EVENT_COMMIT_CHANGES = 2
--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -54,7 +54,7 @@
     private val effects = ArrayList<Effect>()
     private var now = start
     private var hasSteppedDown = false
-    private var lastWatchMs = 0L
+    private var lastFleetCheckMs = 0L
     private val context: SchedulerContext = Context()
 
     private val jobTable = JobTable()
@@ -175,8 +175,8 @@
 
     /** Work that looks at every machine is done once a period, so that a batch costs only what its inputs change. */
     private fun watchIfDue() {
-        if (now.steadyMs - lastWatchMs < timings.watchMs) return
-        lastWatchMs = now.steadyMs
+        if (now.steadyMs - lastFleetCheckMs < timings.fleetCheckMs) return
+        lastFleetCheckMs = now.steadyMs
         machineWatch.watch()
         if (lease.isHeld()) dispatcher.sendPendingStops()
         cloudRequests.sendDue()
--- a/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
@@ -15,7 +15,7 @@
     val roundMs: Long,
 
     /** Period of the decision log's compaction. */
-    val trimMs: Long,
+    val compactionMs: Long,
 
     /** For how long after the end of its own lease a leader still answers heartbeats: old answers end before new starts. */
     val graceMs: Long,
@@ -27,7 +27,7 @@
     val leaderLeaseMs: Long,
 
     /** Period at which the whole fleet is checked for machines that are silent, without a lease or never come up. */
-    val watchMs: Long,
+    val fleetCheckMs: Long,
 
     /** After how long without a heartbeat a machine is probed and gets no new tasks; more than one period, as some come late. */
     val probeMs: Long,
@@ -39,7 +39,7 @@
     val silentMs: Long,
 
     /** After how long without an answered heartbeat a machine has certainly lost its lease. */
-    val lostMs: Long,
+    val leaseLossMs: Long,
 
     /** Least time between two termination calls to the cloud; what is decided in between goes in one call. */
     val terminationGapMs: Long,
@@ -54,7 +54,7 @@
     val failoverMs: Long,
 
     /** For how long a follower gathers heartbeats before it forwards them to the leader. */
-    val forwardMs: Long,
+    val forwardIntervalMs: Long,
 
     /** After how long a commit without an answer counts as a stall, in which submissions and cancellations are refused. */
     val commitStallMs: Long,
@@ -65,7 +65,7 @@
     companion object {
         /** The longest round period; shorter waits that are promised shorten it. */
         private const val MAX_ROUND_MS = 2000.0
-        private const val DEFAULT_TRIM_MS = 10_000L
+        private const val DEFAULT_COMPACTION_MS = 10_000L
 
         /** How many rounds fit into the shortest wait that is promised: one may be missed by a failover, and a start takes time. */
         private const val ROUNDS_PER_WAIT = 4
@@ -82,25 +82,25 @@
         /** The bound on how far steady clocks drift apart, as a ratio, doubled for two clocks. */
         const val MAX_CLOCK_DRIFT = 0.001
 
-        /** The timings of [deployment]; [trimS] is the operator's own compaction period, in seconds. */
-        fun of(deployment: Deployment, trimS: Double? = null): SchedulerTimings {
+        /** The timings of [deployment]; [compactionS] is the operator's own compaction period, in seconds. */
+        fun of(deployment: Deployment, compactionS: Double? = null): SchedulerTimings {
             val reportMs = deployment.reportS * MS_PER_S
             val roundMs = roundMs(deployment)
             return SchedulerTimings(
                 roundMs = roundMs,
-                watchMs = max(roundMs, (reportMs / FLEET_CHECKS_PER_HEARTBEAT).toLong()),
-                trimMs = trimS?.let { (it * MS_PER_S).toLong() } ?: DEFAULT_TRIM_MS,
+                fleetCheckMs = max(roundMs, (reportMs / FLEET_CHECKS_PER_HEARTBEAT).toLong()),
+                compactionMs = compactionS?.let { (it * MS_PER_S).toLong() } ?: DEFAULT_COMPACTION_MS,
                 graceMs = graceMs(deployment),
                 leaseMarginMs = (deployment.leaseS * MS_PER_S * MAX_CLOCK_DRIFT + reportMs / 4).toLong(),
                 leaderLeaseMs = (deployment.leaseS * MS_PER_S / 24).toLong(),
                 probeMs = (reportMs * 1.35).toLong(),
                 probeGapMs = (reportMs / 4).toLong(),
                 silentMs = (reportMs * 2).toLong(),
-                lostMs = (deployment.leaseS * MS_PER_S + reportMs).toLong(),
+                leaseLossMs = (deployment.leaseS * MS_PER_S + reportMs).toLong(),
                 terminationGapMs = (2000 / deployment.cloudRps).toLong(),
                 imageHintPeriodMs = (reportMs * 1.5).toLong(),
                 failoverMs = (reportMs * 1.25).toLong(),
-                forwardMs = (reportMs / 80).toLong(),
+                forwardIntervalMs = (reportMs / 80).toLong(),
                 commitStallMs = (reportMs / 4).toLong(),
                 maxCommitWaitMs = (reportMs / 2).toLong(),
             )
--- a/src/main/kotlin/cleathitch/scheduler/log/LogIndex.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/LogIndex.kt
@@ -7,6 +7,7 @@
 @JvmInline
 value class LogIndex(val number: Long) : Comparable<LogIndex> {
     override fun compareTo(other: LogIndex) = number.compareTo(other.number)
+    override fun toString() = number.toString()
 
     /** The position behind this one. */
     operator fun next() = LogIndex(number + 1)
--- a/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
@@ -64,14 +64,14 @@
         val partition = PartitionDetector(up) { withoutHeartbeatMs(it) >= timings.silentMs }
         for (machine in partition.suspects) {
             if (machine.state != MachineState.UP) continue
-            val patienceMs = if (partition.isPartitioned(machine)) timings.lostMs * 2 else timings.lostMs
+            val patienceMs = if (partition.isPartitioned(machine)) timings.leaseLossMs * 2 else timings.leaseLossMs
             if (withoutHeartbeatMs(machine) >= patienceMs) terminate(machine.id, "its reports don't arrive")
         }
     }
 
     /** Machines that the job table names, and that neither reported nor were listed since the failover. */
     private fun terminateUnknown() {
-        if (nowMs - startedMs < timings.lostMs) return
+        if (nowMs - startedMs < timings.leaseLossMs) return
         jobTable.machinesInUse.filter { it !in inventory.machines && it !in inventory.terminatingMachines }
             .forEach { terminate(it, "it hasn't reported since the take-over") }
     }
@@ -106,7 +106,7 @@
      */
     fun expectIfRunning(machine: Machine) {
         if (machine.state != MachineState.STARTING || !machine.isListedRunning) return
-        if (jobTable.attemptsOn(machine.id).isEmpty() && nowMs - startedMs < timings.lostMs) return
+        if (jobTable.attemptsOn(machine.id).isEmpty() && nowMs - startedMs < timings.leaseLossMs) return
         machine.expectHeartbeats(nowMs)
     }
 
--- a/src/test/kotlin/cleathitch/scheduler/CommitVisibilityTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/CommitVisibilityTest.kt
@@ -56,7 +56,7 @@
         machine.sendHeartbeat()
         assertTrue(confirmsCancellation(cancel(1)))
         isStoreOut = true
-        advanceTo(nowMs + timings.trimMs)
+        advanceTo(nowMs + timings.compactionMs)
 
         machine.sendHeartbeat()
         machine.sendHeartbeat()
@@ -73,7 +73,7 @@
         machine.sendHeartbeat()
         runRounds(2)
         isStoreOut = true
-        advanceTo(nowMs + timings.trimMs)
+        advanceTo(nowMs + timings.compactionMs)
         machine.completeTasks()
         val archives = machine.sendHeartbeat().commits().single().changes.filter { it.key.startsWith(LogKeys.FINISHED_JOBS_PREFIX) }
         assertEquals(1, archives.size) { "the commit doesn't archive, so this test shows nothing" }
