--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -163,7 +163,7 @@
         effects += Effect.AnswerFollower(input.request, decisions, statuses)
     }
 
-    /** What waited for the commit goes out: stops first, as users are told next that their jobs are cancelled. */
+    /** What waited for the commit goes out: stops first, as the replies that follow confirm cancellations to users. */
     private fun commitSucceeded(input: Input.CommitSucceeded) {
         logWriter.recordCommit(input.index)
         dispatcher.recordRevision(input.revision)
--- a/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
+++ b/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
@@ -27,7 +27,7 @@
 import cleathitch.scheduler.placement.SchedulingOrder
 
 /**
- * The periodic scheduling round: starts waiting tasks where they find room, preempts for production work, and reports what
+ * The periodic scheduling round: starts waiting tasks where they find room, preempts for production work, and computes what
  * demand for machines is left. Confined to the leader's event loop.
  */
 // The collaborators of one step; an object that groups them would only hide what the step depends on.
--- a/src/main/kotlin/cleathitch/scheduler/TermLease.kt
+++ b/src/main/kotlin/cleathitch/scheduler/TermLease.kt
@@ -43,7 +43,7 @@
     /** A machine gets tasks as soon as it has sent a heartbeat in this term: that and the job table show what may run there. */
     fun mayPlace(): Boolean = isHeld() && inventory.types.isNotEmpty()
 
-    /** Whether all machines have had time to report; decisions that depend on absent machines, as scaling does, wait for this. */
+    /** Whether all machines have had time to send a heartbeat; decisions that depend on absent machines, as scaling does, wait for this. */
     fun isSettled(): Boolean = mayPlace() &&
         (isFirstTerm && listeningSinceMs == startedMs || context.now.steadyMs - listeningSinceMs >= timings.failoverMs)
 }
--- a/src/main/kotlin/cleathitch/scheduler/api/Effect.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/Effect.kt
@@ -32,7 +32,7 @@
         val machine: MachineId
     }
 
-    /** Sends commands to a worker; they count only in its session [incarnation], and under [token]. */
+    /** Sends commands to a worker; they count only in its [incarnation], and under [token]. */
     data class SendCommands(
         override val machine: MachineId,
         val address: String,
@@ -53,7 +53,7 @@
     /** Shares the machines' image caches with the followers, one of which may lead next. */
     data class ShareImageCacheHints(val images: Map<MachineId, ImageCache>) : Effect
 
-    /** Gives the term up; [transferLeadership] leaves the next one to other nodes, which are better placed. */
+    /** Gives the term up; [transferLeadership] leaves the next one to other controllers, which are better placed. */
     data class StepDown(val reason: String, val transferLeadership: Boolean = false) : Effect
 
     /** Writes a log line. */
--- a/src/main/kotlin/cleathitch/scheduler/api/ForwardedHeartbeat.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/ForwardedHeartbeat.kt
@@ -15,7 +15,7 @@
     }
 
     /**
-     * A heartbeat that equals an earlier one of the same session, its base, in everything but sequence number, token and
+     * A heartbeat that equals an earlier one of the same incarnation, its base, in everything but sequence number, token and
      * preemption notice. [baseSequenceNumber] is the base's sequence number; this leader has acknowledged the base.
      */
     data class Unchanged(
--- a/src/main/kotlin/cleathitch/scheduler/api/Input.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/Input.kt
@@ -21,7 +21,7 @@
     /** A user cancels a job; cancelling it again is idempotent. */
     data class Cancel(val request: RequestId, val job: JobId) : Input
 
-    /** A worker sent a heartbeat to this node itself. */
+    /** A worker sent a heartbeat to this controller itself. */
     data class HeartbeatReceived(val request: RequestId, val heartbeat: Heartbeat) : Input
 
     /** A follower passes on workers' heartbeats and users' polls; one effect answers them all. */
--- a/src/main/kotlin/cleathitch/scheduler/api/SchedulerContext.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerContext.kt
@@ -24,7 +24,7 @@
     /** Whether tasks may be placed. */
     fun mayPlace(): Boolean
 
-    /** Whether all machines have had time to report, so that decisions may depend on absent ones. */
+    /** Whether all machines have had time to send a heartbeat, so that decisions may depend on absent ones. */
     fun isSettled(): Boolean
 
     /** Whether the key-value store leaves a commit without an answer for long. */
@@ -39,7 +39,7 @@
     /** Whether log lines of this level are written. */
     fun isLogged(level: LogLevel): Boolean
 
-    /** Gives the term up; [transferLeadership] leaves the next one to other nodes. */
+    /** Gives the term up; [transferLeadership] leaves the next one to other controllers. */
     fun stepDown(reason: String, transferLeadership: Boolean = false)
 }
 
--- a/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
@@ -44,7 +44,7 @@
     /** Least time between two termination calls to the cloud; what is decided in between goes in one call. */
     val terminationGapMs: Long,
 
-    /** Period at which the leader tells the followers which machine holds which images. */
+    /** Period at which the leader shares with the followers which machine holds which images. */
     val imageHintPeriodMs: Long,
 
     /**
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudInventoryIntake.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudInventoryIntake.kt
@@ -12,7 +12,7 @@
 import cleathitch.scheduler.model.MachineId
 import cleathitch.scheduler.model.MachineType
 
-/** Takes over what the cloud reports: machine types, the list of machines and terminations. Confined to the leader's event loop. */
+/** Takes over what the cloud lists: machine types, the list of machines and terminations. Confined to the leader's event loop. */
 internal class CloudInventoryIntake(
     private val context: SchedulerContext,
     private val inventory: Inventory,
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Attempt.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Attempt.kt
@@ -23,7 +23,7 @@
     var stopCause: StopCause? = null
         private set
 
-    /** The machine's session for which this leader last sent the start. */
+    /** The worker's incarnation for which this leader last sent the start. */
     var lastSentIncarnation = 0L
         private set
 
@@ -49,7 +49,7 @@
         runningSinceMs = nowMs
     }
 
-    /** The start was sent under [token], for the machine's session [incarnation]. */
+    /** The start was sent under [token], for the worker's [incarnation]. */
     fun recordSent(token: FencingToken, incarnation: Long) {
         lastSentToken = token
         lastSentIncarnation = incarnation
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Quota.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Quota.kt
@@ -7,7 +7,7 @@
 
 /**
  * The teams' quotas: a guarantee, which decides who is served first, and a limit, which is never exceeded. Usage counts
- * everything that may still be running, so a limit holds even while nobody can tell whether a task has ended.
+ * everything that may still be running, so a limit holds even while it is unknown whether a task has ended.
  */
 class Quota(private val teams: Map<String, Team>, private val jobTable: JobTable) {
     /** Whether the team's limit allows one more task like this now. */
--- a/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
@@ -9,7 +9,7 @@
  * the key-value store and, if asked to, compacts older ones into snapshots. One commit is in flight at a time.
  *
  * Owned by the scheduler and confined to the leader's event loop. It does no I/O: commits are handed out by [nextCommit], and
- * [recordCommitted] tells that one was carried out. Only then do the compaction's effects show in memory.
+ * [recordCommitted] confirms that one is durable. Only then do the compaction's effects show in memory.
  */
 class DecisionLog(private val deployment: Deployment, private val sizes: SizeEstimator) {
     private class PendingRecord(val index: LogIndex) {
--- a/src/main/kotlin/cleathitch/scheduler/machines/CommandDispatcher.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/CommandDispatcher.kt
@@ -41,7 +41,7 @@
 
     /**
      * Attempts whose stops go out once the record is committed. Left to each machine's next heartbeat, a task that is
-     * fetching its image would start after its user was told of the cancellation; and where an outage follows at once,
+     * fetching its image would start after its user has the reply to the cancellation; and where an outage follows at once,
      * only leases would end what runs.
      */
     private val stopsAwaitingCommit = TreeMap<LogIndex, MutableList<Attempt>>()
--- a/src/main/kotlin/cleathitch/scheduler/machines/DirectReachability.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/DirectReachability.kt
@@ -18,7 +18,7 @@
     /** Since when the direct calls to each witness go unanswered. */
     private val witnesses = HashMap<MachineId, Long>()
 
-    /** A direct call reached its machine, or a machine reached this node directly. */
+    /** A direct call reached its machine, or a machine reached this controller directly. */
     fun recordDirectContact() {
         unansweredCalls.clear()
         witnesses.clear()
--- a/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatIntake.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatIntake.kt
@@ -27,13 +27,13 @@
     private val directReachability: DirectReachability,
     private val imageCacheHints: ImageCacheHints,
 ) {
-    /** A heartbeat that a worker sent to this node itself. */
+    /** A heartbeat that a worker sent to this controller itself. */
     fun heartbeatReceived(input: Input.HeartbeatReceived) {
         when (val decision = decide(input.heartbeat)) {
             is HeartbeatDecision.Answer -> context.emit(Effect.AnswerHeartbeat(input.request, decision.token, decision.commands))
             HeartbeatDecision.Refuse, HeartbeatDecision.RequestFull -> context.emit(Effect.RefuseHeartbeat(input.request))
         }
-        // It shows that the path between the workers and this node is whole.
+        // It shows that the path between the workers and this controller is whole.
         directReachability.recordDirectContact()
     }
 
@@ -87,7 +87,7 @@
      * Takes over what the heartbeat shows; false if it must not be answered, as it is stale or its machine is terminated.
      *
      * Every heartbeat taken over moves the bound of the machine's lease, also one that isn't answered: the machine's
-     * session may just have begun, under a lease of its own.
+     * incarnation may just have begun, under a lease of its own.
      */
     private fun observe(heartbeat: Heartbeat): Boolean {
         if (heartbeat.token > dispatcher.token) {
--- a/src/main/kotlin/cleathitch/scheduler/machines/ImageCacheHints.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/ImageCacheHints.kt
@@ -25,7 +25,7 @@
         received = hints
     }
 
-    /** Applies the hint for a machine that has just shown itself for the first time in this term, if its session is still the same. */
+    /** Applies the hint for a machine whose first heartbeat in this term has just arrived, if its incarnation is still the same. */
     fun applyTo(machine: Machine) {
         received[machine.id]?.takeIf { it.incarnation == machine.incarnation }?.sizesGb?.forEach(machine::recordImage)
     }
--- a/src/main/kotlin/cleathitch/scheduler/machines/Machine.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Machine.kt
@@ -14,7 +14,7 @@
  * term. Owned by [Inventory]; confined to the leader's event loop.
  */
 class Machine(val id: MachineId, val offer: Offer, type: MachineType?, val rentedAtMs: Long) {
-    /** Null until the cloud has listed the machine types; a machine may well report before that. */
+    /** Null until the cloud has listed the machine types; its first heartbeat may arrive before that. */
     var type: MachineType? = type
         internal set
 
@@ -25,7 +25,7 @@
     var address: String? = null
         private set
 
-    /** The worker's session and the newest sequence number in it, by which stale heartbeats are recognized. */
+    /** The worker's incarnation and the newest sequence number in it, by which stale heartbeats are recognized. */
     var incarnation = 0L
         private set
     private var sequenceNumber = 0L
@@ -42,7 +42,7 @@
     var lastHeartbeatMs: Long? = null
         private set
 
-    /** From then on the machine is expected to report. */
+    /** From then on heartbeats of the machine are expected. */
     var expectedSinceMs = 0L
         private set
 
@@ -124,7 +124,7 @@
         )
     }
 
-    /** Takes over what a heartbeat shows that isn't stale. A new session begins with an empty image cache. */
+    /** Takes over what a heartbeat shows that isn't stale. A new incarnation begins with an empty image cache. */
     fun recordHeartbeat(heartbeat: Heartbeat, nowMs: Long) {
         if (heartbeat.incarnation > incarnation) images.clear()
         address = heartbeat.address
@@ -176,7 +176,7 @@
         state = MachineState.TERMINATING
     }
 
-    /** The cloud lists the machine; its [address] counts until the worker reports its own. */
+    /** The cloud lists the machine; its [address] counts until a heartbeat gives the worker's own. */
     fun recordListing(isRunning: Boolean, address: String?) {
         isListedRunning = isRunning
         if (this.address == null) this.address = address
@@ -214,7 +214,7 @@
         while (images.size > 1 && images.values.sum() > cacheGb) images.remove(images.keys.first())
     }
 
-    /** The images cached in the current session. */
+    /** The images cached in the current incarnation. */
     fun imageCache(): ImageCache = ImageCache(incarnation, LinkedHashMap(images))
 
     private companion object {
--- a/src/main/kotlin/cleathitch/scheduler/machines/MachineRegistry.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/MachineRegistry.kt
@@ -43,7 +43,7 @@
     private fun leaseMs() = (deployment.leaseS * 1000).toLong() + timings.leaseMarginMs
 
     private companion object {
-        /** Terminated machines remembered, to tell their late heartbeats from those of new machines. */
+        /** How many terminated machines are remembered, to distinguish their late heartbeats from those of new machines. */
         const val MAX_TERMINATED_MACHINES = 4096
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/MachineWatch.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/MachineWatch.kt
@@ -7,7 +7,7 @@
 import cleathitch.scheduler.model.MachineId
 
 /**
- * The periodic look at the whole fleet: ends attempts whose worker's lease has surely run out, and runs the failure detector.
+ * The periodic check of the whole fleet: ends attempts whose worker's lease has surely run out, and runs the failure detector.
  * Confined to the leader's event loop.
  */
 // The collaborators of one step; an object that groups them would only hide what the step depends on.
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Where machines report through followers but direct commands don't reach them, a node with a whole path serves better.
+     * Where heartbeats arrive through followers but direct commands don't reach the machines, a controller that reaches them serves better.
      * Without this a leader that keeps the key-value store and loses only its machines takes all of them for silent, and
      * terminates them.
      */
--- a/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
@@ -36,13 +36,13 @@
 
     /**
      * Whether an attempt that the newest heartbeat doesn't list can't run any more. A start in flight may still begin it,
-     * unless the machine has seen a higher token than any such start has, or its session began after the last was sent:
-     * commands for an earlier session are dropped. A machine that gets no commands can only ever show the latter.
+     * unless the machine has seen a higher token than any such start has, or its incarnation began after the last was sent:
+     * commands for an earlier incarnation are dropped. A machine that gets no commands can only ever show the latter.
      */
     fun isTerminationConfirmed(attempt: Attempt, machine: Machine): Boolean {
         val newestStartToken = attempt.newestStartToken ?: return true
         if (machine.highestSeenToken > newestStartToken) return true
-        // For which session an earlier leader sent a start isn't known.
+        // For which incarnation an earlier leader sent a start isn't known.
         return !attempt.isInherited && attempt.lastSentIncarnation < machine.incarnation
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/model/ExitReason.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/ExitReason.kt
@@ -17,7 +17,7 @@
     /** What it needs was still in use on the machine. */
     BUSY,
 
-    /** The worker can't tell how it ended. */
+    /** The worker doesn't know how it ended. */
     UNKNOWN,
 
     /** It is a gang's task, and others of its gang were missing. */
--- a/src/main/kotlin/cleathitch/scheduler/model/FencingToken.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/FencingToken.kt
@@ -6,7 +6,7 @@
  *
  * The cursor is the store's revision of the term's key or of the last record committed in that term. As a new term's revision
  * exceeds that of every record of older terms (each of which was guarded by the older key), comparing (cursor, count) compares
- * (term, cursor, count). The count tells apart the commands that are sent between two records.
+ * (term, cursor, count). The count distinguishes the commands that are sent between two records.
  *
  * Bounds: [COUNT_BITS] bits of count leave 63 - 20 = 43 bits of revision, 8.8e12 changes, which is 279 years at 1,000 changes a
  * second; a million commands fit between two records, and the scheduler commits a record before the count runs out.
--- a/src/main/kotlin/cleathitch/scheduler/model/TaskState.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/TaskState.kt
@@ -12,6 +12,6 @@
     /** It was stopped and writes its checkpoint. */
     SAVING,
 
-    /** It has ended, for an [ExitReason], and is shown until the leader tells the worker to forget it. */
+    /** It has ended, for an [ExitReason], and stays in heartbeats until the leader sends [WorkerCommand.Forget]. */
     EXITED,
 }
--- a/src/main/kotlin/cleathitch/scheduler/model/TaskStatus.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/TaskStatus.kt
@@ -4,7 +4,7 @@
 data class TaskStatus(
     val attempt: AttemptId,
     val state: TaskState,
-    /** Why it ended; null unless [state] is [TaskState.EXITED], and for reasons that this version doesn't know. */
+    /** Why it ended; null unless [state] is [TaskState.EXITED], and for reasons that this release doesn't know. */
     val exitReason: ExitReason? = null,
     /** Its progress was saved before it ended. */
     val saved: Boolean = false,
