--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -54,7 +54,7 @@
     private val effects = ArrayList<Effect>()
     private var now = start
     private var hasSteppedDown = false
-    private var lastWatchMs = 0L
+    private var lastFleetCheckMs = 0L
     private val context: SchedulerContext = Context()
 
     private val jobTable = JobTable()
@@ -73,8 +73,8 @@
         inventory,
         decisionLog,
         term,
-        isGone = registry::isTerminated,
-        adopt = { id, offer -> registry.register(id, offer, now.steadyMs) },
+        isTerminated = registry::isTerminated,
+        register = { id, offer -> registry.register(id, offer, now.steadyMs) },
     )
     private val failureDetector = FailureDetector(context, inventory, jobTable, timings, start.steadyMs, cloudRequests::requestTermination)
     private val workerReconciler = WorkerReconciler(jobTable, decisionLog)
@@ -163,9 +163,9 @@
         effects += Effect.AnswerFollower(input.request, decisions, statuses)
     }
 
-    /** What waited for the commit goes out: stops first, as users are told next that their jobs are cancelled. */
+    /** What waited for the commit goes out: stops first, as the replies that follow confirm cancellations to users. */
     private fun commitSucceeded(input: Input.CommitSucceeded) {
-        logWriter.recordCommit(input.seq)
+        logWriter.recordCommit(input.index)
         dispatcher.recordRevision(input.revision)
         dispatcher.sendCommittedStops()
         jobRequests.answerCommitted()
@@ -175,8 +175,8 @@
 
     /** Work that looks at every machine is done once a period, so that a batch costs only what its inputs change. */
     private fun watchIfDue() {
-        if (now.steadyMs - lastWatchMs < timings.watchMs) return
-        lastWatchMs = now.steadyMs
+        if (now.steadyMs - lastFleetCheckMs < timings.fleetCheckMs) return
+        lastFleetCheckMs = now.steadyMs
         machineWatch.watch()
         if (lease.isHeld()) dispatcher.sendPendingStops()
         cloudRequests.sendDue()
--- a/src/main/kotlin/cleathitch/scheduler/api/Effect.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/Effect.kt
@@ -32,7 +32,7 @@
         val machine: MachineId
     }
 
-    /** Sends commands to a worker; they count only in its session [incarnation], and under [token]. */
+    /** Sends commands to a worker; they count only in its [incarnation], and under [token]. */
     data class SendCommands(
         override val machine: MachineId,
         val address: String,
@@ -45,7 +45,7 @@
     data class Probe(override val machine: MachineId, val address: String) : ToWorker
 
     /** Asks the cloud for machines. The cloud treats a repeated request as the same rental. */
-    data class Rent(val asked: Event.RentalRequested) : Effect
+    data class Rent(val rental: Event.RentalRequested) : Effect
 
     /** Asks the cloud to terminate machines. */
     data class TerminateMachines(val machines: List<MachineId>) : Effect
@@ -53,7 +53,7 @@
     /** Shares the machines' image caches with the followers, one of which may lead next. */
     data class ShareImageCacheHints(val images: Map<MachineId, ImageCache>) : Effect
 
-    /** Gives the term up; [transferLeadership] leaves the next one to other nodes, which are better placed. */
+    /** Gives the term up; [transferLeadership] leaves the next one to other controllers, which are better placed. */
     data class StepDown(val reason: String, val transferLeadership: Boolean = false) : Effect
 
     /** Writes a log line. */
--- a/src/main/kotlin/cleathitch/scheduler/api/Input.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/Input.kt
@@ -21,7 +21,7 @@
     /** A user cancels a job; cancelling it again is idempotent. */
     data class Cancel(val request: RequestId, val job: JobId) : Input
 
-    /** A worker sent a heartbeat to this node itself. */
+    /** A worker sent a heartbeat to this controller itself. */
     data class HeartbeatReceived(val request: RequestId, val heartbeat: Heartbeat) : Input
 
     /** A follower passes on workers' heartbeats and users' polls; one effect answers them all. */
@@ -40,8 +40,8 @@
     /** The key-value store extended this leader's lease, up to [untilMs] of the steady clock. */
     data class LeaseRenewed(val untilMs: Long) : Input
 
-    /** The commit that ends with record [seq] is durable; [revision] is the store's revision, a source of new fencing tokens. */
-    data class CommitSucceeded(val seq: LogIndex, val revision: Long) : Input
+    /** The commit that ends with record [index] is durable; [revision] is the store's revision, a source of new fencing tokens. */
+    data class CommitSucceeded(val index: LogIndex, val revision: Long) : Input
 
     /** The cloud listed its machine types, with their zones and prices. */
     data class MachineTypesListed(val types: List<MachineType>) : Input
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Attempt.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Attempt.kt
@@ -10,7 +10,7 @@
  * A start of a task that isn't known to be over. While it is live, the task counts in quota, spread and the machine's
  * load, and is started nowhere else. Owned by [JobTable]; confined to the leader's event loop.
  */
-class Attempt(val id: AttemptId, val job: Job, val machine: MachineId, val startSeq: LogIndex) {
+class Attempt(val id: AttemptId, val job: Job, val machine: MachineId, val startIndex: LogIndex) {
     /** The state that the machine's newest heartbeat shows, null if it doesn't list the attempt. */
     var observedState: TaskState? = null
         private set
@@ -23,7 +23,7 @@
     var stopCause: StopCause? = null
         private set
 
-    /** The machine's session for which this leader last sent the start. */
+    /** The worker's incarnation for which this leader last sent the start. */
     var lastSentIncarnation = 0L
         private set
 
@@ -49,7 +49,7 @@
         runningSinceMs = nowMs
     }
 
-    /** The start was sent under [token], for the machine's session [incarnation]. */
+    /** The start was sent under [token], for the worker's [incarnation]. */
     fun recordSent(token: FencingToken, incarnation: Long) {
         lastSentToken = token
         lastSentIncarnation = incarnation
--- a/src/main/kotlin/cleathitch/scheduler/jobs/JobTable.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/JobTable.kt
@@ -42,26 +42,26 @@
     fun attempt(id: AttemptId): Attempt? = jobsById[id.task.job]?.liveAttempts?.get(id.task.index)?.takeIf { it.id == id }
 
     /** What the live attempts on the machine hold, null if there are none. */
-    fun loadOf(machine: MachineId): ResourceUsage? = usageByMachine[machine]
+    fun usageOnMachine(machine: MachineId): ResourceUsage? = usageByMachine[machine]
 
     /** What the team's live attempts hold, null if there never were any. */
-    fun loadOfTeam(team: String): ResourceUsage? = usageByTeam[team]
+    fun usageOfTeam(team: String): ResourceUsage? = usageByTeam[team]
 
     /** The machines with live attempts; a live view. */
     val machinesInUse: Set<MachineId> get() = attemptsByMachine.keys
 
-    /** Applies an event, which is in record [seq]. */
-    fun apply(event: Event.JobEvent, seq: LogIndex) {
+    /** Applies an event, which is in record [recordIndex]. */
+    fun apply(event: Event.JobEvent, recordIndex: LogIndex) {
         when (event) {
-            is Event.JobAccepted -> jobsById.getOrPut(event.job) { Job(event.spec, event.acceptedAtWallMs, seq) }
-            is Event.JobCancelled -> jobsById[event.job]?.let { if (!it.isOver) it.recordCancellation(seq) }
+            is Event.JobAccepted -> jobsById.getOrPut(event.job) { Job(event.spec, event.acceptedAtWallMs, recordIndex) }
+            is Event.JobCancelled -> jobsById[event.job]?.let { if (!it.isOver) it.recordCancellation(recordIndex) }
             is Event.AttemptStarted -> jobsById[event.job]?.let {
-                addAttempt(Attempt(AttemptId(TaskId(event.job, event.taskIndex), event.number), it, event.machine, seq))
+                addAttempt(Attempt(AttemptId(TaskId(event.job, event.taskIndex), event.number), it, event.machine, recordIndex))
             }
             is Event.AttemptTerminated -> jobsById[event.job]?.liveAttempts?.get(event.taskIndex)
                 ?.takeIf { it.id.number == event.number }?.let(::removeAttempt)
             is Event.TaskCompleted -> jobsById[event.job]?.let { job ->
-                job.recordCompletion(event.taskIndex, seq)
+                job.recordCompletion(event.taskIndex, recordIndex)
                 job.liveAttempts[event.taskIndex]?.takeIf { it.id.number == event.number }?.let(::removeAttempt)
             }
         }
@@ -105,11 +105,11 @@
     private fun snapshotOf(job: Job, lastIncludedIndex: LogIndex) = JobSnapshot(
         lastIncludedIndex,
         job.spec,
-        job.wallMs,
+        job.acceptedAtWallMs,
         job.isCancelled,
         job.doneBits(),
         job.liveAttempts.values.map { LiveAttempt(it.id.task.index, it.id.number, it.machine) },
-        job.lastNumber,
+        job.lastAttemptNumber,
     )
 
     private fun addAttempt(attempt: Attempt) {
--- a/src/main/kotlin/cleathitch/scheduler/machines/CommandDispatcher.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/CommandDispatcher.kt
@@ -41,7 +41,7 @@
 
     /**
      * Attempts whose stops go out once the record is committed. Left to each machine's next heartbeat, a task that is
-     * fetching its image would start after its user was told of the cancellation; and where an outage follows at once,
+     * fetching its image would start after its user has the reply to the cancellation; and where an outage follows at once,
      * only leases would end what runs.
      */
     private val stopsAwaitingCommit = TreeMap<LogIndex, MutableList<Attempt>>()
@@ -75,14 +75,14 @@
         context.emit(Effect.SendCommands(machine.id, address, machine.incarnation, token, commands))
     }
 
-    /** Pushes to the machine once record [seq] is committed. */
-    fun pushAfter(seq: LogIndex, machine: MachineId) {
-        pushesAwaitingCommit.getOrPut(seq) { LinkedHashSet() } += machine
+    /** Pushes to the machine once record [recordIndex] is committed. */
+    fun pushAfter(recordIndex: LogIndex, machine: MachineId) {
+        pushesAwaitingCommit.getOrPut(recordIndex) { LinkedHashSet() } += machine
     }
 
-    /** Sends the stops of [attempts] once record [seq] is committed. */
-    fun stopAfter(seq: LogIndex, attempts: Collection<Attempt>) {
-        stopsAwaitingCommit.getOrPut(seq) { ArrayList() } += attempts
+    /** Sends the stops of [attempts] once record [recordIndex] is committed. */
+    fun stopAfter(recordIndex: LogIndex, attempts: Collection<Attempt>) {
+        stopsAwaitingCommit.getOrPut(recordIndex) { ArrayList() } += attempts
     }
 
     /** Sends the stops whose records are committed. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatReconciler.kt
@@ -95,7 +95,7 @@
                 machine.recordTaskFailure()
                 delayRetry(job)
                 context.logEvent(LogLevel.INFO) {
-                    "event=attempt_failed attempt=${attempt.id} machine=${machine.id} failures_on_machine=${machine.faults}"
+                    "event=attempt_failed attempt=${attempt.id} machine=${machine.id} failures_on_machine=${machine.taskFailures}"
                 }
             }
             ExitReason.UNKNOWN -> delayRetry(job)
@@ -120,7 +120,7 @@
         job.liveAttempts[index]?.requestStop(StopCause.STRAY)
         if (jobTable.attemptsOn(machine.id).isEmpty()) machine.recordUse(context.now.steadyMs)
         job.stopIfOver()
-        if (job.finishedSeq != null) context.logEvent(LogLevel.DEBUG) { "event=job_completed job=${job.id}" }
+        if (job.finishedIndex != null) context.logEvent(LogLevel.DEBUG) { "event=job_completed job=${job.id}" }
     }
 
     /** A failing job is tried ever more rarely, down to once in a worker's lease. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
@@ -53,6 +53,7 @@
         partitionedZones = partitioned
     }
 
+    /** Applies an event that is recorded, or queued to be recorded. */
     fun apply(event: Event.InventoryEvent) {
         when (event) {
             is Event.RentalRequested -> rentalsByRequest[event.request] = event
@@ -71,13 +72,14 @@
     /** The part of the inventory that the log keeps, after the record [upTo]. */
     fun snapshot(upTo: LogIndex) = InventorySnapshot(upTo, rentalsByRequest.values.toList(), terminating.toList())
 
+    /** Takes over what the log's snapshot holds; called once, before the events after it are applied. */
     fun restore(snapshot: InventorySnapshot) {
         snapshot.pendingRentals.forEach { rentalsByRequest[it.request] = it }
         terminating += snapshot.terminatingMachines
     }
 
     /** The machine of this id; one that isn't known yet is added as starting, or as retired if its termination is recorded. */
-    fun adopt(id: MachineId, offer: Offer, rentedAtMs: Long): Machine = machinesById.getOrPut(id) {
+    fun register(id: MachineId, offer: Offer, rentedAtMs: Long): Machine = machinesById.getOrPut(id) {
         Machine(id, offer, types[offer.type], rentedAtMs).also { if (id in terminating) it.recordTerminationRequest() }
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/placement/PlacementRound.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/PlacementRound.kt
@@ -21,7 +21,7 @@
     private val nowMs: Long,
 ) {
     private val candidates = usableMachines.mapNotNull { machine ->
-        machine.type?.let { CandidateMachine(machine, it, jobTable.loadOf(machine.id), jobTable.attemptsOn(machine.id)) }
+        machine.type?.let { CandidateMachine(machine, it, jobTable.usageOnMachine(machine.id), jobTable.attemptsOn(machine.id)) }
     }.filter { it.freeCpus > RESOURCE_TOLERANCE }
     private val rankings = HashMap<PlacementClass, Map<String, RankedMachines>>()
     private val preemptionPlanners = HashMap<PlacementClass, PreemptionPlanner>()
@@ -38,8 +38,7 @@
         for ((zone, ranked) in rankings.getOrPut(placementClass) { rankByZone(placementClass) }) {
             if (zone !in allowedZones) continue
             ranked.skipFull(placementClass)
-            if (ranked.first == null) continue
-            if (cheapest == null || ranked.firstCost < cheapest.firstCost) cheapest = ranked
+            if (ranked.first != null && (cheapest == null || ranked.firstCost < cheapest.firstCost)) cheapest = ranked
         }
         val candidate = cheapest?.first ?: return null
         candidate.reserve(placementClass)
