--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudInventoryIntake.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudInventoryIntake.kt
@@ -7,6 +7,7 @@
 import cleathitch.scheduler.machines.Inventory
 import cleathitch.scheduler.machines.MachineRegistry
 import cleathitch.scheduler.machines.MachineState
+import cleathitch.scheduler.machines.TerminationReason
 import cleathitch.scheduler.model.ListedMachine
 import cleathitch.scheduler.model.ListedState
 import cleathitch.scheduler.model.MachineId
@@ -47,7 +48,7 @@
         machine.recordListing(isRunning = listed.state == ListedState.RUNNING, listed.address)
         failureDetector.expectIfRunning(machine)
         if (listed.state == ListedState.FAILED && machine.state != MachineState.TERMINATING && context.isSettled()) {
-            cloudRequests.requestTermination(machine.id, "it has failed")
+            cloudRequests.requestTermination(machine.id, TerminationReason.FAILED)
         }
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
@@ -12,6 +12,7 @@
 import cleathitch.scheduler.log.LogIndex
 import cleathitch.scheduler.machines.Inventory
 import cleathitch.scheduler.machines.Machine
+import cleathitch.scheduler.machines.TerminationReason
 import cleathitch.scheduler.model.Deployment
 import cleathitch.scheduler.model.MS_PER_S
 import cleathitch.scheduler.model.MachineId
@@ -47,15 +48,15 @@
     fun requestRental(offer: Offer, count: Int) {
         val rental = Event.RentalRequested("$requestPrefix${rentalsRequested++}", offer, count)
         recordByName[rental.request] = context.append(rental)
-        context.logEvent(LogLevel.INFO) { "rental ${rental.request}: asking for $count $offer" }
+        context.logEvent(LogLevel.INFO) { "event=rental_requested ${describe(rental)}" }
     }
 
     /** Decides to give the machine back; the call goes out once the record is committed. */
-    fun requestTermination(id: MachineId, reason: String) {
+    fun requestTermination(id: MachineId, reason: TerminationReason) {
         // Terminations that aren't confirmed have to fit into one stored value; the next round tries again.
         if (inventory.terminatingMachines.size >= deployment.stateValueBytes / BYTES_PER_TERMINATION) return
         recordByName[id.text] = context.append(Event.MachineTerminationRequested(id))
-        context.logEvent(LogLevel.INFO) { "machine $id is returned: $reason" }
+        context.logEvent(LogLevel.INFO) { "event=termination_requested machine=$id reason=${reason.logName}" }
     }
 
     /** The cloud has confirmed that the machine is gone. */
@@ -80,13 +81,17 @@
         rented.filter { !isGone(it) }.forEach { adopt(it, rental.offer).confirm() }
         if (rented.size < rental.count) inventory.recordRefusal(rental.offer, context.now.steadyMs)
         context.append(Event.RentalResolved(rental.request))
-        context.logEvent(LogLevel.INFO) { "rental ${rental.request}: ${rented.size} of ${rental.count} ${rental.offer}" }
+        context.logEvent(LogLevel.INFO) { "event=rental_completed ${describe(rental)} rented=${rented.size}" }
     }
 
     private fun recordRefused(rental: Event.RentalRequested) {
         inventory.recordRefusal(rental.offer, context.now.steadyMs)
         context.append(Event.RentalResolved(rental.request))
-        context.logEvent(LogLevel.INFO) { "rental ${rental.request}: refused ${rental.offer}" }
+        context.logEvent(LogLevel.INFO) { "event=rental_refused ${describe(rental)}" }
+    }
+
+    private fun describe(rental: Event.RentalRequested) = with(rental) {
+        "request=$request type=${offer.type} zone=${offer.zone} spot=${offer.spot} count=$count"
     }
 
     /** Sends what is recorded and wasn't sent yet, and again what is without an answer for a heartbeat period. */
--- a/src/main/kotlin/cleathitch/scheduler/capacity/FleetScaling.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/FleetScaling.kt
@@ -2,6 +2,7 @@
 
 import cleathitch.scheduler.api.SchedulerContext
 import cleathitch.scheduler.machines.Inventory
+import cleathitch.scheduler.machines.TerminationReason
 import cleathitch.scheduler.model.Deployment
 
 /** Rents machines for the tasks without room, and terminates idle ones. Confined to the leader's event loop. */
@@ -36,7 +37,7 @@
 
     private fun scaleIn() {
         scaleInCandidates.idle(context.now.steadyMs, context.listeningSinceMs).forEach {
-            cloudRequests.requestTermination(it.id, "it is idle")
+            cloudRequests.requestTermination(it.id, TerminationReason.IDLE)
         }
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
@@ -17,7 +17,7 @@
     private val jobTable: JobTable,
     private val timings: SchedulerTimings,
     private val startedMs: Long,
-    private val terminate: (MachineId, String) -> Unit,
+    private val terminate: (MachineId, TerminationReason) -> Unit,
 ) {
     private val nowMs get() = context.now.steadyMs
 
@@ -49,7 +49,7 @@
         val partition = PartitionDetector(up) { silentForMs(it) >= timings.probeMs }
         inventory.updatePartitionedZones(partition.partitionedZones)
         val silent = partition.suspects.filter { hasFailedProbes(it) && silentForMs(it) >= timings.silentMs }
-        silent.forEach { if (!partition.isPartitioned(it)) terminate(it.id, "it is silent") }
+        silent.forEach { if (!partition.isPartitioned(it)) terminate(it.id, TerminationReason.SILENT) }
         partition.suspects.filter { it.state == MachineState.UP && nowMs - it.lastProbeMs >= timings.probeGapMs }
             .take(MAX_PROBES).forEach(::probe)
     }
@@ -65,7 +65,7 @@
         for (machine in partition.suspects) {
             if (machine.state != MachineState.UP) continue
             val patienceMs = if (partition.isPartitioned(machine)) timings.lostMs * 2 else timings.lostMs
-            if (withoutHeartbeatMs(machine) >= patienceMs) terminate(machine.id, "its reports don't arrive")
+            if (withoutHeartbeatMs(machine) >= patienceMs) terminate(machine.id, TerminationReason.NO_HEARTBEATS)
         }
     }
 
@@ -73,7 +73,7 @@
     private fun terminateUnknown() {
         if (nowMs - startedMs < timings.lostMs) return
         jobTable.machinesInUse.filter { it !in inventory.machines && it !in inventory.terminatingMachines }
-            .forEach { terminate(it, "it hasn't reported since the take-over") }
+            .forEach { terminate(it, TerminationReason.UNSEEN_SINCE_FAILOVER) }
     }
 
     /** Terminates machines that don't get our replies: their leases run out again and again, and with them their tasks. */
@@ -83,7 +83,7 @@
         val suspects = inventory.machines.values.filter { it.state == MachineState.UP && it.missedReplies > 0 }
         // With many at once it is more likely our replies that are late.
         if (suspects.size > maxOf(FEW_MISSING_REPLIES, inventory.machines.size / MISSING_REPLIES_DIVISOR)) return
-        suspects.filter { it.missesReplies }.forEach { terminate(it.id, "no answer reaches it") }
+        suspects.filter { it.missesReplies }.forEach { terminate(it.id, TerminationReason.MISSES_REPLIES) }
     }
 
     /** For how long no heartbeat of the machine could be answered, whatever it answered to probes. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/MachineWatch.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/MachineWatch.kt
@@ -21,7 +21,7 @@
     private val directReachability: DirectReachability,
     start: ClockReading,
     private val findOverdueBoots: () -> List<Machine>,
-    private val terminate: (MachineId, String) -> Unit,
+    private val terminate: (MachineId, TerminationReason) -> Unit,
 ) {
     private val startedMs = start.steadyMs
 
@@ -35,7 +35,7 @@
         if (context.hasSteppedDown) return
         failureDetector.terminateSilent()
         failureDetector.terminateMissingReplies()
-        findOverdueBoots().forEach { terminate(it.id, "it never came up") }
+        findOverdueBoots().forEach { terminate(it.id, TerminationReason.NEVER_STARTED) }
     }
 
     /** A worker ends its tasks when its lease runs out, so they may start elsewhere from then on. */
--- a/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
@@ -46,18 +46,31 @@
     /** Accepts a job. Repeated submissions are idempotent: they are answered with the state of the job accepted first. */
     fun submit(submission: Input.Submit) {
         val (request, spec) = submission
-        if (!context.isLeaseHeld()) return answer(request, UserReply.Unavailable("no lease"))
-        jobTable.finalState(spec.id)?.let {
-            return answer(request, UserReply.Accepted(spec.id, jobState(it), known = true))
+        val archived = jobTable.finalState(spec.id)
+        val job = jobTable.job(spec.id)
+        when {
+            !context.isLeaseHeld() -> answer(request, UserReply.Unavailable("no lease"))
+            archived != null -> answer(request, UserReply.Accepted(spec.id, jobState(archived), known = true))
+            job != null -> answerAfter(job.acceptedSeq, request, UserReply.Accepted(job.id, committedState(job), known = true))
+            else -> submitNew(request, spec)
         }
-        jobTable.job(spec.id)?.let { job ->
-            return answerAfter(job.acceptedSeq, request, UserReply.Accepted(job.id, committedState(job), known = true))
+    }
+
+    private fun submitNew(request: RequestId, spec: JobSpec) {
+        val obstacle = whyUnsatisfiable(spec)
+        when {
+            inventory.types.isEmpty() -> answer(request, UserReply.Unavailable("machine types aren't known yet"))
+            obstacle != null -> answer(request, UserReply.Unsatisfiable(obstacle))
+            context.isStalled() -> answer(request, UserReply.Unavailable("the state service doesn't answer"))
+            else -> accept(request, spec)
         }
-        if (inventory.types.isEmpty()) return answer(request, UserReply.Unavailable("machine types aren't known yet"))
-        whyUnsatisfiable(spec)?.let { return answer(request, UserReply.Unsatisfiable(it)) }
-        if (context.isStalled()) return answer(request, UserReply.Unavailable("the state service doesn't answer"))
+    }
+
+    private fun accept(request: RequestId, spec: JobSpec) {
         val record = context.append(Event.JobAccepted(spec, context.now.wallMs))
-        context.logEvent(LogLevel.DEBUG) { "job ${spec.id} class ${spec.className} team ${spec.team}: ${spec.tasks} tasks taken in" }
+        context.logEvent(LogLevel.DEBUG) {
+            "event=job_accepted job=${spec.id} class=${spec.className} team=${spec.team} tasks=${spec.tasks}"
+        }
         answerAfter(record, request, UserReply.Accepted(spec.id, JobState.QUEUED, known = false))
     }
 
@@ -94,37 +107,43 @@
 
     private fun status(id: JobId): UserReply {
         jobTable.finalState(id)?.let {
-            logFinalState(id, jobState(it), "archived")
+            logFinalState(id, jobState(it), record = null)
             return UserReply.Status(id, jobState(it), 0, 0)
         }
         val job = jobTable.job(id) ?: return UserReply.NotFound
         val running = job.liveAttempts.values.count { it.observedState == TaskState.RUNNING }
         val state = committedState(job)
-        logFinalState(id, state, "record ${job.cancelledSeq ?: job.finishedSeq}")
+        logFinalState(id, state, job.cancelledSeq ?: job.finishedSeq)
         return UserReply.Status(id, state, job.doneCount, running)
     }
 
     /** Cancels a job; one that is over already keeps its final state, which the reply tells. */
     fun cancel(cancellation: Input.Cancel) {
         val (request, id) = cancellation
-        if (!context.isLeaseHeld()) return answer(request, UserReply.Unavailable("no lease"))
-        jobTable.finalState(id)?.let { return answer(request, UserReply.Cancelled(id, jobState(it))) }
-        val job = jobTable.job(id) ?: return answer(request, UserReply.NotFound)
-        if (!job.isOver) {
-            if (context.isStalled()) return answer(request, UserReply.Unavailable("the state service doesn't answer"))
-            recordCancellation(job)
+        val archived = jobTable.finalState(id)
+        val job = jobTable.job(id)
+        when {
+            !context.isLeaseHeld() -> answer(request, UserReply.Unavailable("no lease"))
+            archived != null -> answer(request, UserReply.Cancelled(id, jobState(archived)))
+            job == null -> answer(request, UserReply.NotFound)
+            !job.isOver && context.isStalled() -> answer(request, UserReply.Unavailable("the state service doesn't answer"))
+            else -> cancel(request, job)
         }
+    }
+
+    private fun cancel(request: RequestId, job: Job) {
+        if (!job.isOver) recordCancellation(job)
         val state = if (job.isCancelled) JobState.CANCELLED else JobState.DONE
-        val record = checkNotNull(job.cancelledSeq ?: job.finishedSeq) { "job $id is over without a record of its end" }
-        logFinalState(id, state, "once record $record is committed")
-        answerAfter(record, request, UserReply.Cancelled(id, state))
+        val record = checkNotNull(job.cancelledSeq ?: job.finishedSeq) { "job ${job.id} is over without a record of its end" }
+        logFinalState(job.id, state, record)
+        answerAfter(record, request, UserReply.Cancelled(job.id, state))
     }
 
     private fun recordCancellation(job: Job) {
         val record = context.append(Event.JobCancelled(job.id))
         job.stopIfOver()
         stopAfter(record, job.liveAttempts.values)
-        context.logEvent(LogLevel.DEBUG) { "job ${job.id} cancelled" }
+        context.logEvent(LogLevel.DEBUG) { "event=job_cancelled job=${job.id}" }
     }
 
     /** Sends the replies whose records are committed by now. */
@@ -152,11 +171,15 @@
         pendingReplies += PendingReply(record, Effect.Answer(request, reply), context.now.steadyMs + maxCommitWaitMs)
     }
 
-    /** A final state that a user was told can't be taken back, so the log keeps on what record it rests. */
-    private fun logFinalState(id: JobId, state: JobState, source: String) {
+    /**
+     * A reported final state can't be taken back, so the log line names the [record] behind it, null for an archived job. A record
+     * beyond the committed index holds the reply back until it is committed.
+     */
+    private fun logFinalState(id: JobId, state: JobState, record: LogIndex?) {
         if (state != JobState.DONE && state != JobState.CANCELLED) return
         context.logEvent(LogLevel.DEBUG) {
-            "job $id may be called $state: $source; records up to ${decisionLog.committedIndex} are committed"
+            "event=final_state_reported job=$id state=$state record=${record?.number ?: "archived"} " +
+                "committed=${decisionLog.committedIndex.number}"
         }
     }
 
--- a/src/test/kotlin/cleathitch/scheduler/ScalabilityTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/ScalabilityTest.kt
@@ -74,7 +74,7 @@
 
         val afterOutage = step(Input.LeaseRenewed(FOREVER_MS)) + runRounds(2)
 
-        assertEquals(emptyList<Effect>(), afterOutage.filter { it is Effect.Log && "is returned" in it.text })
+        assertEquals(emptyList<Effect>(), afterOutage.filter { it is Effect.Log && "event=termination_requested" in it.text })
         assertEquals(emptySet<MachineId>(), afterOutage.terminatedMachines())
     }
 
