--- a/src/main/kotlin/cleathitch/election/LeaderElection.kt
+++ b/src/main/kotlin/cleathitch/election/LeaderElection.kt
@@ -1,12 +1,12 @@
 package cleathitch.election
 
+import cleathitch.http.ServiceResult
 import cleathitch.protocol.KeyValueStoreProtocol
 import cleathitch.scheduler.api.SchedulerTimings
 import cleathitch.scheduler.model.Term
 import cleathitch.storage.CompareAndSwapResult
 import cleathitch.storage.KeyValueStoreClient
 import cleathitch.storage.LeaseRenewal
-import cleathitch.storage.StoreRead
 import kotlinx.coroutines.delay
 import org.slf4j.LoggerFactory
 
@@ -37,8 +37,8 @@
     suspend fun run(listener: ElectionListener): Nothing {
         while (true) {
             when (val read = store.list(leaderKey, null)) {
-                is StoreRead.Value -> onLeaderKeyRead(read.value, listener)
-                is StoreRead.Failed -> pause()
+                is ServiceResult.Success -> onLeaderKeyRead(read.value, listener)
+                is ServiceResult.Failure -> pause()
             }
         }
     }
@@ -58,7 +58,7 @@
     }
 
     private suspend fun awaitChange(since: Long) {
-        if (store.watch(leaderKey, since, WATCH_LEASES * ttlMs) is StoreRead.Failed) pause()
+        if (store.watch(leaderKey, since, WATCH_LEASES * ttlMs) is ServiceResult.Failure) pause()
     }
 
     private suspend fun onLeaderMissing(revision: Long, listener: ElectionListener) {
@@ -92,8 +92,8 @@
     private suspend fun campaign(listener: ElectionListener) {
         val sentAtMs = steadyMs()
         val lease = when (val granted = store.grantLease(ttlMs)) {
-            is StoreRead.Value -> granted.value
-            is StoreRead.Failed -> return pause()
+            is ServiceResult.Success -> granted.value
+            is ServiceResult.Failure -> return pause()
         }
         when (val result = claimLeaderKey(lease)) {
             is CompareAndSwapResult.Applied -> lead(listener, Term(result.revision), lease, sentAtMs)
--- a/src/main/kotlin/cleathitch/storage/CompareAndSwapResult.kt
+++ b/src/main/kotlin/cleathitch/storage/CompareAndSwapResult.kt
@@ -1,5 +1,7 @@
 package cleathitch.storage
 
+import cleathitch.http.ServiceError
+
 /** How a compare-and-swap ended. */
 sealed interface CompareAndSwapResult {
     /** Carried out; the store's revision is now [revision]. */
@@ -15,5 +17,5 @@
     data class Unavailable(val reason: String) : CompareAndSwapResult
 
     /** The outcome isn't known: it was carried out, or wasn't, or is still on its way and will be later. */
-    data class Unknown(val failure: StoreFailure) : CompareAndSwapResult
+    data class Unknown(val failure: ServiceError) : CompareAndSwapResult
 }
--- a/src/main/kotlin/cleathitch/storage/KeyValueStoreClient.kt
+++ b/src/main/kotlin/cleathitch/storage/KeyValueStoreClient.kt
@@ -3,8 +3,11 @@
 import cleathitch.http.Address
 import cleathitch.http.CallResult
 import cleathitch.http.PooledHttpClient
+import cleathitch.http.ServiceError
+import cleathitch.http.ServiceResult
 import cleathitch.protocol.KeyValueStoreProtocol
-import cleathitch.protocol.MalformedMessageException
+import cleathitch.protocol.decodeAnswer
+import cleathitch.protocol.decodeBody
 import io.micrometer.core.instrument.MeterRegistry
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry
 import io.vertx.core.Vertx
@@ -22,7 +25,7 @@
     vertx: Vertx,
     private val address: Address,
     private val timeoutMs: Long,
-    name: String = "state",
+    private val name: String = "state",
     meters: MeterRegistry = SimpleMeterRegistry(),
 ) {
     private val client = PooledHttpClient(vertx, name, maxConnections = REQUEST_CONNECTIONS, meters = meters)
@@ -31,7 +34,7 @@
     private val watchClient = PooledHttpClient(vertx, "$name-watch", maxConnections = WATCH_CONNECTIONS, meters = meters)
 
     /** One page of the entries whose keys begin with [prefix], in the order of their keys, from the first one behind [after]. */
-    suspend fun list(prefix: String, after: String?): StoreRead<KeyValueStoreProtocol.Page> {
+    suspend fun list(prefix: String, after: String?): ServiceResult<KeyValueStoreProtocol.Page> {
         val since = if (after == null) "" else "&since=${encodeQuery(after)}"
         val path = "/keys?under=${encodeQuery(prefix)}$since&most=$MAX_ENTRIES_PER_PAGE"
         return read(call(HttpMethod.GET, path, null, timeoutMs * LIST_TIMEOUT_FACTOR)) { KeyValueStoreProtocol.page(it) }
@@ -44,11 +47,10 @@
     suspend fun compareAndSwap(expectedRevisions: Map<String, Long>, writes: List<KeyValueStoreProtocol.Write>): CompareAndSwapResult {
         val body = KeyValueStoreProtocol.transaction(expectedRevisions, writes)
         return when (val result = call(HttpMethod.POST, "/txn", body, timeoutMs)) {
-            is CallResult.Failed -> CompareAndSwapResult.Unknown(StoreFailure.NoResponse(result.failure))
-            is CallResult.Answered -> try {
-                compareAndSwapResult(result)
-            } catch (e: MalformedMessageException) {
-                CompareAndSwapResult.Unknown(malformed(e))
+            is CallResult.Failed -> CompareAndSwapResult.Unknown(ServiceError.NoAnswer(result.failure))
+            is CallResult.Answered -> when (val decoded = decodeBody(result.body) { compareAndSwapResult(result) }) {
+                is ServiceResult.Success -> decoded.value
+                is ServiceResult.Failure -> CompareAndSwapResult.Unknown(decoded.error.also(::logIfMalformed))
             }
         }
     }
@@ -67,7 +69,7 @@
     }
 
     /** Grants a new lease of [ttlMs] and gives its id. */
-    suspend fun grantLease(ttlMs: Long): StoreRead<Long> {
+    suspend fun grantLease(ttlMs: Long): ServiceResult<Long> {
         val result = call(HttpMethod.POST, "/holds", KeyValueStoreProtocol.ttl(ttlMs), timeoutMs)
         return read(result) { KeyValueStoreProtocol.lease(it) }
     }
@@ -75,11 +77,11 @@
     /** Renews [lease] for the time that it was granted for. */
     suspend fun renewLease(lease: Long): LeaseRenewal =
         when (val result = call(HttpMethod.POST, "/holds/$lease/extend", EMPTY_MAP, timeoutMs)) {
-            is CallResult.Failed -> LeaseRenewal.Unknown(StoreFailure.NoResponse(result.failure))
+            is CallResult.Failed -> LeaseRenewal.Unknown(ServiceError.NoAnswer(result.failure))
             is CallResult.Answered -> when (result.status) {
                 HTTP_OK -> LeaseRenewal.Renewed
                 HTTP_NOT_FOUND -> LeaseRenewal.Expired
-                else -> LeaseRenewal.Unknown(StoreFailure.UnexpectedStatus(result.status))
+                else -> LeaseRenewal.Unknown(ServiceError.UnexpectedStatus(result.status))
             }
         }
 
@@ -93,7 +95,7 @@
      * Waits up to [waitMs] for a change behind revision [since] of a key that begins with [prefix]. Fails also when the store no
      * longer knows the changes since that revision.
      */
-    suspend fun watch(prefix: String, since: Long, waitMs: Long): StoreRead<KeyValueStoreProtocol.Watched> {
+    suspend fun watch(prefix: String, since: Long, waitMs: Long): ServiceResult<KeyValueStoreProtocol.Watched> {
         val path = "/follow?under=${encodeQuery(prefix)}&since=$since&blockMs=$waitMs"
         val result = watchClient.call(address, HttpMethod.GET, path, null, waitMs + timeoutMs)
         return read(result) { KeyValueStoreProtocol.watched(it) }
@@ -102,21 +104,11 @@
     private suspend fun call(method: HttpMethod, path: String, body: ByteArray?, timeoutMs: Long): CallResult =
         client.call(address, method, path, body, timeoutMs)
 
-    private inline fun <T> read(result: CallResult, decode: (ByteArray) -> T): StoreRead<T> = when (result) {
-        is CallResult.Failed -> StoreRead.Failed(StoreFailure.NoResponse(result.failure))
-        is CallResult.Answered -> when (result.status) {
-            HTTP_OK -> try {
-                StoreRead.Value(decode(result.body))
-            } catch (e: MalformedMessageException) {
-                StoreRead.Failed(malformed(e))
-            }
-            else -> StoreRead.Failed(StoreFailure.UnexpectedStatus(result.status))
-        }
-    }
+    private inline fun <T> read(result: CallResult, decode: (ByteArray) -> T): ServiceResult<T> =
+        result.decodeAnswer(HTTP_OK, decode = decode).also { if (it is ServiceResult.Failure) logIfMalformed(it.error) }
 
-    private fun malformed(cause: MalformedMessageException): StoreFailure {
-        log.error("event=malformed_response error=\"{}\"", cause.message)
-        return StoreFailure.Malformed(cause.message)
+    private fun logIfMalformed(error: ServiceError) {
+        if (error is ServiceError.MalformedAnswer) log.error("event=malformed_answer client={} error=\"{}\"", name, error.message)
     }
 
     private fun encodeQuery(text: String) = URLEncoder.encode(text, Charsets.UTF_8)
--- a/src/main/kotlin/cleathitch/storage/LeaseRenewal.kt
+++ b/src/main/kotlin/cleathitch/storage/LeaseRenewal.kt
@@ -1,5 +1,7 @@
 package cleathitch.storage
 
+import cleathitch.http.ServiceError
+
 /** How a request to renew a lease ended. */
 sealed interface LeaseRenewal {
     /** The lease is held, for its whole time from when the store received the request. */
@@ -9,5 +11,5 @@
     data object Expired : LeaseRenewal
 
     /** The lease may have been renewed or not. */
-    data class Unknown(val failure: StoreFailure) : LeaseRenewal
+    data class Unknown(val failure: ServiceError) : LeaseRenewal
 }
--- a/src/main/kotlin/cleathitch/storage/LogStorage.kt
+++ b/src/main/kotlin/cleathitch/storage/LogStorage.kt
@@ -1,5 +1,6 @@
 package cleathitch.storage
 
+import cleathitch.http.ServiceResult
 import cleathitch.metrics.ProcessingStage
 import cleathitch.metrics.ProcessingTimes
 import cleathitch.protocol.KeyValueStoreProtocol
@@ -45,26 +46,26 @@
         var attempt = 1
         while (true) {
             when (val read = readPages(attempt)) {
-                is StoreRead.Value -> return recover(read.value, attempt, startedAtMs)
-                is StoreRead.Failed -> delay(RETRY_DELAY_MS)
+                is ServiceResult.Success -> return recover(read.value, attempt, startedAtMs)
+                is ServiceResult.Failure -> delay(RETRY_DELAY_MS)
             }
             attempt++
         }
     }
 
-    private suspend fun readPages(attempt: Int): StoreRead<Contents> {
+    private suspend fun readPages(attempt: Int): ServiceResult<Contents> {
         val entries = ArrayList<KeyValueStoreProtocol.Entry>()
         var lastKey: String? = null
         var pages = 0
         while (true) {
             loadProgress = LoadProgress.ReadingPage(pages + 1, entries.size, attempt)
             val page = when (val read = store.list(keyPrefix, lastKey)) {
-                is StoreRead.Value -> read.value
-                is StoreRead.Failed -> {
+                is ServiceResult.Success -> read.value
+                is ServiceResult.Failure -> {
                     if (attempt ==
                         1
                     ) {
-                        log.info("term={} event=log_read_failed page={} failure=\"{}\"", term.revision, pages + 1, read.failure)
+                        log.info("term={} event=log_read_failed page={} failure=\"{}\"", term.revision, pages + 1, read.error)
                     }
                     return read
                 }
@@ -72,7 +73,7 @@
             pages++
             entries += page.entries
             lastKey = page.entries.lastOrNull()?.key
-            if (!page.more) return StoreRead.Value(Contents(entries, pages))
+            if (!page.more) return ServiceResult.Success(Contents(entries, pages))
         }
     }
 
@@ -150,8 +151,8 @@
     private suspend fun readHead(): KeyValueStoreProtocol.Entry? {
         while (true) {
             when (val read = store.list(headKey, null)) {
-                is StoreRead.Value -> return read.value.entries.firstOrNull()
-                is StoreRead.Failed -> delay(RETRY_DELAY_MS)
+                is ServiceResult.Success -> return read.value.entries.firstOrNull()
+                is ServiceResult.Failure -> delay(RETRY_DELAY_MS)
             }
         }
     }
