--- a/src/main/kotlin/cleathitch/cli/Application.kt
+++ b/src/main/kotlin/cleathitch/cli/Application.kt
@@ -11,7 +11,7 @@
 import cleathitch.http.HttpReply
 import cleathitch.leader.Clocks
 import cleathitch.leader.LeaderDependencies
-import cleathitch.leader.reportMs
+import cleathitch.leader.heartbeatPeriodMs
 import cleathitch.metrics.ProcessingTimes
 import cleathitch.peers.PeerClient
 import cleathitch.protocol.MessageCodec
@@ -95,7 +95,7 @@
 
     private fun newWorkerClient() = WorkerClient(
         vertx,
-        commandTimeoutMs = deployment.reportMs,
+        commandTimeoutMs = deployment.heartbeatPeriodMs,
         probeTimeoutMs = timings.probeGapMs,
         maxConcurrentCalls = sockets.directCalls,
         meters,
@@ -103,7 +103,7 @@
 
     private fun newCloudClient(processingTimes: ProcessingTimes): CloudClient {
         val rateLimiter = CallRateLimiter(deployment.cloudRps * (operator.cloudShare ?: DEFAULT_CLOUD_SHARE), clocks::steadyMs)
-        return CloudClient(vertx, settings.cloud, rateLimiter, timeoutMs = deployment.reportMs * 2, processingTimes, meters)
+        return CloudClient(vertx, settings.cloud, rateLimiter, timeoutMs = deployment.heartbeatPeriodMs * 2, processingTimes, meters)
     }
 
     private fun newElection() = LeaderElection(
@@ -124,8 +124,8 @@
         newEndpoint(MessageCodec.MAX_BODY, sockets.publicConnections, controller.requests::handle)
 
     private fun newEndpoint(maxBodyBytes: Int, maxConnections: Int, handle: RequestHandler): HttpEndpoint {
-        // Workers report and users poll well within that.
-        val idleS = ceil(deployment.reportS * IDLE_REPORTS).toInt()
+        // Workers send heartbeats and users poll well within that.
+        val idleS = ceil(deployment.reportS * IDLE_HEARTBEATS).toInt()
         return HttpEndpoint(vertx, scope, maxBodyBytes, idleS, ConnectionLimit(maxConnections), handle)
     }
 
@@ -135,8 +135,8 @@
         /** Which part of the cloud's calls the leader may take; the rest is for other controllers that start. */
         const val DEFAULT_CLOUD_SHARE = 0.8
 
-        /** A connection that was idle for so many report periods is closed. */
-        const val IDLE_REPORTS = 3
+        /** A connection that was idle for so many heartbeat periods is closed. */
+        const val IDLE_HEARTBEATS = 3
 
         /** A call to the key-value store that takes longer than this part of the lease is given up, so that it can be repeated. */
         const val STORE_CALLS_PER_LEASE = 3
--- a/src/main/kotlin/cleathitch/controller/Controller.kt
+++ b/src/main/kotlin/cleathitch/controller/Controller.kt
@@ -5,7 +5,7 @@
 import cleathitch.election.LeaderLease
 import cleathitch.leader.LeaderDependencies
 import cleathitch.leader.LeaderTerm
-import cleathitch.leader.reportMs
+import cleathitch.leader.heartbeatPeriodMs
 import cleathitch.peers.LeaderBatcher
 import cleathitch.peers.PeerClient
 import cleathitch.peers.WorkerCommandDelivery
@@ -35,16 +35,16 @@
     private val member = settings.member
     private val steadyMs = dependencies.clocks::steadyMs
     private val processingTimes = dependencies.processingTimes
-    private val reportMs = settings.deployment.reportMs
+    private val heartbeatPeriodMs = settings.deployment.heartbeatPeriodMs
     private val leaderLeaseMs = dependencies.timings.leaderLeaseMs
     private val peerAddresses = settings.peers.associate { it.member to it.address }
 
-    private val machineTypes = MachineTypeDiscovery(dependencies.cloud, retryMs = reportMs / 3)
-    private val imageCacheHints = ImageCacheHintSharing(settings.peers, peers, processingTimes, timeoutMs = reportMs / 3, scope)
+    private val machineTypes = MachineTypeDiscovery(dependencies.cloud, retryMs = heartbeatPeriodMs / 3)
+    private val imageCacheHints = ImageCacheHintSharing(settings.peers, peers, processingTimes, timeoutMs = heartbeatPeriodMs / 3, scope)
     private val contacts = FollowerContacts(steadyMs, reachableMs = leaderLeaseMs)
     private val role = ControllerRole(member, steadyMs, scope, dependencies.meters, ::newTerm)
     private val announcer = LeaderAnnouncer(member, settings.peers, peers, role, contacts, leaderLeaseMs, scope)
-    private val processingTimesLog = ProcessingTimesLog(role, processingTimes, periodMs = reportMs * LOG_PERIOD_REPORTS)
+    private val processingTimesLog = ProcessingTimesLog(role, processingTimes, periodMs = heartbeatPeriodMs * LOG_PERIOD_HEARTBEATS)
     private val batches = LeaderBatcher(
         intervalMs = dependencies.timings.forwardMs,
         unreachableMs = leaderLeaseMs,
@@ -57,7 +57,7 @@
     /** Answers the load balancer, users and workers. */
     val requests = RequestRouter(
         Readiness(role, contacts, settings.peers.size, leaderLeaseMs, steadyMs),
-        HeartbeatRouter(member, role, contacts, batches, WorkerDistribution(reportMs), processingTimes, steadyMs),
+        HeartbeatRouter(member, role, contacts, batches, WorkerDistribution(heartbeatPeriodMs), processingTimes, steadyMs),
         userRequests,
     )
 
@@ -93,7 +93,7 @@
             LogStorage(store, PREFIX, LEADER_KEY, term, processingTimes, steadyMs),
             machineTypes.machineTypes,
             imageCacheHints.snapshot(),
-            newDelivery = { enqueue -> WorkerCommandDelivery(routes, resultTimeoutMs = reportMs, steadyMs, enqueue) },
+            newDelivery = { enqueue -> WorkerCommandDelivery(routes, resultTimeoutMs = heartbeatPeriodMs, steadyMs, enqueue) },
             imageCacheHints::share,
             stepDown,
         )
@@ -109,7 +109,7 @@
         /** For how many leases a controller that starts waits for a leader before it listens to requests. */
         private const val FIRST_LEADER_LEASES = 4
 
-        /** The times of the processing stages are logged once in so many report periods. */
-        private const val LOG_PERIOD_REPORTS = 5
+        /** The times of the processing stages are logged once in so many heartbeat periods. */
+        private const val LOG_PERIOD_HEARTBEATS = 5
     }
 }
--- a/src/main/kotlin/cleathitch/controller/HeartbeatRouter.kt
+++ b/src/main/kotlin/cleathitch/controller/HeartbeatRouter.kt
@@ -17,7 +17,7 @@
 
 /**
  * Answers workers' heartbeats: by the active term, through the leader, or with the name of a controller that the worker
- * should report to instead. Confined to the controller's event loop.
+ * should send them to instead. Confined to the controller's event loop.
  */
 internal class HeartbeatRouter(
     private val member: String,
@@ -30,9 +30,9 @@
 ) {
     /** Answers one heartbeat, given as the body of its request. */
     suspend fun handle(body: ByteArray): HttpReply {
-        // Right after an election the whole fleet reports at once: a heartbeat that can't be answered isn't even decoded.
+        // Right after an election the whole fleet sends heartbeats at once: a heartbeat that can't be answered isn't even decoded.
         if (role.activeTerm?.isReady == false || role.activeTerm == null && role.leader == null) return HttpReply(503)
-        if (role.activeTerm == null && batches.isLeaderUnreachable) return reportTo(role.leader)
+        if (role.activeTerm == null && batches.isLeaderUnreachable) return redirectTo(role.leader)
         val heartbeat = try {
             processingTimes.measure(ProcessingStage.HEARTBEAT_DECODING) { WorkerProtocol.heartbeat(body) }
         } catch (e: MalformedMessageException) {
@@ -44,13 +44,13 @@
 
     private suspend fun answer(term: LeaderTerm, heartbeat: Heartbeat): HttpReply {
         val follower = distribution.followerFor(heartbeat.machine, contacts.reachableFollowers(), steadyMs())
-        if (follower != null) return reportTo(follower)
+        if (follower != null) return redirectTo(follower)
         return when (val outcome = term.requests.heartbeat(heartbeat)) {
             is RequestOutcome.Answered -> HttpReply(200, WorkerProtocol.answer(outcome.answer.token, outcome.answer.commands))
             is RequestOutcome.Unanswered -> if (role.activeTerm === term) {
                 HttpReply(503)
             } else {
-                reportTo(role.leader.takeIf { it != member })
+                redirectTo(role.leader.takeIf { it != member })
             }
         }
     }
@@ -60,7 +60,7 @@
         ForwardOutcome.Unanswered -> HttpReply(503)
     }
 
-    private fun reportTo(controller: String?) = HttpReply(421, WorkerProtocol.redirect(controller))
+    private fun redirectTo(controller: String?) = HttpReply(421, WorkerProtocol.redirect(controller))
 
     private companion object {
         val log = LoggerFactory.getLogger("cleathitch.controller")
--- a/src/main/kotlin/cleathitch/controller/UserRequest.kt
+++ b/src/main/kotlin/cleathitch/controller/UserRequest.kt
@@ -13,7 +13,7 @@
     /** A job to accept. */
     data class Submit(val spec: JobSpec) : ForLeader
 
-    /** A question about a job's state. */
+    /** A query of a job's state. */
     data class Poll(val job: JobId) : ForLeader
 
     /** A job to cancel. */
--- a/src/main/kotlin/cleathitch/election/LeaderElection.kt
+++ b/src/main/kotlin/cleathitch/election/LeaderElection.kt
@@ -16,9 +16,9 @@
  *
  * [run] has an event loop of its own: behind the heartbeats of a large fleet, renewals would come too late while the process is
  * still slow after its start. All times are readings of the steady clock. A lease counts from before the request that granted or
- * renewed it was sent, less what two clocks may drift apart, so that it is never believed to be held longer than the store holds it.
+ * renewed it was sent, less what two clocks may drift apart, so that it is never assumed to be held longer than the store holds it.
  *
- * @param incarnation tells this process from earlier ones of the same [member]
+ * @param incarnation distinguishes this process from earlier ones of the same [member]
  * @param ttlMs how long a lease lasts without renewal
  */
 class LeaderElection(
@@ -68,7 +68,7 @@
 
     /**
      * Leads a term that was won by a compare-and-swap whose response was lost. How much of its lease is left isn't known, and may
-     * be nothing if the process stood still: it counts from a renewal, not from when the key was read.
+     * be nothing if the process was paused: it counts from a renewal, not from when the key was read.
      */
     private suspend fun resumeTerm(entry: KeyValueStoreProtocol.Entry, leader: LeaderRecord, listener: ElectionListener) {
         val sentAtMs = steadyMs()
--- a/src/main/kotlin/cleathitch/http/CallOutcome.kt
+++ b/src/main/kotlin/cleathitch/http/CallOutcome.kt
@@ -1,6 +1,6 @@
 package cleathitch.http
 
-/** What a call's result says about its server, in the words that metrics and log lines share. */
+/** What a call's result says about its server, in the terms that metrics and log lines share. */
 internal sealed interface CallOutcome {
     /** The value of the metric's tag `outcome`. */
     val metricTag: String
--- a/src/main/kotlin/cleathitch/http/ConnectionLimit.kt
+++ b/src/main/kotlin/cleathitch/http/ConnectionLimit.kt
@@ -5,7 +5,7 @@
  * Without the bound, incoming connections can use up the sockets, and the leader can't renew its lease.
  *
  * Past 95 % of [max] each response closes its connection, so that clients make room for each other; past [max] a new
- * connection is closed at once, and its client tries another node. Confined to the server's event loop.
+ * connection is closed at once, and its client tries another controller. Confined to the server's event loop.
  */
 class ConnectionLimit(val max: Int) {
     private val keepAliveMax = max - max / RESERVED_SHARE
--- a/src/main/kotlin/cleathitch/http/HttpEndpoint.kt
+++ b/src/main/kotlin/cleathitch/http/HttpEndpoint.kt
@@ -20,7 +20,7 @@
     private val vertx: Vertx,
     private val scope: CoroutineScope,
     private val maxBodyBytes: Int,
-    /** Seconds until an idle connection is closed: connections of machines that are gone would use up the sockets. */
+    /** Seconds until an idle connection is closed: connections of terminated machines would use up the sockets. */
     private val idleS: Int,
     private val connectionLimit: ConnectionLimit,
     private val handle: suspend (method: String, path: String, body: ByteArray) -> HttpReply,
@@ -69,7 +69,7 @@
         request.endHandler { if (!isRejected) handleWhole(request, body) }
     }
 
-    /** Starts [handle] without a trip through the dispatcher: this already runs on the event loop. */
+    /** Starts [handle] without a dispatch: this already runs on the event loop. */
     private fun handleWhole(request: HttpServerRequest, body: Buffer) {
         scope.launch(start = CoroutineStart.UNDISPATCHED) { respond(request, replyTo(request, body.bytes)) }
     }
--- a/src/main/kotlin/cleathitch/leader/CloudPolling.kt
+++ b/src/main/kotlin/cleathitch/leader/CloudPolling.kt
@@ -25,7 +25,7 @@
 
     /** Asked more often than the cloud's list changes, it would return the same list again. */
     private suspend fun pollMachines() {
-        val periodMs = maxOf(deployment.listLagMs, deployment.reportMs)
+        val periodMs = maxOf(deployment.listLagMs, deployment.heartbeatPeriodMs)
         while (true) {
             cloud.machines().valueOrNull()?.let { enqueue(Input.MachinesListed(it)) }
             delay(periodMs)
--- a/src/main/kotlin/cleathitch/leader/DeploymentPeriods.kt
+++ b/src/main/kotlin/cleathitch/leader/DeploymentPeriods.kt
@@ -4,8 +4,8 @@
 
 // The deployment's periods in the milliseconds in which clocks, timers and timeouts count.
 
-/** How often a worker reports. */
-val Deployment.reportMs get() = toMs(reportS)
+/** How often a worker sends a heartbeat. */
+val Deployment.heartbeatPeriodMs get() = toMs(reportS)
 
 /** For how long a worker's lease outlives its last renewal. */
 val Deployment.workerLeaseMs get() = toMs(leaseS)
--- a/src/main/kotlin/cleathitch/leader/EffectExecutor.kt
+++ b/src/main/kotlin/cleathitch/leader/EffectExecutor.kt
@@ -57,7 +57,7 @@
     }
 
     /**
-     * Whether a reply to a user may leave. The process may have stood still since the scheduler decided on it, for longer
+     * Whether a reply to a user may leave. The process may have been paused since the scheduler decided on it, for longer
      * than the lease; another controller may lead by now, and the reply may contradict what that one says.
      */
     private fun isLeaseValid() = steadyMs() < lease.validUntilMs
--- a/src/main/kotlin/cleathitch/peers/BatchResult.kt
+++ b/src/main/kotlin/cleathitch/peers/BatchResult.kt
@@ -8,7 +8,7 @@
     /** The leader's decisions and answers, in the order of the batch's heartbeats and polls. */
     data class Answered(val decisions: List<HeartbeatDecision>, val statuses: List<UserReply>) : BatchResult
 
-    /** The node that was asked doesn't lead in the batch's term, or can't decide yet. */
+    /** The controller that received the batch doesn't lead in the batch's term, or can't decide yet. */
     data object NotLeading : BatchResult
 
     /** The connection failed. */
--- a/src/main/kotlin/cleathitch/peers/LeaderBatcher.kt
+++ b/src/main/kotlin/cleathitch/peers/LeaderBatcher.kt
@@ -51,7 +51,7 @@
         return outcome.await()
     }
 
-    /** Queues the result of a command that this node delivered for the leader. If too many wait, the oldest are dropped. */
+    /** Queues the result of a command that this controller delivered for the leader. If too many wait, the oldest are dropped. */
     fun forwardDeliveryResult(result: DeliveryResult) {
         deliveryResults.addLast(result)
         if (deliveryResults.size > MAX_DELIVERY_RESULTS) deliveryResults.removeFirst()
@@ -123,7 +123,7 @@
     private companion object {
         val log = LoggerFactory.getLogger("cleathitch.peers")
 
-        /** Workers wait 4 s for an answer; the rest of that is for the network between worker and this node. */
+        /** Workers wait 4 s for an answer; the rest of that is for the network between worker and this controller. */
         const val HEARTBEAT_TIMEOUT_MS = 3000L
 
         /** Users wait 2 s for a poll's answer. */
--- a/src/main/kotlin/cleathitch/peers/PeerClient.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerClient.kt
@@ -11,7 +11,7 @@
 import kotlinx.serialization.SerializationException
 import org.slf4j.LoggerFactory
 
-/** Sends requests to other nodes. Every failure is a value. Confined to the event loop of its `vertx`. */
+/** Sends requests to other controllers. Every failure is a value. Confined to the event loop of its `vertx`. */
 class PeerClient(vertx: Vertx, meters: MeterRegistry) {
     private val client = PooledHttpClient(vertx, "peers", maxConnections = CONNECTIONS, meters, connectTimeoutMs = CONNECT_TIMEOUT_MS)
 
@@ -36,7 +36,7 @@
     }
 
     companion object {
-        /** The path at which every node takes requests of its peers. */
+        /** The path at which every controller takes requests of its peers. */
         const val PATH = "/peer"
 
         /** In bytes. A batch is far smaller: each of its parts is bounded, or holds one message of at most a body's size. */
--- a/src/main/kotlin/cleathitch/peers/PeerCodec.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerCodec.kt
@@ -6,8 +6,8 @@
 import kotlinx.serialization.cbor.Cbor
 
 /**
- * The CBOR form of messages between nodes. Decoding ignores unknown fields, and throws [SerializationException] for a malformed
- * message.
+ * The CBOR form of messages between controllers. Decoding ignores unknown fields, and throws [SerializationException] for a
+ * malformed message.
  */
 @OptIn(ExperimentalSerializationApi::class)
 object PeerCodec {
--- a/src/main/kotlin/cleathitch/peers/PeerRequest.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerRequest.kt
@@ -9,12 +9,12 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
 
-/** A request of one node to another. Serial names are the bytes of the message, and never change. */
+/** A request of one controller to another. Serial names are the bytes of the message, and never change. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 @Suppress("ArrayInDataClass") // never compared
 sealed interface PeerRequest {
-    /** The leader and the term that the sender [from] knows; also a sign of life of the sender. */
+    /** The leader and the term that the sender [from] knows; also shows that the sender is running. */
     @Serializable
     @SerialName("leads")
     data class AnnounceLeader(val from: String, val leader: String?, val term: Long) : PeerRequest
--- a/src/main/kotlin/cleathitch/peers/PeerResult.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerResult.kt
@@ -1,14 +1,14 @@
 package cleathitch.peers
 
-/** The result of a request to another node. */
+/** The result of a request to another controller. */
 sealed interface PeerResult {
-    /** The node's answer, whatever its status. */
+    /** The controller's answer, whatever its status. */
     class Answered(val reply: PeerReply) : PeerResult
 
-    /** The connection failed, or the answer isn't one of a node. The node may have handled the request. */
+    /** The connection failed, or the answer isn't one of a controller. The controller may have handled the request. */
     data object Unreachable : PeerResult
 
-    /** A connection was there, but no answer came in time. The node may have handled the request. */
+    /** A connection was there, but no answer came in time. The controller may have handled the request. */
     data object TimedOut : PeerResult
 }
 
--- a/src/main/kotlin/cleathitch/peers/WorkerCommandDelivery.kt
+++ b/src/main/kotlin/cleathitch/peers/WorkerCommandDelivery.kt
@@ -26,7 +26,7 @@
     private val pending = LinkedHashMap<Long, PendingCommand>()
     private var lastId = 0L
 
-    /** Advances with each probe, so that probes go round the followers and this node. */
+    /** Advances with each probe, so that probes alternate between the followers and this controller. */
     private var nextProbeRoute = 0
 
     /** Sends [commands] to their workers, in coroutines of [scope]. */
@@ -53,7 +53,7 @@
     }
 
     /**
-     * The follower that delivers [command]; null if this node does. Probes alternate between all routes, since a machine whose
+     * The follower that delivers [command]; null if this controller does. Probes alternate between all routes, since a machine whose
      * heartbeats are overdue may have lost its usual one.
      */
     private fun followerFor(command: Effect.ToWorker, followers: List<String>): String? = when (command) {
--- a/src/main/kotlin/cleathitch/protocol/UserProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/UserProtocol.kt
@@ -113,8 +113,8 @@
     }
 
     /**
-     * The response of a node that can't serve while another may. It closes the connection: a load balancer never moves an open
-     * connection, and chooses again for a new one.
+     * The response of a controller that can't serve while another may. It closes the connection: a load balancer never moves an
+     * open connection, and chooses again for a new one.
      */
     fun unavailableHere(reason: String): HttpReply {
         val unavailable = UserReply.Unavailable(reason)
--- a/src/main/kotlin/cleathitch/protocol/WorkerProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/WorkerProtocol.kt
@@ -79,7 +79,7 @@
     fun directCommands(token: FencingToken, incarnation: Long, commands: List<WorkerCommand>): ByteArray =
         MessageCodec.encode(commands(token, commands).put("jornada", incarnation))
 
-    /** Encodes the answer that sends a worker to [member], or to any other node if that is null. */
+    /** Encodes the answer that sends a worker to [member], or to any other controller if that is null. */
     fun redirect(member: String?): ByteArray {
         val map = MessageCodec.newMap()
         if (member != null) map.put("capataz", member)
--- a/src/main/kotlin/cleathitch/storage/KeyValueStoreClient.kt
+++ b/src/main/kotlin/cleathitch/storage/KeyValueStoreClient.kt
@@ -15,7 +15,7 @@
 /**
  * Client of the consensus-backed key-value store. Every failure is a value of the result, none an exception.
  *
- * [timeoutMs] bounds one request; [name] tells the clients of a process apart in metrics and in the log. A client is used on
+ * [timeoutMs] bounds one request; [name] distinguishes the clients of a process in metrics and in the log. A client is used on
  * the event loop that it was made for.
  */
 class KeyValueStoreClient(
--- a/src/main/kotlin/cleathitch/storage/LogStorage.kt
+++ b/src/main/kotlin/cleathitch/storage/LogStorage.kt
@@ -32,7 +32,7 @@
     private val headKey = keyPrefix + LogKeys.HEAD
     private var headRevision = KEY_ABSENT
 
-    /** How far [load] has come; tells what a term was doing that ends before it leads. */
+    /** How far [load] has come; shows what a term was doing that ends before it leads. */
     var loadProgress: LoadProgress = LoadProgress.NotStarted
         private set
 
--- a/src/main/kotlin/cleathitch/storage/StoreFailure.kt
+++ b/src/main/kotlin/cleathitch/storage/StoreFailure.kt
@@ -14,7 +14,7 @@
         override fun toString() = "status $status"
     }
 
-    /** The response couldn't be parsed; [message] tells what was expected and what was found. */
+    /** The response couldn't be parsed; [message] says what was expected and what was found. */
     data class Malformed(val message: String?) : StoreFailure {
         override fun toString() = "malformed response: $message"
     }
--- a/src/main/kotlin/cleathitch/workers/HeartbeatQueue.kt
+++ b/src/main/kotlin/cleathitch/workers/HeartbeatQueue.kt
@@ -28,7 +28,7 @@
     private val waiting = LinkedHashMap<MachineId, PendingHeartbeat>()
     private var term = 0L
 
-    /** The last heartbeat of each machine that the leader of [term] answered through this node. */
+    /** The last heartbeat of each machine that the leader of [term] answered through this controller. */
     private val acknowledged = HashMap<MachineId, Heartbeat>()
 
     /** No heartbeat waits to be sent. */
@@ -159,7 +159,7 @@
         /** Half of a body, since sizes are estimates. A larger heartbeat is a batch of its own, which fits into a peer's body. */
         private const val MAX_BATCH_BYTES = 32 * 1024
 
-        /** Bounds the entries of machines that are gone. Clearing all at once costs each present machine one full heartbeat. */
+        /** Bounds the entries of terminated machines. Clearing all at once costs each present machine one full heartbeat. */
         private const val MAX_ACKNOWLEDGED = 10_000
 
         private const val UNCHANGED_HEARTBEAT_BYTES = 48
--- a/src/main/kotlin/cleathitch/workers/WorkerDistribution.kt
+++ b/src/main/kotlin/cleathitch/workers/WorkerDistribution.kt
@@ -49,7 +49,7 @@
         /** One worker in this many stays with the leader. */
         const val LEADER_SHARE = 3
 
-        /** Bounds the entries of machines that are gone. Clearing all at once costs each present machine one redirect. */
+        /** Bounds the entries of terminated machines. Clearing all at once costs each present machine one redirect. */
         const val MAX_REDIRECTS = 100_000
     }
 }
