--- a/src/main/kotlin/cleathitch/storage/LogStorage.kt
+++ b/src/main/kotlin/cleathitch/storage/LogStorage.kt
@@ -1,5 +1,6 @@
 package cleathitch.storage
 
+import cleathitch.http.ServiceError
 import cleathitch.http.ServiceResult
 import cleathitch.metrics.ProcessingStage
 import cleathitch.metrics.ProcessingTimes
@@ -62,11 +63,7 @@
             val page = when (val read = store.list(keyPrefix, lastKey)) {
                 is ServiceResult.Success -> read.value
                 is ServiceResult.Failure -> {
-                    if (attempt ==
-                        1
-                    ) {
-                        log.info("term={} event=log_read_failed page={} failure=\"{}\"", term.revision, pages + 1, read.error)
-                    }
+                    if (attempt == 1) logReadFailure(pages + 1, read.error)
                     return read
                 }
             }
@@ -111,11 +108,7 @@
                     return committed(commit, revision, attempt, startedAtMs)
                 }
                 is CompareAndSwapResult.LeaseNotFound, is CompareAndSwapResult.Unavailable, is CompareAndSwapResult.Unknown -> {
-                    if (attempt ==
-                        1
-                    ) {
-                        log.info("term={} event=commit_unconfirmed index={} result=\"{}\"", term.revision, commit.index.number, result)
-                    }
+                    if (attempt == 1) logUnconfirmed(commit, result)
                     delay(RETRY_DELAY_MS)
                 }
             }
@@ -170,6 +163,14 @@
         }
     }
 
+    private fun logReadFailure(page: Int, error: ServiceError) {
+        log.info("term={} event=log_read_failed page={} failure=\"{}\"", term.revision, page, error)
+    }
+
+    private fun logUnconfirmed(commit: Commit, result: CompareAndSwapResult) {
+        log.info("term={} event=commit_unconfirmed index={} result=\"{}\"", term.revision, commit.index.number, result)
+    }
+
     private companion object {
         val log = LoggerFactory.getLogger("cleathitch.state")
 
