--- a/src/test/kotlin/cleathitch/controller/UserRequestTest.kt
+++ b/src/test/kotlin/cleathitch/controller/UserRequestTest.kt
@@ -27,7 +27,7 @@
     }
 
     @Test
-    fun `a wrong method of a right path is told from a wrong path`() {
+    fun `a wrong method of a right path is distinguished from a wrong path`() {
         for (path in listOf("/submissions", "/submissions/j-000412", "/submissions/j-000412/", "/submissions/j-000412/abort")) {
             assertEquals(UserRequest.MethodNotAllowed, parse("PUT", path), path)
         }
--- a/src/test/kotlin/cleathitch/protocol/ProtocolCodecTest.kt
+++ b/src/test/kotlin/cleathitch/protocol/ProtocolCodecTest.kt
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.TestFactory
 
-/** What workers, cloud, state service and peers send: read as the page says; malformed ones are rejected. */
+/** What workers, cloud and key-value store send: decoded as the protocol defines it; malformed messages are rejected. */
 class ProtocolCodecTest {
     private val json = ObjectMapper()
     private fun node(text: String) = json.readTree(text) as ObjectNode
@@ -138,7 +138,7 @@
     }
 
     @Test
-    fun `commands are written as the page shows them`() {
+    fun `commands are written as the protocol defines them`() {
         val id = AttemptId(TaskId(JobId("j-000412"), 4), 2)
         val body = WorkerProtocol.directCommands(
             FencingToken(41),
--- a/src/test/kotlin/cleathitch/protocol/UserProtocolTest.kt
+++ b/src/test/kotlin/cleathitch/protocol/UserProtocolTest.kt
@@ -45,7 +45,7 @@
     }
 
     @Test
-    fun `whatever the page doesn't allow is malformed`() {
+    fun `whatever the protocol doesn't allow is malformed`() {
         val bad: Map<String, (ObjectNode) -> Unit> = mapOf(
             "id missing" to { it.remove("nameId") },
             "id null" to { it.putNull("nameId") },
