--- a/src/main/kotlin/cleathitch/election/ElectionListener.kt
+++ b/src/main/kotlin/cleathitch/election/ElectionListener.kt
@@ -1,13 +1,16 @@
 package cleathitch.election
 
-/** Receives the events of [LeaderElection], on the event loop that keeps the lease. */
+/** Callbacks of [LeaderElection], invoked on the event loop that renews the lease. */
 interface ElectionListener {
-    /** This controller leads, for as long as [lease] is valid. */
+    /** This controller was elected, and leads for as long as [lease] is valid. */
     fun onElected(lease: LeaderLease)
 
-    /** This controller doesn't lead the term of [lease] any more. */
+    /** This controller no longer leads the term of [lease], for [reason]. */
     fun onDeposed(lease: LeaderLease, reason: TermEndReason)
 
-    /** Another controller, [member], leads in [term]; or nobody does, and [term] is the newest revision known. */
+    /**
+     * Another controller, [member], leads in [term]. If [member] is null there is no leader, or the leader's record is malformed;
+     * without a leader, [term] is the latest known revision of the store.
+     */
     fun onLeaderObserved(member: String?, term: Long)
 }
--- a/src/main/kotlin/cleathitch/election/LeaderElection.kt
+++ b/src/main/kotlin/cleathitch/election/LeaderElection.kt
@@ -11,15 +11,17 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Leader election through a key of the key-value store that is held under a lease: campaigns while nobody holds the key, renews
- * the lease while this controller leads, and watches the key otherwise.
+ * Leader election through a key in the key-value store that is attached to a lease. While the key is absent this controller
+ * campaigns for it, while it leads it renews the lease, and otherwise it watches the key.
  *
- * [run] has an event loop of its own: behind the heartbeats of a large fleet, renewals would come too late while the process is
- * still slow after its start. All times are readings of the steady clock. A lease counts from before the request that granted or
- * renewed it was sent, less what two clocks may drift apart, so that it is never assumed to be held longer than the store holds it.
+ * [run] must be given a dedicated event loop. On a shared loop, renewals would queue behind the heartbeats of a large fleet and come
+ * too late while the process is still slow after its start. All times are readings of the monotonic clock. A lease's validity is
+ * counted from before the request that granted or renewed it was sent, less the maximum clock drift, so it is never assumed to be
+ * held longer than the store holds it.
  *
- * @param incarnation distinguishes this process from earlier ones of the same [member]
- * @param ttlMs how long a lease lasts without renewal
+ * @param incarnation distinguishes this process from earlier processes of the same [member]
+ * @param ttlMs the lease's time to live, that is, how long it lasts without renewal
+ * @param steadyMs the monotonic clock, in milliseconds
  */
 class LeaderElection(
     private val store: KeyValueStoreClient,
@@ -29,16 +31,18 @@
     private val leaderKey: String,
     private val steadyMs: () -> Long,
 ) {
-    /** After a transfer of leadership, no campaign before this time. */
+    /** No campaign starts before this time; set when leadership is handed over to another controller. */
     private var noCampaignBeforeMs = 0L
+
+    /** The last term that this process led, which it must not lead again; see [revokeFormerLease]. */
     private var lastLedTerm = 0L
 
-    /** Takes part in elections until it is cancelled, and reports to [listener]. */
+    /** Takes part in elections until cancelled, and reports their outcomes to [listener]. */
     suspend fun run(listener: ElectionListener): Nothing {
         while (true) {
             when (val read = store.list(leaderKey, null)) {
                 is ServiceResult.Success -> onLeaderKeyRead(read.value, listener)
-                is ServiceResult.Failure -> pause()
+                is ServiceResult.Failure -> delayBeforeRetry()
             }
         }
     }
@@ -47,7 +51,7 @@
         val entry = page.entries.firstOrNull { it.key == leaderKey }
         val leader = entry?.let(LeaderRecord::decode)
         when {
-            entry == null -> onLeaderMissing(page.revision, listener)
+            entry == null -> onLeaderKeyAbsent(page.revision, listener)
             leader?.incarnation == incarnation && entry.revision != lastLedTerm -> resumeTerm(entry, leader, listener)
             leader?.member == member -> revokeFormerLease(entry, leader)
             else -> {
@@ -58,48 +62,49 @@
     }
 
     private suspend fun awaitChange(since: Long) {
-        if (store.watch(leaderKey, since, WATCH_LEASES * ttlMs) is ServiceResult.Failure) pause()
+        if (store.watch(leaderKey, since, WATCH_TIMEOUT_TTLS * ttlMs) is ServiceResult.Failure) delayBeforeRetry()
     }
 
-    private suspend fun onLeaderMissing(revision: Long, listener: ElectionListener) {
+    private suspend fun onLeaderKeyAbsent(revision: Long, listener: ElectionListener) {
         listener.onLeaderObserved(null, revision)
-        if (steadyMs() < noCampaignBeforeMs) pause() else campaign(listener)
+        if (steadyMs() < noCampaignBeforeMs) delayBeforeRetry() else campaign(listener)
     }
 
     /**
-     * Leads a term that was won by a compare-and-swap whose response was lost. How much of its lease is left isn't known, and may
-     * be nothing if the process was paused: it counts from a renewal, not from when the key was read.
+     * Leads a term that was won by a compare-and-swap whose response was lost. The remaining time of its lease is unknown, and may be
+     * zero if the process was paused, so the lease is renewed first and its validity counted from that renewal, not from the read.
      */
     private suspend fun resumeTerm(entry: KeyValueStoreProtocol.Entry, leader: LeaderRecord, listener: ElectionListener) {
         val sentAtMs = steadyMs()
         when (store.renewLease(leader.lease)) {
             LeaseRenewal.Renewed -> lead(listener, Term(entry.revision), leader.lease, sentAtMs)
-            LeaseRenewal.Expired, is LeaseRenewal.Unknown -> pause()
+            LeaseRenewal.Expired, is LeaseRenewal.Unknown -> delayBeforeRetry()
         }
     }
 
     /**
-     * Revokes the lease of an earlier process of this member, or of a term that this process gave up, without waiting for its
-     * expiry. A term isn't led twice, because its request names and fencing tokens count up from its start.
+     * Revokes the lease of an earlier process of this member, or of a term that this process resigned, instead of waiting for it to
+     * expire. A term must not be led twice, because its rental request names and fencing tokens are numbered from its start and
+     * would be reused.
      */
     private suspend fun revokeFormerLease(entry: KeyValueStoreProtocol.Entry, leader: LeaderRecord) {
         log.info("term={} event=former_lease_revoked", entry.revision)
-        if (!store.revokeLease(leader.lease)) pause()
+        if (!store.revokeLease(leader.lease)) delayBeforeRetry()
     }
 
-    private suspend fun pause() = delay(ttlMs / PAUSES_PER_LEASE)
+    private suspend fun delayBeforeRetry() = delay(ttlMs / RETRIES_PER_TTL)
 
     private suspend fun campaign(listener: ElectionListener) {
         val sentAtMs = steadyMs()
         val lease = when (val granted = store.grantLease(ttlMs)) {
             is ServiceResult.Success -> granted.value
-            is ServiceResult.Failure -> return pause()
+            is ServiceResult.Failure -> return delayBeforeRetry()
         }
         when (val result = claimLeaderKey(lease)) {
             is CompareAndSwapResult.Applied -> lead(listener, Term(result.revision), lease, sentAtMs)
             is CompareAndSwapResult.Refused, CompareAndSwapResult.LeaseNotFound -> store.revokeLease(lease)
-            // The next read of the key shows whether this controller holds it.
-            is CompareAndSwapResult.Unavailable, is CompareAndSwapResult.Unknown -> pause()
+            // Whether this controller holds the key is found out by the next read.
+            is CompareAndSwapResult.Unavailable, is CompareAndSwapResult.Unknown -> delayBeforeRetry()
         }
     }
 
@@ -109,13 +114,13 @@
         return store.compareAndSwap(mapOf(leaderKey to KEY_ABSENT), listOf(put))
     }
 
-    /** Leads [term] under the lease [leaseId] until the term is over. */
+    /** Leads [term] under the lease [leaseId] until the term ends. */
     private suspend fun lead(listener: ElectionListener, term: Term, leaseId: Long, renewalSentAtMs: Long) {
         lastLedTerm = term.revision
         val lease = LeaderLease(term, validUntilMs(renewalSentAtMs), electedAtMs = steadyMs())
         listener.onElected(lease)
         while (true) {
-            delay(ttlMs / RENEWALS_PER_LEASE)
+            delay(ttlMs / RENEWALS_PER_TTL)
             if (endedByResignation(lease, leaseId, listener)) return
             if (endedByStall(lease, listener)) return
             if (endedByExpiry(lease, leaseId, listener)) return
@@ -124,24 +129,24 @@
 
     private suspend fun endedByResignation(lease: LeaderLease, leaseId: Long, listener: ElectionListener): Boolean {
         val resignation = lease.resignation ?: return false
-        if (resignation.transferLeadership) noCampaignBeforeMs = steadyMs() + ttlMs * TRANSFER_LEASES
+        if (resignation.transferLeadership) noCampaignBeforeMs = steadyMs() + ttlMs * TRANSFER_COOLDOWN_TTLS
         listener.onDeposed(lease, TermEndReason.Resigned(resignation.reason))
         store.revokeLease(leaseId)
         return true
     }
 
     /**
-     * Ends the term of a leader whose event loop makes no progress. The lease isn't revoked but expires: the stalled loop may be in
-     * the middle of an answer, and relies on the lease for as long as its clock says that it is valid.
+     * Ends the term if the leader's event loop makes no progress. The lease is left to expire instead of being revoked: the stalled
+     * loop may be in the middle of sending a reply, which it is allowed to do until the lease's validity ends by its clock.
      */
     private suspend fun endedByStall(lease: LeaderLease, listener: ElectionListener): Boolean {
-        if (steadyMs() - lease.lastProgressMs <= ttlMs * STALLED_LEASES) return false
+        if (steadyMs() - lease.lastProgressMs <= ttlMs * STALL_TIMEOUT_TTLS) return false
         listener.onDeposed(lease, TermEndReason.Stalled)
         delay(ttlMs)
         return true
     }
 
-    /** Renews the lease, and ends the term if the store doesn't know it any more. */
+    /** Renews the lease, and ends the term if the lease no longer exists in the store. */
     private suspend fun endedByExpiry(lease: LeaderLease, leaseId: Long, listener: ElectionListener): Boolean {
         val sentAtMs = steadyMs()
         when (val renewal = store.renewLease(leaseId)) {
@@ -165,24 +170,24 @@
     private companion object {
         val log = LoggerFactory.getLogger("cleathitch.state")
 
-        /** The revision that stands for a key that doesn't exist. */
+        /** The revision that a compare-and-swap expects of a key that does not exist. */
         const val KEY_ABSENT = 0L
 
-        const val RENEWALS_PER_LEASE = 4
+        const val RENEWALS_PER_TTL = 4
 
-        /** How often the key is read in a lease's time while nothing else can be done. */
-        const val PAUSES_PER_LEASE = 8
+        /** How often the leader's key is read per lease TTL after a failed request, or while campaigning is not allowed. */
+        const val RETRIES_PER_TTL = 8
 
         /**
-         * For how many lease times this controller stays out of elections after a transfer of leadership. An election takes far
-         * less; if nobody else has won by then, this controller may lead again.
+         * How long this controller does not campaign after handing over leadership, in lease TTLs. An election takes far less
+         * time; if no other controller has won by then, this one may lead again.
          */
-        const val TRANSFER_LEASES = 4
+        const val TRANSFER_COOLDOWN_TTLS = 4
 
-        /** A leader without progress for so many lease times gives up, though its lease could be kept. */
-        const val STALLED_LEASES = 4
+        /** A leader that makes no progress for this many lease TTLs loses its term, even though its lease could still be renewed. */
+        const val STALL_TIMEOUT_TTLS = 4
 
-        /** How many lease times a watch stays open. */
-        const val WATCH_LEASES = 4L
+        /** How long one watch request stays open, in lease TTLs. */
+        const val WATCH_TIMEOUT_TTLS = 4L
     }
 }
--- a/src/main/kotlin/cleathitch/election/LeaderLease.kt
+++ b/src/main/kotlin/cleathitch/election/LeaderLease.kt
@@ -3,33 +3,36 @@
 import cleathitch.scheduler.model.Term
 
 /**
- * The lease of one term as it is shared by two event loops: [LeaderElection] renews it on a loop of its own, and the leader reports
- * progress and resigns on the loop that does the work. All times are readings of the steady clock, in milliseconds.
+ * The lease of one term, shared by two event loops: [LeaderElection] renews it on a dedicated loop, and the leader reports progress
+ * and resigns on the controller's main loop. All times are readings of the monotonic clock, in milliseconds.
  */
 class LeaderLease(val term: Term, validUntilMs: Long, electedAtMs: Long) {
-    /** The lease is certainly held until then. */
+    /** The time until which the lease is guaranteed to be held. */
     @Volatile
     var validUntilMs = validUntilMs
         private set
 
-    /** When the leader's event loop last reported progress; its election counts as such. */
+    /** When the leader's event loop last reported progress; initially the time of the election. */
     @Volatile
     var lastProgressMs = electedAtMs
         private set
 
-    /** How the leader gave the term up, null while it hasn't. */
+    /** The leader's resignation from the term, or null if it has not resigned. */
     @Volatile
     internal var resignation: Resignation? = null
         private set
 
     internal class Resignation(val reason: String, val transferLeadership: Boolean)
 
-    /** The leader's event loop made progress at [nowMs]. A leader that stops reporting loses its term. */
+    /** Records that the leader's event loop made progress at [nowMs]. A leader that stops reporting progress loses its term. */
     fun recordProgress(nowMs: Long) {
         lastProgressMs = nowMs
     }
 
-    /** Gives the term up, for instance because a newer leader was seen. [transferLeadership] lets other controllers win the next one. */
+    /**
+     * Resigns from the term, for instance because a newer leader was observed. With [transferLeadership], this controller does not
+     * campaign for some time, so that another controller wins the next term.
+     */
     fun resign(reason: String, transferLeadership: Boolean) {
         resignation = Resignation(reason, transferLeadership)
     }
--- a/src/main/kotlin/cleathitch/election/LeaderRecord.kt
+++ b/src/main/kotlin/cleathitch/election/LeaderRecord.kt
@@ -7,7 +7,7 @@
 import cleathitch.protocol.requiredText
 import com.fasterxml.jackson.databind.node.ObjectNode
 
-/** The value of the leader's key: who leads, in which [incarnation] of its process, under which [lease]. */
+/** The value of the leader's key: the leading [member], the [incarnation] of its process, and the id of its [lease]. */
 internal class LeaderRecord(val member: String, val incarnation: String, val lease: Long) {
     fun encode(): ObjectNode = MessageCodec.newMap()
         .put(MEMBER, member)
@@ -19,7 +19,7 @@
         private const val INCARNATION = "incarnation"
         private const val LEASE = "lease"
 
-        /** The record that [entry] holds, null if it is malformed. */
+        /** Decodes the record that [entry] holds; null if it is malformed. */
         fun decode(entry: KeyValueStoreProtocol.Entry): LeaderRecord? = try {
             LeaderRecord(entry.value.requiredText(MEMBER), entry.value.requiredText(INCARNATION), entry.value.requiredLong(LEASE))
         } catch (_: MalformedMessageException) {
--- a/src/main/kotlin/cleathitch/leader/Clocks.kt
+++ b/src/main/kotlin/cleathitch/leader/Clocks.kt
@@ -4,13 +4,13 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * The clocks of this process. Leases, timeouts and periods go by the steady clock, which never jumps; the time of day
- * only enters stored records, where it has to mean something to other processes.
+ * The clocks of this process. Leases, timeouts and periods use the monotonic clock, which never jumps. The wall clock is used
+ * only in stored records, because their times have to be comparable across processes.
  */
 class Clocks {
-    /** Milliseconds of the steady clock; comparable within this process alone. */
+    /** The monotonic clock in milliseconds; its readings are comparable only within this process. */
     fun steadyMs() = TimeUnit.NANOSECONDS.toMillis(System.nanoTime())
 
-    /** Both clocks, read together. */
+    /** A reading of the monotonic clock and the wall clock, taken together. */
     fun clockReading() = ClockReading(steadyMs(), System.currentTimeMillis())
 }
--- a/src/main/kotlin/cleathitch/leader/CloudPolling.kt
+++ b/src/main/kotlin/cleathitch/leader/CloudPolling.kt
@@ -7,9 +7,9 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 
-/** Asks the cloud for its machine types and its list of machines, periodically, and hands them on as inputs. */
+/** Periodically requests the cloud's machine types and its list of machines, and enqueues them as inputs of the scheduler. */
 internal class CloudPolling(private val cloud: CloudClient, private val deployment: Deployment, private val enqueue: (Input) -> Unit) {
-    /** Starts polling in [scope], which ends it. */
+    /** Starts polling in [scope]; cancelling the scope stops it. */
     fun launchIn(scope: CoroutineScope) {
         scope.launch { pollMachineTypes() }
         scope.launch { pollMachines() }
@@ -23,7 +23,7 @@
         }
     }
 
-    /** Asked more often than the cloud's list changes, it would return the same list again. */
+    /** Polls no more often than the cloud updates its list: a more frequent request would return the same list. */
     private suspend fun pollMachines() {
         val periodMs = maxOf(deployment.listLagMs, deployment.heartbeatPeriodMs)
         while (true) {
--- a/src/main/kotlin/cleathitch/leader/DeploymentPeriods.kt
+++ b/src/main/kotlin/cleathitch/leader/DeploymentPeriods.kt
@@ -2,15 +2,15 @@
 
 import cleathitch.scheduler.model.Deployment
 
-// The deployment's periods in the milliseconds in which clocks, timers and timeouts count.
+// The deployment's periods in milliseconds, the unit of clocks, timers and timeouts.
 
-/** How often a worker sends a heartbeat. */
+/** The interval between two heartbeats of a worker. */
 val Deployment.heartbeatPeriodMs get() = toMs(reportS)
 
-/** For how long a worker's lease outlives its last renewal. */
+/** How long a worker's lease is valid after its last renewal. */
 val Deployment.workerLeaseMs get() = toMs(leaseS)
 
-/** By how much the cloud's list of machines lags behind. */
+/** How far the cloud's list of machines may lag behind its actual state. */
 val Deployment.listLagMs get() = toMs(listLagS)
 
 private fun toMs(seconds: Double) = (seconds * 1000).toLong()
--- a/src/main/kotlin/cleathitch/leader/EffectExecutor.kt
+++ b/src/main/kotlin/cleathitch/leader/EffectExecutor.kt
@@ -16,10 +16,10 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Executes the scheduler's effects. What they lead to comes back as inputs through [enqueue]. Runs on the event loop;
- * the coroutines that it launches belong to [scope] and end with the term.
+ * Executes the scheduler's effects and returns their results to it as inputs through [enqueue]. Runs on the event loop; the
+ * coroutines that it launches belong to [scope] and are cancelled at the end of the term. [steadyMs] is the monotonic clock.
  */
-// Each parameter is where one kind of effect goes; groups of them would have no meaning of their own.
+// Each parameter is the target of one kind of effect; grouping them would only add types without a meaning of their own.
 @Suppress("LongParameterList")
 internal class EffectExecutor(
     private val scope: CoroutineScope,
@@ -33,7 +33,7 @@
     private val shareImageCacheHints: (Map<MachineId, ImageCache>) -> Unit,
     private val stepDown: (Effect.StepDown) -> Unit,
 ) {
-    /** Executes the effects of one batch in their order, then sends its worker commands together. */
+    /** Executes the effects of one batch in order, then delivers its worker commands together. */
     fun execute(effects: List<Effect>) {
         effects.forEach(::execute)
         delivery.deliver(scope, effects.filterIsInstance<Effect.ToWorker>())
@@ -43,22 +43,22 @@
         when (effect) {
             is Effect.Answer -> requests.userRequests.answer(effect.request, if (isLeaseValid()) effect.reply else NO_LEASE)
             is Effect.AnswerHeartbeat -> requests.heartbeats.answer(effect.request, effect)
-            is Effect.RefuseHeartbeat -> requests.heartbeats.leaveUnanswered(effect.request, UnansweredReason.REFUSED)
+            is Effect.RefuseHeartbeat -> requests.heartbeats.completeUnanswered(effect.request, UnansweredReason.REFUSED)
             is Effect.AnswerFollower -> requests.followerBatches.answer(effect.request, withValidStatuses(effect))
             is Effect.Write -> commit(effect)
-            // Sent together with the others of its batch.
+            // Delivered together with the other worker commands of the batch.
             is Effect.ToWorker -> Unit
             is Effect.Rent -> rent(effect)
             is Effect.TerminateMachines -> terminate(effect)
             is Effect.ShareImageCacheHints -> shareImageCacheHints(effect.images)
             is Effect.StepDown -> stepDown(effect)
-            is Effect.Log -> write(effect)
+            is Effect.Log -> writeLog(effect)
         }
     }
 
     /**
-     * Whether a reply to a user may leave. The process may have been paused since the scheduler decided on it, for longer
-     * than the lease; another controller may lead by now, and the reply may contradict what that one says.
+     * Whether a reply to a user may be sent. After the scheduler decided on the reply, the process may have been paused for longer
+     * than the lease; another controller may lead by now, and the reply could contradict its replies.
      */
     private fun isLeaseValid() = steadyMs() < lease.validUntilMs
 
@@ -81,7 +81,7 @@
         if (cloud.terminate(effect.machines)) enqueue(Input.MachinesTerminated(effect.machines))
     }
 
-    private fun write(effect: Effect.Log) = when (effect.level) {
+    private fun writeLog(effect: Effect.Log) = when (effect.level) {
         LogLevel.ERROR -> log.error("term={} {}", lease.term.revision, effect.text)
         LogLevel.INFO -> log.info("term={} {}", lease.term.revision, effect.text)
         LogLevel.DEBUG -> log.debug("term={} {}", lease.term.revision, effect.text)
--- a/src/main/kotlin/cleathitch/leader/InputQueue.kt
+++ b/src/main/kotlin/cleathitch/leader/InputQueue.kt
@@ -4,16 +4,16 @@
 import cleathitch.scheduler.model.JobId
 
 /**
- * The inputs that wait for the scheduler, handed out in bounded batches by priority class. Confined to the event loop.
+ * Queue of the scheduler's inputs, which are taken from it in bounded batches by priority class. Confined to the event loop.
  *
- * Requests beyond [maxQueuedRequests] are refused, so a flood costs memory and time within limits. Each batch takes
- * everything that is known of lease and commits and a bounded part of every other class, so no class waits for the end of
- * another. Requests about the same job and heartbeats of the same machine stay in their order.
+ * Requests beyond [maxQueuedRequests] are refused, which bounds memory and latency under a flood of requests. Each batch takes all
+ * queued inputs about the lease and commits and a bounded number of every other class, so that no class starves another. Requests
+ * about the same job stay in order, and so do heartbeats of the same machine.
  */
 class InputQueue(private val maxQueuedRequests: Int) {
-    /** The classes of inputs in the order in which a batch holds them. */
+    /** The priority classes, in the order in which their inputs are placed in a batch. */
     private enum class PriorityClass(val maxPerBatch: Int, val isRequest: Boolean) {
-        /** The outcomes of calls to other services: lease, commits, machine types. */
+        /** Results of calls to other services, such as lease renewals, commits and machine types. */
         OUTCOME(maxPerBatch = Int.MAX_VALUE, isRequest = false),
         HEARTBEAT_OR_CANCELLATION(maxPerBatch = 256, isRequest = true),
         POLL(maxPerBatch = 128, isRequest = true),
@@ -23,17 +23,17 @@
 
     private val queued = PriorityClass.entries.associateWith { ArrayDeque<Input>() }
 
-    /** How many submissions of each job are queued: later requests about the job must not overtake them. */
+    /** The number of queued submissions of each job; later requests about the job must not overtake them. */
     private val queuedSubmissions = HashMap<JobId, Int>()
 
-    /** How many requests are queued, of all classes. */
+    /** The number of queued requests of all classes. */
     var queuedRequests = 0
         private set
 
     /** Whether no input is queued. */
     val isEmpty get() = queued.values.all { it.isEmpty() }
 
-    /** Adds the input; false if it is a request and too many are queued already. */
+    /** Adds [input]; returns false if it is a request and [maxQueuedRequests] are queued already. */
     fun offer(input: Input): Boolean {
         val priority = priorityOf(input)
         if (priority.isRequest) {
@@ -45,7 +45,7 @@
         return true
     }
 
-    /** The next inputs for the scheduler; requests that nobody awaits any more are dropped. */
+    /** Removes and returns the next batch of inputs; drops requests whose sender no longer awaits an answer. */
     fun nextBatch(isAwaited: (Input) -> Boolean): List<Input> {
         val batch = ArrayList<Input>()
         for ((priority, inputs) in queued) {
--- a/src/main/kotlin/cleathitch/leader/LeaderDependencies.kt
+++ b/src/main/kotlin/cleathitch/leader/LeaderDependencies.kt
@@ -7,7 +7,7 @@
 import cleathitch.workers.WorkerClient
 import io.micrometer.core.instrument.MeterRegistry
 
-/** What each leadership term of this process works with; made once, at the start of the process. */
+/** The dependencies that all leadership terms of this process share; created once, at the start of the process. */
 class LeaderDependencies(
     val deployment: Deployment,
     val timings: SchedulerTimings,
@@ -17,6 +17,6 @@
     val meters: MeterRegistry,
     val processingTimes: ProcessingTimes,
 
-    /** How many requests may wait for the scheduler; those beyond are refused at once. */
+    /** The maximum number of requests queued for the scheduler; further requests are refused immediately. */
     val maxQueuedRequests: Int,
 )
--- a/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
+++ b/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
@@ -23,11 +23,12 @@
 import org.slf4j.LoggerFactory
 
 /**
- * One term as leader: recovers the scheduler from the log, then feeds it batches of inputs and has its effects executed.
- * Only [run] touches the scheduler. Confined to the controller's event loop.
+ * One term as leader: recovers the scheduler from the decision log, then passes it batches of inputs and executes its effects.
+ * Only [run] accesses the scheduler. Confined to the controller's event loop.
  *
- * [initialMachineTypes] and [initialImageCacheHints] are what this process knows already, so that the scheduler can place
- * tasks before the cloud and the workers have answered. [stepDown] ends the term: it cancels [run] and calls [end].
+ * [initialMachineTypes] and [initialImageCacheHints] are what this process already knows when the term begins, so that the
+ * scheduler can place tasks before the cloud and the workers have answered. [stepDown] ends the term: it cancels [run] and calls
+ * [end].
  */
 class LeaderTerm(
     val lease: LeaderLease,
@@ -45,34 +46,34 @@
     private val delivery = newDelivery(::enqueue)
     private val cloudPolling = CloudPolling(dependencies.cloud, dependencies.deployment, ::enqueue)
 
-    /** The requests that the scheduler answers during this term. */
+    /** The requests that are answered by the scheduler during this term. */
     val requests = TermRequests(queue, clocks::steadyMs, wakeUp = { wakeUp.trySend(Unit) })
 
     val term get() = lease.term
 
-    /** The number of the term, which grows from term to term. */
+    /** The number of the term, which increases from term to term. */
     val revision get() = term.revision
 
-    /** When this term began, by the steady clock. */
+    /** When this term began, by the monotonic clock. */
     val electedAtMs = clocks.steadyMs()
 
-    /** Whether the log is replayed and the term goes on, so that requests are answered. */
+    /** Whether requests are answered: the log has been replayed and the term has not ended. */
     val isReady get() = requests.isOpen
 
-    /** What this term is doing, as keys and values for the log. */
+    /** The term's current phase and its details, as key-value pairs for a log line. */
     val activity: String
         get() = when {
             isReady -> "phase=leading queued_requests=${queue.queuedRequests}"
             else -> "phase=recovering storage=${logValue(storage.loadProgress.toString())}"
         }
 
-    /** Takes in what workers answered to commands that a follower delivered. */
+    /** Records the workers' answers to commands that a follower delivered. */
     fun recordDeliveryResults(results: List<DeliveryResultMessage>) = delivery.onDeliveryResults(results)
 
-    /** Ends every pending request. */
+    /** Ends all pending requests; no further requests are accepted. */
     fun end() = requests.close()
 
-    /** Recovers the scheduler, calls [onRecovered], and leads until it is cancelled. */
+    /** Recovers the scheduler, calls [onRecovered], and leads until cancelled. */
     suspend fun run(onRecovered: () -> Unit) = coroutineScope {
         val scheduler = recover(onRecovered)
         launch { tick() }
@@ -96,7 +97,7 @@
                 val batch = nextBatch()
                 batchSizes.record(batch.size.toDouble())
                 executor.execute(apply(scheduler, batch))
-                // Under a flood of requests, everything else on this loop gets its turn between two batches.
+                // Lets other coroutines on this event loop run between two batches, also under a flood of requests.
                 yield()
             }
         }
@@ -134,7 +135,7 @@
         },
     )
 
-    /** The next batch, which always says until when the lease is valid by now. */
+    /** The next batch of inputs, which always includes the current expiry time of the lease. */
     private fun nextBatch(): List<Input> {
         lease.recordProgress(clocks.steadyMs())
         enqueue(Input.LeaseRenewed(lease.validUntilMs))
--- a/src/main/kotlin/cleathitch/leader/PendingRequests.kt
+++ b/src/main/kotlin/cleathitch/leader/PendingRequests.kt
@@ -4,9 +4,10 @@
 import kotlinx.coroutines.CompletableDeferred
 
 /**
- * The requests of one kind that wait for the scheduler's answer, the oldest first. Confined to the event loop.
+ * The requests of one kind that await the scheduler's answer, oldest first. Confined to the event loop.
  *
- * Requests expire by [expire], which the term's tick calls: a timer for each request costs a tenth of a heartbeat's work.
+ * Requests are timed out by [expire], which the term's periodic tick calls. A timer for each request would cost a tenth of the
+ * work of handling a heartbeat.
  */
 internal class PendingRequests<T>(private val steadyMs: () -> Long) {
     private class Pending<T>(val sinceMs: Long) {
@@ -18,8 +19,8 @@
     operator fun contains(request: RequestId) = request in pending
 
     /**
-     * Registers the request, calls [onRegistered], and suspends until the request has an outcome. [onRegistered] may
-     * run the scheduler at once, so the request has to be in the table by then.
+     * Registers the request, calls [onRegistered], and suspends until the request has an outcome. The request is registered first
+     * because [onRegistered] may run the scheduler immediately.
      */
     suspend fun await(request: RequestId, onRegistered: () -> Unit): RequestOutcome<T> {
         val entry = Pending<T>(steadyMs())
@@ -32,24 +33,24 @@
         }
     }
 
-    /** Answers the request; one whose sender has given up is ignored. */
+    /** Completes the request with [answer]; ignored if the sender no longer awaits it. */
     fun answer(request: RequestId, answer: T) {
         pending[request]?.outcome?.complete(RequestOutcome.Answered(answer))
     }
 
-    /** Ends the request without an answer. */
-    fun leaveUnanswered(request: RequestId, reason: UnansweredReason) {
+    /** Completes the request without an answer, for [reason]. */
+    fun completeUnanswered(request: RequestId, reason: UnansweredReason) {
         pending[request]?.outcome?.complete(RequestOutcome.Unanswered(reason))
     }
 
-    /** Ends the requests that have waited for [timeoutMs] or longer. */
+    /** Times out the requests that have been pending for [timeoutMs] or longer. */
     fun expire(timeoutMs: Long) {
         val newestExpiredMs = steadyMs() - timeoutMs
         pending.values.takeWhile { it.sinceMs <= newestExpiredMs }
             .forEach { it.outcome.complete(RequestOutcome.Unanswered(UnansweredReason.TIMED_OUT)) }
     }
 
-    /** Ends all requests at the end of the term. */
+    /** Completes all requests without an answer, at the end of the term. */
     fun endAll() {
         pending.values.toList().forEach { it.outcome.complete(RequestOutcome.Unanswered(UnansweredReason.TERM_ENDED)) }
     }
--- a/src/main/kotlin/cleathitch/leader/RequestOutcome.kt
+++ b/src/main/kotlin/cleathitch/leader/RequestOutcome.kt
@@ -1,28 +1,28 @@
 package cleathitch.leader
 
-/** What came of a request to the scheduler. */
+/** The outcome of a request to the scheduler. */
 sealed interface RequestOutcome<out T> {
-    /** The scheduler's answer. */
+    /** The scheduler answered the request. */
     data class Answered<T>(val answer: T) : RequestOutcome<T>
 
-    /** There is no answer, and why. */
+    /** The request was not answered, for [reason]. */
     data class Unanswered(val reason: UnansweredReason) : RequestOutcome<Nothing>
 }
 
-/** Why the leader leaves a request without an answer. */
+/** Why the leader did not answer a request. */
 enum class UnansweredReason {
-    /** The term's log is still being replayed. */
+    /** The term's decision log is still being replayed. */
     RECOVERING,
 
-    /** As many requests wait as the queue may hold. */
+    /** The queue holds the maximum number of requests. */
     QUEUE_FULL,
 
-    /** The scheduler decided that the worker must not get an answer. */
+    /** The scheduler decided that the worker must not receive an answer. */
     REFUSED,
 
-    /** The scheduler hasn't answered in time. */
+    /** The scheduler did not answer within the timeout. */
     TIMED_OUT,
 
-    /** The term ended while the request waited. */
+    /** The term ended while the request was pending. */
     TERM_ENDED,
 }
--- a/src/main/kotlin/cleathitch/leader/TermRequests.kt
+++ b/src/main/kotlin/cleathitch/leader/TermRequests.kt
@@ -10,10 +10,10 @@
 import cleathitch.scheduler.model.RequestId
 
 /**
- * The requests of users, workers and followers during one term: enters them into the [queue] and keeps those that wait
- * for the scheduler's answer. Confined to the event loop.
+ * The requests of users, workers and followers during one term: enqueues them in [queue] and keeps track of those that await the
+ * scheduler's answer. Confined to the event loop.
  *
- * [wakeUp] has the term's loop look at the queue; [steadyMs] is the steady clock.
+ * [wakeUp] makes the term's loop process the queue; [steadyMs] is the monotonic clock.
  */
 class TermRequests internal constructor(private val queue: InputQueue, steadyMs: () -> Long, private val wakeUp: () -> Unit) {
     internal val userRequests = PendingRequests<UserReply>(steadyMs)
@@ -21,31 +21,31 @@
     internal val followerBatches = PendingRequests<Effect.AnswerFollower>(steadyMs)
     private var lastRequest = 0L
 
-    /** Whether requests are accepted: from the end of the replay to the end of the term. */
+    /** Whether requests are accepted, which is from the end of the log replay to the end of the term. */
     var isOpen = false
         private set
 
-    /** How long the scheduler took for each input of its last batch. */
+    /** The scheduler's average time per input in its last batch. */
     private var lastBatchMsPerInput = 0.0
 
-    /** Accepts a job; a repeated submission is answered like the first. */
+    /** Submits a job; a repeated submission gets the same answer as the first. */
     suspend fun submit(spec: JobSpec): UserReply = awaitUserReply { Input.Submit(it, spec) }
 
-    /** The state of a job. */
+    /** Queries the state of a job. */
     suspend fun poll(job: JobId): UserReply = awaitUserReply { Input.Poll(it, job) }
 
     /** Cancels a job. */
     suspend fun cancel(job: JobId): UserReply = awaitUserReply { Input.Cancel(it, job) }
 
-    /** The answer to a worker's heartbeat; without one, the worker's lease must not be renewed. */
+    /** Passes on a worker's heartbeat. If it is not answered, the worker's lease must not be renewed. */
     suspend fun heartbeat(heartbeat: Heartbeat): RequestOutcome<Effect.AnswerHeartbeat> =
         await(heartbeats) { Input.HeartbeatReceived(it, heartbeat) }
 
-    /** The decisions about the heartbeats and polls that a follower forwards. */
+    /** Passes on the heartbeats and polls that a follower has forwarded, and returns the decisions about them. */
     suspend fun followerBatch(heartbeats: List<ForwardedHeartbeat>, polls: List<JobId>): RequestOutcome<Effect.AnswerFollower> =
         await(followerBatches) { Input.FollowerBatchReceived(it, heartbeats, polls) }
 
-    /** Whether anybody still waits for the answer to [input]: under overload, abandoned requests would only delay the rest. */
+    /** Whether the sender of [input] still awaits an answer. Under overload, abandoned requests would only delay the others. */
     internal fun isAwaited(input: Input) = when (input) {
         is Input.Submit -> input.request in userRequests
         is Input.Poll -> input.request in userRequests
@@ -55,12 +55,12 @@
         else -> true
     }
 
-    /** The log is replayed: requests are accepted from now on. */
+    /** Starts accepting requests; called once the log has been replayed. */
     internal fun open() {
         isOpen = true
     }
 
-    /** The term is over: ends every pending request, and accepts no more. */
+    /** Ends all pending requests and accepts no more; called at the end of the term. */
     internal fun close() {
         isOpen = false
         userRequests.endAll()
@@ -68,14 +68,14 @@
         followerBatches.endAll()
     }
 
-    /** Ends the requests that the scheduler has left without an answer. */
+    /** Times out the requests that the scheduler has not answered within [REQUEST_TIMEOUT_MS]. */
     internal fun expire() {
         userRequests.expire(REQUEST_TIMEOUT_MS)
         heartbeats.expire(REQUEST_TIMEOUT_MS)
         followerBatches.expire(REQUEST_TIMEOUT_MS)
     }
 
-    /** The scheduler has handled a batch of [inputs], which took [durationMs]. */
+    /** Records that the scheduler handled a batch of [inputs] inputs in [durationMs]. */
     internal fun recordBatch(inputs: Int, durationMs: Double) {
         lastBatchMsPerInput = durationMs / inputs
     }
@@ -94,22 +94,22 @@
 
     private fun unavailable(reason: UnansweredReason) = when (reason) {
         UnansweredReason.RECOVERING -> UserReply.Unavailable("taking over")
-        UnansweredReason.QUEUE_FULL -> UserReply.Unavailable("too many requests wait", secondsToServeQueue())
+        UnansweredReason.QUEUE_FULL -> UserReply.Unavailable("too many requests wait", estimatedDrainSeconds())
         UnansweredReason.REFUSED, UnansweredReason.TIMED_OUT, UnansweredReason.TERM_ENDED ->
             UserReply.Unavailable("not the leader any more")
     }
 
-    /** How long the queued requests take at the pace of the last batch, which is when there will be room again. */
-    private fun secondsToServeQueue(): Int =
+    /** The estimated time in which the queued requests are handled, at the last batch's rate; the queue has room again by then. */
+    private fun estimatedDrainSeconds(): Int =
         (queue.queuedRequests * lastBatchMsPerInput / MS_PER_SECOND).toInt().coerceIn(1, MAX_RETRY_AFTER_S)
 
     private companion object {
         const val MS_PER_SECOND = 1000
 
-        /** The longest Retry-After that the protocol allows. */
+        /** The maximum Retry-After that the protocol allows, in seconds. */
         const val MAX_RETRY_AFTER_S = 30
 
-        /** Longer than the scheduler takes to give up on a request by itself, so that only a stalled scheduler meets it. */
+        /** Longer than the scheduler's own time limit for a request, so that it takes effect only if the scheduler stalls. */
         const val REQUEST_TIMEOUT_MS = 3000L
     }
 }
--- a/src/main/kotlin/cleathitch/storage/CommitResult.kt
+++ b/src/main/kotlin/cleathitch/storage/CommitResult.kt
@@ -1,10 +1,10 @@
 package cleathitch.storage
 
-/** How a commit of the decision log ended. */
+/** The result of a commit to the decision log. */
 sealed interface CommitResult {
-    /** The commit is in the key-value store, whose revision it raised to [revision]. */
+    /** The commit was applied, at [revision] of the key-value store. */
     data class Committed(val revision: Long) : CommitResult
 
-    /** Another controller leads or has led since: this term is over. [failedKeys] are the keys whose revisions differed. */
+    /** Another controller leads or has led in the meantime, so this term is over. [failedKeys] are the keys with unexpected revisions. */
     data class Refused(val failedKeys: List<String>) : CommitResult
 }
--- a/src/main/kotlin/cleathitch/storage/CompareAndSwapResult.kt
+++ b/src/main/kotlin/cleathitch/storage/CompareAndSwapResult.kt
@@ -2,20 +2,20 @@
 
 import cleathitch.http.ServiceError
 
-/** How a compare-and-swap ended. */
+/** The result of a compare-and-swap. */
 sealed interface CompareAndSwapResult {
-    /** Carried out; the store's revision is now [revision]. */
+    /** Applied; the store's revision is now [revision]. */
     data class Applied(val revision: Long) : CompareAndSwapResult
 
-    /** Not carried out, because [failedKeys] don't have the expected revisions. */
+    /** Not applied, because [failedKeys] do not have the expected revisions. */
     data class Refused(val failedKeys: List<String>) : CompareAndSwapResult
 
-    /** Not carried out, because a write names a lease that doesn't exist. */
+    /** Not applied, because a write refers to a lease that does not exist. */
     data object LeaseNotFound : CompareAndSwapResult
 
-    /** Not carried out, for a [reason] that may pass. */
+    /** Not applied, for a [reason] that may be temporary. */
     data class Unavailable(val reason: String) : CompareAndSwapResult
 
-    /** The outcome isn't known: it was carried out, or wasn't, or is still on its way and will be later. */
+    /** The outcome is unknown: the request was applied, was not applied, or is still in flight and may be applied later. */
     data class Unknown(val failure: ServiceError) : CompareAndSwapResult
 }
--- a/src/main/kotlin/cleathitch/storage/KeyValueStoreClient.kt
+++ b/src/main/kotlin/cleathitch/storage/KeyValueStoreClient.kt
@@ -16,10 +16,10 @@
 import java.net.URLEncoder
 
 /**
- * Client of the consensus-backed key-value store. Every failure is a value of the result, none an exception.
+ * Client of the consensus-backed key-value store. Failures are returned as results and never thrown.
  *
- * [timeoutMs] bounds one request; [name] distinguishes the clients of a process in metrics and in the log. A client is used on
- * the event loop that it was made for.
+ * [timeoutMs] is the timeout of one request; [name] distinguishes the clients of a process in metrics and logs. A client must be used
+ * on the event loop on which it was created.
  */
 class KeyValueStoreClient(
     vertx: Vertx,
@@ -30,10 +30,10 @@
 ) {
     private val client = PooledHttpClient(vertx, name, maxConnections = REQUEST_CONNECTIONS, meters = meters)
 
-    /** Watches stay open for long and must not take connections from other requests. */
+    /** Watches are long-lived, so they have their own connections and cannot exhaust those of other requests. */
     private val watchClient = PooledHttpClient(vertx, "$name-watch", maxConnections = WATCH_CONNECTIONS, meters = meters)
 
-    /** One page of the entries whose keys begin with [prefix], in the order of their keys, from the first one behind [after]. */
+    /** Reads one page of the entries whose keys start with [prefix], in key order, starting after the key [after] if it is given. */
     suspend fun list(prefix: String, after: String?): ServiceResult<KeyValueStoreProtocol.Page> {
         val since = if (after == null) "" else "&since=${encodeQuery(after)}"
         val path = "/keys?under=${encodeQuery(prefix)}$since&most=$MAX_ENTRIES_PER_PAGE"
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Carries out all of [writes] if each key of [expectedRevisions] has its revision, and none otherwise; revision 0 stands for
-     * a key that doesn't exist.
+     * Applies all of [writes] atomically if every key in [expectedRevisions] has the given revision, and none otherwise. Revision 0
+     * means that the key does not exist.
      */
     suspend fun compareAndSwap(expectedRevisions: Map<String, Long>, writes: List<KeyValueStoreProtocol.Write>): CompareAndSwapResult {
         val body = KeyValueStoreProtocol.transaction(expectedRevisions, writes)
@@ -59,22 +59,22 @@
         HTTP_OK -> CompareAndSwapResult.Applied(KeyValueStoreProtocol.revision(response.body))
         HTTP_CONFLICT -> CompareAndSwapResult.Refused(KeyValueStoreProtocol.failedKeys(response.body))
         HTTP_BAD_REQUEST -> rejected(KeyValueStoreProtocol.errorText(response.body))
-        else -> CompareAndSwapResult.Unavailable("status ${response.status}")
+        else -> CompareAndSwapResult.Unavailable("unexpected status ${response.status}")
     }
 
     private fun rejected(error: String?): CompareAndSwapResult {
         if (error == LEASE_NOT_FOUND_ERROR) return CompareAndSwapResult.LeaseNotFound
         log.error("event=compare_and_swap_rejected error=\"{}\"", error)
-        return CompareAndSwapResult.Unavailable("rejected as malformed: $error")
+        return CompareAndSwapResult.Unavailable("request rejected with status $HTTP_BAD_REQUEST: $error")
     }
 
-    /** Grants a new lease of [ttlMs] and gives its id. */
+    /** Requests a new lease with the time to live [ttlMs], and returns its id. */
     suspend fun grantLease(ttlMs: Long): ServiceResult<Long> {
         val result = call(HttpMethod.POST, "/holds", KeyValueStoreProtocol.ttl(ttlMs), timeoutMs)
         return read(result) { KeyValueStoreProtocol.lease(it) }
     }
 
-    /** Renews [lease] for the time that it was granted for. */
+    /** Renews [lease] for its full time to live. */
     suspend fun renewLease(lease: Long): LeaseRenewal =
         when (val result = call(HttpMethod.POST, "/holds/$lease/extend", EMPTY_MAP, timeoutMs)) {
             is CallResult.Failed -> LeaseRenewal.Unknown(ServiceError.NoAnswer(result.failure))
@@ -85,15 +85,15 @@
             }
         }
 
-    /** Revokes [lease]; true once it is certain that the lease doesn't exist any more. */
+    /** Revokes [lease]; returns true if the lease is known not to exist any longer. */
     suspend fun revokeLease(lease: Long): Boolean {
         val result = call(HttpMethod.DELETE, "/holds/$lease", null, timeoutMs)
         return result is CallResult.Answered && result.status in REVOKED_STATUSES
     }
 
     /**
-     * Waits up to [waitMs] for a change behind revision [since] of a key that begins with [prefix]. Fails also when the store no
-     * longer knows the changes since that revision.
+     * Waits up to [waitMs] for a change after revision [since] to a key that starts with [prefix]. Also fails if the store no longer
+     * holds the changes since that revision.
      */
     suspend fun watch(prefix: String, since: Long, waitMs: Long): ServiceResult<KeyValueStoreProtocol.Watched> {
         val path = "/follow?under=${encodeQuery(prefix)}&since=$since&blockMs=$waitMs"
@@ -120,7 +120,7 @@
         const val WATCH_CONNECTIONS = 2
         const val MAX_ENTRIES_PER_PAGE = 1000
 
-        /** A page is far larger than any other response. */
+        /** Multiplies the timeout for a page of entries, which is far larger than any other response. */
         const val LIST_TIMEOUT_FACTOR = 2
 
         const val HTTP_OK = 200
@@ -130,7 +130,7 @@
         const val HTTP_CONFLICT = 409
         val REVOKED_STATUSES = setOf(HTTP_OK, HTTP_NO_CONTENT, HTTP_NOT_FOUND)
 
-        /** What the store answers to a write under a lease that doesn't exist. */
+        /** The store's error text for a write that refers to a lease that does not exist. */
         const val LEASE_NOT_FOUND_ERROR = "no such lease"
 
         /** An empty MessagePack map. */
--- a/src/main/kotlin/cleathitch/storage/LeaseRenewal.kt
+++ b/src/main/kotlin/cleathitch/storage/LeaseRenewal.kt
@@ -2,14 +2,14 @@
 
 import cleathitch.http.ServiceError
 
-/** How a request to renew a lease ended. */
+/** The result of a request to renew a lease. */
 sealed interface LeaseRenewal {
-    /** The lease is held, for its whole time from when the store received the request. */
+    /** The lease is held for its full time to live, counted from when the store received the request. */
     data object Renewed : LeaseRenewal
 
-    /** The lease doesn't exist any more: it expired or was revoked. */
+    /** The lease no longer exists: it expired or was revoked. */
     data object Expired : LeaseRenewal
 
-    /** The lease may have been renewed or not. */
+    /** It is unknown whether the lease was renewed. */
     data class Unknown(val failure: ServiceError) : LeaseRenewal
 }
--- a/src/main/kotlin/cleathitch/storage/LoadProgress.kt
+++ b/src/main/kotlin/cleathitch/storage/LoadProgress.kt
@@ -1,18 +1,18 @@
 package cleathitch.storage
 
-/** How far a new leader has come in reading the decision log. */
+/** The progress of a new leader in reading the decision log. The string form is written to the log. */
 sealed interface LoadProgress {
-    /** Nothing is requested yet. */
+    /** No page has been requested yet. */
     data object NotStarted : LoadProgress {
         override fun toString() = "log not read yet"
     }
 
-    /** Waiting for [page], the first being 1, with [entries] of the pages before it, in the given [attempt] at reading all of them. */
+    /** Waiting for [page], counted from 1, after [entries] entries from the previous pages, in the given [attempt] to read all pages. */
     data class ReadingPage(val page: Int, val entries: Int, val attempt: Int) : LoadProgress {
         override fun toString() = "reading log page=$page entries=$entries attempt=$attempt"
     }
 
-    /** The whole log is read. */
+    /** The whole log has been read. */
     data object Complete : LoadProgress {
         override fun toString() = "log read"
     }
--- a/src/main/kotlin/cleathitch/storage/LogCodec.kt
+++ b/src/main/kotlin/cleathitch/storage/LogCodec.kt
@@ -21,8 +21,9 @@
 import java.util.Base64
 
 /**
- * The stored form of the decision log: a map whose one field holds CBOR in Base64, because the store's values can't hold binary
- * data. The head is a plain map. Running clusters hold this form, so it never changes.
+ * Encodes and decodes the stored format of the decision log. Each value is a map with a single field that holds Base64-encoded CBOR,
+ * because the store's values cannot hold binary data. The head is a plain map. Running clusters hold data in this format, so it must
+ * not change.
  */
 @OptIn(ExperimentalSerializationApi::class)
 object LogCodec {
@@ -34,7 +35,7 @@
     private const val HEAD_INDEX_FIELD = "seq"
     private const val HEAD_TERM_FIELD = "term"
 
-    /** The stored form of [value], split into so many [parts]; the head is never split. */
+    /** Encodes [value], split into the given number of [parts]; the head is never split. */
     fun encode(value: StoredValue, parts: Int): List<ObjectNode> = when (value) {
         is StoredValue.Head -> listOf(encodeHead(value))
         is StoredValue.Record -> encode(LogRecord.serializer(), value.record, parts)
@@ -55,13 +56,13 @@
         }
     }
 
-    /** The head that [node] holds; throws [MalformedMessageException] if it isn't one. */
+    /** Decodes the head from [node]; throws [MalformedMessageException] if it is malformed. */
     fun head(node: JsonNode) = StoredValue.Head(LogIndex(node.requiredLong(HEAD_INDEX_FIELD)), Term(node.requiredLong(HEAD_TERM_FIELD)))
 
     /**
-     * The state that is stored under the deployment's keys; the keys of [entries] are those of [cleathitch.scheduler.log.LogKeys].
-     * Throws [MalformedMessageException] if a key or a value's field isn't as expected, and the decoder's exceptions if its
-     * content can't be decoded.
+     * Decodes the state of a deployment from all of its stored [entries], whose keys are those of [cleathitch.scheduler.log.LogKeys].
+     * Throws [MalformedMessageException] if a key or a field of a value is malformed, and the decoder's exceptions if the content of
+     * the field cannot be decoded.
      */
     fun recoveredState(entries: List<KeyValueStoreProtocol.Entry>): RecoveredState {
         val reader = RecoveredStateReader()
@@ -69,10 +70,10 @@
         return reader.result()
     }
 
-    /** The value that is stored in one part. */
+    /** Decodes a value that is stored in one part. */
     internal fun <T> decode(serializer: KSerializer<T>, node: JsonNode): T = decode(serializer, listOf(node))
 
-    /** The value whose [parts] are given in their order. */
+    /** Decodes a value from its [parts], which must be in order. */
     internal fun <T> decode(serializer: KSerializer<T>, parts: List<JsonNode>): T {
         val text = parts.joinToString("") { it.requiredText(CBOR_FIELD) }
         return cbor.decodeFromByteArray(serializer, Base64.getDecoder().decode(text))
--- a/src/main/kotlin/cleathitch/storage/LogStorage.kt
+++ b/src/main/kotlin/cleathitch/storage/LogStorage.kt
@@ -16,10 +16,11 @@
 
 /**
  * Reads and writes the decision log in the key-value store during one term. Owned by the leader's term and used on its event
- * loop, by one commit at a time.
+ * loop, with at most one commit in progress.
  *
- * Every commit is a compare-and-swap on the revisions of the leader's key and of the head key, which it rewrites. So a deposed
- * leader commits nothing, and a delayed copy of a commit is refused even after compaction has deleted what the commit wrote.
+ * Every commit is a compare-and-swap on the revisions of the leader's key and of the head key, and rewrites the head key. Therefore
+ * a deposed leader cannot commit, and a delayed duplicate of a commit is refused even after compaction has deleted the entries that
+ * the commit wrote. [steadyMs] is the monotonic clock.
  */
 class LogStorage(
     private val store: KeyValueStoreClient,
@@ -29,18 +30,18 @@
     private val processingTimes: ProcessingTimes,
     private val steadyMs: () -> Long,
 ) {
-    private class Contents(val entries: List<KeyValueStoreProtocol.Entry>, val pages: Int)
+    private class LogContents(val entries: List<KeyValueStoreProtocol.Entry>, val pages: Int)
 
     private val headKey = keyPrefix + LogKeys.HEAD
     private var headRevision = KEY_ABSENT
 
-    /** How far [load] has come; shows what a term was doing that ends before it leads. */
+    /** The progress of [load], logged to show what a term was doing if it ends before the scheduler is recovered. */
     var loadProgress: LoadProgress = LoadProgress.NotStarted
         private set
 
     /**
-     * Reads the whole log, and tries again until every page was read. Nobody else writes meanwhile, because this controller holds
-     * the leader's key. Throws what [LogCodec.recoveredState] throws if a stored value can't be decoded.
+     * Reads the whole log, retrying until all pages have been read in one attempt. There are no concurrent writes, because this
+     * controller holds the leader's key. Throws the exceptions of [LogCodec.recoveredState] if a stored value cannot be decoded.
      */
     suspend fun load(): RecoveredState {
         val startedAtMs = steadyMs()
@@ -54,7 +55,7 @@
         }
     }
 
-    private suspend fun readPages(attempt: Int): ServiceResult<Contents> {
+    private suspend fun readPages(attempt: Int): ServiceResult<LogContents> {
         val entries = ArrayList<KeyValueStoreProtocol.Entry>()
         var lastKey: String? = null
         var pages = 0
@@ -70,11 +71,11 @@
             pages++
             entries += page.entries
             lastKey = page.entries.lastOrNull()?.key
-            if (!page.more) return ServiceResult.Success(Contents(entries, pages))
+            if (!page.more) return ServiceResult.Success(LogContents(entries, pages))
         }
     }
 
-    private fun recover(contents: Contents, attempt: Int, startedAtMs: Long): RecoveredState {
+    private fun recover(contents: LogContents, attempt: Int, startedAtMs: Long): RecoveredState {
         val recovered = decode(contents.entries)
         log.info(
             "term={} event=log_read entries={} pages={} duration_ms={} attempt={}",
@@ -90,11 +91,11 @@
 
     private fun decode(entries: List<KeyValueStoreProtocol.Entry>): RecoveredState {
         headRevision = entries.firstOrNull { it.key == headKey }?.revision ?: KEY_ABSENT
-        val relative = entries.map { KeyValueStoreProtocol.Entry(it.key.removePrefix(keyPrefix), it.value, it.revision) }
-        return processingTimes.measure(ProcessingStage.REPLAY) { LogCodec.recoveredState(relative) }
+        val relativeEntries = entries.map { KeyValueStoreProtocol.Entry(it.key.removePrefix(keyPrefix), it.value, it.revision) }
+        return processingTimes.measure(ProcessingStage.REPLAY) { LogCodec.recoveredState(relativeEntries) }
     }
 
-    /** Carries out [commit], and sends the same content again until it is certain whether it was carried out. */
+    /** Writes [commit], resending the same content until it is certain whether it was applied. */
     suspend fun commit(commit: Commit): CommitResult {
         val expectedRevisions = mapOf(leaderKey to term.revision, headKey to headRevision)
         val writes = processingTimes.measure(ProcessingStage.COMMIT_ENCODING) { commit.changes.flatMap(::writesOf) }
@@ -126,8 +127,8 @@
     }
 
     /**
-     * The revision at which an earlier attempt at [commit] was carried out although its response was lost; null if the head isn't
-     * this commit's.
+     * The revision at which an earlier attempt to write [commit] was applied although its response was lost; null if the head was not
+     * written by this commit.
      */
     private suspend fun revisionOfEarlierAttempt(commit: Commit): Long? {
         val entry = readHead() ?: return null
@@ -140,7 +141,7 @@
         return entry.revision.takeIf { head.index == commit.index && head.term == term }
     }
 
-    /** The entry of the head key, null if there is none; tries again until the key was read. */
+    /** Reads the entry of the head key, retrying until the read succeeds; null if the key does not exist. */
     private suspend fun readHead(): KeyValueStoreProtocol.Entry? {
         while (true) {
             when (val read = store.list(headKey, null)) {
@@ -174,10 +175,10 @@
     private companion object {
         val log = LoggerFactory.getLogger("cleathitch.state")
 
-        /** The revision that stands for a key that doesn't exist. */
+        /** The revision that a compare-and-swap expects of a key that does not exist. */
         const val KEY_ABSENT = 0L
 
-        /** Several times a usual response time, so that an outage doesn't use up the request budget. */
+        /** Several times the usual response time, so that retries during an outage do not use up the request budget. */
         const val RETRY_DELAY_MS = 100L
     }
 }
--- a/src/main/kotlin/cleathitch/storage/RecoveredStateReader.kt
+++ b/src/main/kotlin/cleathitch/storage/RecoveredStateReader.kt
@@ -13,17 +13,17 @@
 import cleathitch.scheduler.log.StoredJob
 import cleathitch.scheduler.log.StoredRecord
 
-/** Puts the entries of the key-value store together to a [RecoveredState]: [add] each entry, then take the [result]. */
+/** Assembles a [RecoveredState] from the entries of the key-value store: call [add] for each entry, then [result]. */
 internal class RecoveredStateReader {
     private var head = LogIndex.NONE
     private var inventory: InventorySnapshot? = null
     private val records = ArrayList<StoredRecord>()
     private val finishedJobs = ArrayList<StoredFinishedJobs>()
 
-    /** The parts of each job's snapshot, by the key that they have in common. */
+    /** The parts of each job's snapshot, by the key prefix that they share. */
     private val jobParts = LinkedHashMap<String, MutableList<KeyValueStoreProtocol.Entry>>()
 
-    /** Adds one entry; entries under unknown keys are left out. */
+    /** Adds one entry; entries with unknown keys are ignored. */
     fun add(entry: KeyValueStoreProtocol.Entry) {
         val key = entry.key
         when {
@@ -36,12 +36,12 @@
     }
 
     private fun addRecord(entry: KeyValueStoreProtocol.Entry) {
-        val index = LogIndex(numberBehind(LogKeys.RECORD_PREFIX, entry.key))
+        val index = LogIndex(numberAfter(LogKeys.RECORD_PREFIX, entry.key))
         records += StoredRecord(index, LogCodec.decode(LogRecord.serializer(), entry.value))
     }
 
     private fun addFinishedJobs(entry: KeyValueStoreProtocol.Entry) {
-        val chunkNumber = numberBehind(LogKeys.FINISHED_JOBS_PREFIX, entry.key)
+        val chunkNumber = numberAfter(LogKeys.FINISHED_JOBS_PREFIX, entry.key)
         finishedJobs += StoredFinishedJobs(chunkNumber, LogCodec.decode(FinishedJobsSnapshot.serializer(), entry.value))
     }
 
@@ -57,6 +57,6 @@
         return StoredJob(snapshot, parts.size)
     }
 
-    private fun numberBehind(prefix: String, key: String): Long = key.removePrefix(prefix).toLongOrNull()
-        ?: throw MalformedMessageException("expected a number behind $prefix in the key $key")
+    private fun numberAfter(prefix: String, key: String): Long = key.removePrefix(prefix).toLongOrNull()
+        ?: throw MalformedMessageException("key $key: expected a number after the prefix $prefix")
 }
--- a/src/test/kotlin/cleathitch/election/LeaderElectionTest.kt
+++ b/src/test/kotlin/cleathitch/election/LeaderElectionTest.kt
@@ -14,7 +14,7 @@
 import java.util.concurrent.LinkedBlockingQueue
 import java.util.concurrent.TimeUnit
 
-/** [LeaderElection] against a key-value store over HTTP. */
+/** [LeaderElection] against a simulated key-value store over HTTP. */
 class LeaderElectionTest {
     private val platform = SimulatedPlatform()
     private val vertx = Vertx.vertx()
@@ -48,14 +48,15 @@
     }
 
     private fun awaitElection(): LeaderLease = elected.poll(ELECTION_TIMEOUT_S, TimeUnit.SECONDS)
-        ?: throw AssertionError("nobody was elected within $ELECTION_TIMEOUT_S s")
+        ?: throw AssertionError("no leader was elected within $ELECTION_TIMEOUT_S s")
 
     /**
-     * A term counts its rental requests from 0 and its fencing tokens from the term's own. Led twice, it would use both again. So a
-     * controller that resigned and couldn't revoke its lease must not take the key, which still is its own, for a term to lead.
+     * Within a term, rental requests are numbered from 0 and fencing tokens from the term's initial token, so leading a term twice would
+     * reuse both. A controller that resigned but failed to revoke its lease still holds the leader's key, and must not resume the
+     * term because of it.
      */
     @Test
-    fun `a term that was resigned is not led again`() {
+    fun `a controller does not resume a term from which it resigned`() {
         campaign()
         val first = awaitElection()
         platform.store.rejectsReleases = true
@@ -64,12 +65,12 @@
         assertTrue(second.term.revision > first.term.revision) { "${second.term} after ${first.term}" }
     }
 
-    /** A stalled process that went on renewing its lease would keep every other controller from leading. */
+    /** If a stalled leader went on renewing its lease, no other controller could be elected. */
     @Test
-    fun `a leader without progress is deposed and its lease expires`() {
+    fun `a leader that makes no progress is deposed and its lease expires`() {
         campaign()
         val first = awaitElection()
-        // Nothing reports progress to the lease.
+        // The test never calls recordProgress on the lease.
         val second = awaitElection()
         assertTrue(second.term.revision > first.term.revision)
         assertTrue(first.validUntilMs <= steadyMs())
--- a/src/test/kotlin/cleathitch/leader/InputQueueTest.kt
+++ b/src/test/kotlin/cleathitch/leader/InputQueueTest.kt
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Priority classes and limits of the scheduler's inputs under a flood of requests. */
+/** Priority classes and limits of [InputQueue] under a flood of requests. */
 class InputQueueTest {
     private val queue = InputQueue(maxQueuedRequests = 1000)
     private var requests = 0L
@@ -21,7 +21,7 @@
     private fun next(isAwaited: (Input) -> Boolean = { true }) = queue.nextBatch(isAwaited)
 
     @Test
-    fun `lease and commits come first in the next batch, even in the middle of a flood`() {
+    fun `lease renewals and commits come first in the next batch during a flood of submissions`() {
         repeat(1000) { queue.offer(submit(it)) }
         next()
         queue.offer(Input.LeaseRenewed(5))
@@ -30,7 +30,7 @@
     }
 
     @Test
-    fun `a cancellation is in the next batch, before the submissions of a flood`() {
+    fun `a cancellation comes before queued submissions in the next batch`() {
         repeat(900) { queue.offer(submit(it)) }
         val cancellation = cancel(job = 5000)
         queue.offer(cancellation)
@@ -38,7 +38,7 @@
     }
 
     @Test
-    fun `a batch is bounded, and takes some of each priority class`() {
+    fun `a batch is bounded and contains inputs of every queued priority class`() {
         repeat(400) { queue.offer(submit(it)) }
         repeat(400) { queue.offer(poll(1000 + it)) }
         queue.offer(Input.Tick)
@@ -48,7 +48,7 @@
     }
 
     @Test
-    fun `requests beyond the limit are refused, other inputs are not`() {
+    fun `requests beyond the limit are refused but other inputs are accepted`() {
         repeat(1000) { assertTrue(queue.offer(submit(it))) }
         assertFalse(queue.offer(poll(1)))
         assertTrue(queue.offer(Input.CommitSucceeded(LogIndex(1), 2)))
@@ -57,18 +57,18 @@
     }
 
     @Test
-    fun `requests about the same job keep their order`() {
+    fun `requests about the same job stay in order`() {
         val inputs = listOf(submit(job = 1), cancel(job = 1), poll(job = 1))
         inputs.forEach { queue.offer(it) }
         assertEquals(inputs, next())
-        // Once the submission is out, a poll needn't wait behind those of others.
+        // Once the job's submission has left the queue, a poll need not wait behind submissions of other jobs.
         val others = listOf(submit(job = 2), poll(job = 1))
         others.forEach { queue.offer(it) }
         assertEquals(others.reversed(), next())
     }
 
     @Test
-    fun `requests that their sender gave up are dropped and make room`() {
+    fun `requests whose sender no longer awaits an answer are dropped and free capacity`() {
         repeat(1000) { queue.offer(submit(it)) }
         var batches = 0
         while (!queue.isEmpty) {
--- a/src/test/kotlin/cleathitch/leader/PendingRequestsTest.kt
+++ b/src/test/kotlin/cleathitch/leader/PendingRequestsTest.kt
@@ -22,7 +22,7 @@
         async(start = CoroutineStart.UNDISPATCHED) { pending.await(request, onRegistered = {}) }
 
     @Test
-    fun `an answer reaches the request that it is for, and no other`() = runBlocking {
+    fun `an answer completes only the request that it belongs to`() = runBlocking {
         val outcomes = listOf(first, second).map { awaiting(it) }
         pending.answer(second, "second")
         pending.answer(first, "first")
@@ -30,20 +30,20 @@
     }
 
     @Test
-    fun `a request can be answered as soon as it is registered`() = runBlocking {
+    fun `a request can be answered while it is being registered`() = runBlocking {
         val outcome = pending.await(first, onRegistered = { pending.answer(first, "at once") })
         assertEquals(RequestOutcome.Answered("at once"), outcome)
     }
 
     @Test
-    fun `a request that is left unanswered learns the reason`() = runBlocking {
+    fun `a request that is completed without an answer gets the reason`() = runBlocking {
         val outcome = awaiting(first)
-        pending.leaveUnanswered(first, UnansweredReason.REFUSED)
+        pending.completeUnanswered(first, UnansweredReason.REFUSED)
         assertEquals(RequestOutcome.Unanswered(UnansweredReason.REFUSED), outcome.await())
     }
 
     @Test
-    fun `requests expire after their timeout, younger ones wait on`() = runBlocking {
+    fun `requests time out after the timeout, more recent ones stay pending`() = runBlocking {
         val old = awaiting(first)
         nowMs += 1
         val young = awaiting(second)
@@ -56,20 +56,20 @@
     }
 
     @Test
-    fun `the end of the term ends every request`() = runBlocking {
+    fun `the end of the term completes all requests without an answer`() = runBlocking {
         val outcomes = listOf(first, second).map { awaiting(it) }
         pending.endAll()
         assertEquals(List(2) { RequestOutcome.Unanswered(UnansweredReason.TERM_ENDED) }, outcomes.map { it.await() })
     }
 
     @Test
-    fun `a request is pending until it is answered or given up`() = runBlocking {
+    fun `a request is pending until it is answered or cancelled`() = runBlocking {
         val answered = awaiting(first)
-        val givenUp = awaiting(second)
+        val cancelled = awaiting(second)
         assertTrue(first in pending && second in pending)
         pending.answer(first, "answer")
         answered.await()
-        givenUp.cancelAndJoin()
+        cancelled.cancelAndJoin()
         assertFalse(first in pending || second in pending)
     }
 }
--- a/src/test/kotlin/cleathitch/leader/TermRequestsTest.kt
+++ b/src/test/kotlin/cleathitch/leader/TermRequestsTest.kt
@@ -22,14 +22,14 @@
     private fun CoroutineScope.polling() = async(start = CoroutineStart.UNDISPATCHED) { requests.poll(job) }
 
     @Test
-    fun `before the replay has ended nothing is queued, and the reason is said`() = runBlocking {
+    fun `requests are refused with a reason and not queued until the log has been replayed`() = runBlocking {
         assertEquals(UserReply.Unavailable("taking over"), requests.poll(job))
         assertEquals(RequestOutcome.Unanswered(UnansweredReason.RECOVERING), requests.followerBatch(emptyList(), listOf(job)))
         assertTrue(queue.isEmpty)
     }
 
     @Test
-    fun `beyond the queue's limit a request is refused, with the time in which the queue is served`() = runBlocking {
+    fun `a request beyond the queue's limit is refused with the estimated time until the queue is drained`() = runBlocking {
         requests.open()
         requests.recordBatch(inputs = 1, durationMs = 2500.0)
         val queued = List(2) { polling() }
@@ -39,7 +39,7 @@
     }
 
     @Test
-    fun `the end of the term ends what waits and accepts nothing more`() = runBlocking {
+    fun `at the end of the term pending requests end and no more are accepted`() = runBlocking {
         requests.open()
         val poll = polling()
         requests.close()
@@ -49,7 +49,7 @@
     }
 
     @Test
-    fun `a request that the scheduler leaves unanswered ends after three seconds`() = runBlocking {
+    fun `a request that the scheduler does not answer times out after three seconds`() = runBlocking {
         requests.open()
         val poll = polling()
         nowMs = 2999
@@ -61,7 +61,7 @@
     }
 
     @Test
-    fun `a request is awaited until its sender gives up, other inputs always`() = runBlocking {
+    fun `a request is awaited until its sender cancels it and other inputs are always awaited`() = runBlocking {
         requests.open()
         val poll = polling()
         val input = queue.nextBatch { true }.single()
