--- a/src/main/kotlin/cleathitch/scheduler/machines/CommandDispatcher.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/CommandDispatcher.kt
@@ -17,8 +17,8 @@
 import java.util.TreeMap
 
 /**
- * Sends commands to workers, as replies to heartbeats or directly, each message under a fencing token of its own.
- * Commands that depend on a record are held back until it is committed. Confined to the leader's event loop.
+ * Sends commands to workers, in replies to heartbeats or by direct calls; each message with commands has a new fencing token.
+ * Commands that depend on a log record are held back until the record is committed. Confined to the leader's event loop.
  */
 internal class CommandDispatcher(
     private val context: SchedulerContext,
@@ -29,32 +29,32 @@
     private val workerReconciler: WorkerReconciler,
     private val failureDetector: FailureDetector,
 ) {
-    /** The smallest token of this term: a machine that has seen it has been reached in this term. */
+    /** The lowest token of this term: a machine that reports this or a higher one has been reached in this term. */
     val firstToken = FencingToken.first(term.revision)
 
-    /** The newest token sent. */
+    /** The token of the last message sent, or the first token of a newer range if none of it is used yet. */
     var token = firstToken
         private set
 
-    /** Machines that get their new commands as soon as a record is committed. */
+    /** Machines to which commands are pushed once a record is committed, by the index of the record. */
     private val pushesAwaitingCommit = HashMap<LogIndex, MutableSet<MachineId>>()
 
     /**
-     * Attempts whose stops go out once the record is committed. Left to each machine's next heartbeat, a task that is
-     * fetching its image would start after its user has the reply to the cancellation; and where an outage follows at once,
-     * only leases would end what runs.
+     * Attempts whose stop commands are sent once a record is committed, by the index of the record. If the stops waited for each
+     * machine's next heartbeat, a task that is fetching its image could start after the user has received the reply to the
+     * cancellation; and if an outage followed immediately, running tasks would only end when their leases expire.
      */
     private val stopsAwaitingCommit = TreeMap<LogIndex, MutableList<Attempt>>()
 
-    /** Machines to which committed stops are still to be sent, a few at a time. */
+    /** Machines with committed stop commands that are yet to be sent; each step sends a limited number. */
     private val pendingStops = LinkedHashSet<MachineId>()
 
-    /** A commit raised the key-value store's revision, which makes a new range of tokens available. */
+    /** Records the key-value store's revision after a commit, which makes a new range of tokens available. */
     fun recordRevision(revision: Long) {
         token = maxOf(token, FencingToken.first(revision))
     }
 
-    /** The reply to the machine's heartbeat, with the commands that it lacks. */
+    /** Builds the reply to the machine's heartbeat, with the commands that are due for the machine. */
     fun replyTo(machine: Machine): HeartbeatDecision.Answer {
         val commands = commandsFor(machine)
         if (commands.isNotEmpty()) token = token.next()
@@ -64,7 +64,7 @@
         return HeartbeatDecision.Answer(token, commands)
     }
 
-    /** Sends the machine the commands that it lacks, without waiting for its next heartbeat. */
+    /** Sends the machine the commands that are due, without waiting for its next heartbeat. */
     fun push(machine: Machine) {
         val address = machine.address ?: return
         if (machine.state == MachineState.STARTING) return
@@ -75,35 +75,35 @@
         context.emit(Effect.SendCommands(machine.id, address, machine.incarnation, token, commands))
     }
 
-    /** Pushes to the machine once record [recordIndex] is committed. */
+    /** Pushes the machine's commands once record [recordIndex] is committed. */
     fun pushAfter(recordIndex: LogIndex, machine: MachineId) {
         pushesAwaitingCommit.getOrPut(recordIndex) { LinkedHashSet() } += machine
     }
 
-    /** Sends the stops of [attempts] once record [recordIndex] is committed. */
+    /** Sends the stop commands for [attempts] once record [recordIndex] is committed. */
     fun stopAfter(recordIndex: LogIndex, attempts: Collection<Attempt>) {
         stopsAwaitingCommit.getOrPut(recordIndex) { ArrayList() } += attempts
     }
 
-    /** Sends the stops whose records are committed. */
+    /** Sends the stop commands whose records are committed. */
     fun sendCommittedStops() {
         while (stopsAwaitingCommit.isNotEmpty() && stopsAwaitingCommit.firstKey() <= decisionLog.committedIndex) {
-            // Attempts that don't run yet go first: their stops can still forestall the starts.
+            // Attempts that aren't running yet go first: their stops can still prevent the start.
             stopsAwaitingCommit.pollFirstEntry().value.sortedBy { it.observedState == TaskState.RUNNING }.mapTo(pendingStops) { it.machine }
         }
         sendPendingStops()
     }
 
-    /** Sends some of the stops that are due; the others follow in later rounds or with the machines' heartbeats. */
+    /** Sends a limited number of the pending stop commands; the others follow in later calls or in replies to heartbeats. */
     fun sendPendingStops() {
-        val due = pendingStops.take(FailureDetector.MAX_PROBES)
+        val due = pendingStops.take(FailureDetector.MAX_DIRECT_CALLS)
         pendingStops.removeAll(due.toSet())
         due.forEach { id ->
             inventory.machines[id]?.let { if (it.lastContactMs == null) failureDetector.probe(it) else push(it) }
         }
     }
 
-    /** Pushes to the machines whose records are committed. */
+    /** Pushes commands to the machines whose records are committed. */
     fun sendCommittedPushes() {
         val committed = pushesAwaitingCommit.filterKeys { it <= decisionLog.committedIndex }
         committed.keys.forEach(pushesAwaitingCommit::remove)
@@ -116,7 +116,7 @@
         is WorkerCommand.Forget -> "command=forget attempt=${command.attempt}"
     }
 
-    /** Nothing is sent when the current range of tokens is used up: a message without a new token couldn't be fenced. */
+    /** Empty when the current range of tokens is exhausted, because a message without a new token couldn't be fenced. */
     private fun commandsFor(machine: Machine) = if (token.countLeft == 0L) emptyList() else workerReconciler.commandsFor(machine)
 
     private fun recordSent(machine: Machine, commands: List<WorkerCommand>) {
--- a/src/main/kotlin/cleathitch/scheduler/machines/DirectReachability.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/DirectReachability.kt
@@ -6,40 +6,42 @@
 /**
  * Detects that direct calls don't reach machines whose heartbeats still arrive through followers.
  *
- * A machine is a witness if a direct call to it got no answer, and a later heartbeat of it shows a reply that this leader
- * gave after that. So the machine runs and reaches the leader through a follower: the leader's own path to the workers is
- * cut. Any direct call that is answered clears the suspicion. Confined to the leader's event loop.
+ * A machine counts as reachable only through followers if a direct call to it wasn't answered and a later forwarded heartbeat
+ * contains the token of a reply that this leader sent after that call. The machine is then running and connected to the leader
+ * through a follower, which indicates that the leader's own network path to the workers is down. Any direct contact clears the
+ * suspicion. Confined to the leader's event loop.
  */
-internal class DirectReachability(private val patienceMs: Long) {
+internal class DirectReachability(private val timeoutMs: Long) {
     private class UnansweredCall(val sinceMs: Long, val lastReplyToken: FencingToken)
 
     private val unansweredCalls = HashMap<MachineId, UnansweredCall>()
 
-    /** Since when the direct calls to each witness go unanswered. */
-    private val witnesses = HashMap<MachineId, Long>()
+    /** The machines reachable only through followers, with the time since which direct calls to them go unanswered. */
+    private val forwardedOnlySinceMs = HashMap<MachineId, Long>()
 
-    /** A direct call reached its machine, or a machine reached this controller directly. */
+    /** Records that a direct call reached its machine, or that a machine reached this controller directly. */
     fun recordDirectContact() {
         unansweredCalls.clear()
-        witnesses.clear()
+        forwardedOnlySinceMs.clear()
     }
 
-    /** A direct call to [machine] got no answer. */
+    /** Records that a direct call to [machine] wasn't answered. */
     fun recordUnansweredCall(machine: Machine, nowMs: Long) {
         unansweredCalls.putIfAbsent(machine.id, UnansweredCall(nowMs, machine.lastReplyToken))
     }
 
-    /** A new heartbeat of [machine] arrived through a follower. */
+    /** Records that a new heartbeat of [machine] arrived through a follower. */
     fun recordForwardedHeartbeat(machine: Machine) {
         val call = unansweredCalls[machine.id] ?: return
-        if (machine.highestSeenToken > call.lastReplyToken) witnesses[machine.id] = call.sinceMs
+        if (machine.highestSeenToken > call.lastReplyToken) forwardedOnlySinceMs[machine.id] = call.sinceMs
     }
 
-    /** Whether the leader's own path to the workers seems to be cut. */
-    fun isCut(nowMs: Long): Boolean = witnesses.size >= MIN_WITNESSES && witnesses.values.any { nowMs - it >= patienceMs }
+    /** Whether the leader's own network path to the workers appears to be down. */
+    fun isDirectPathDown(nowMs: Long): Boolean =
+        forwardedOnlySinceMs.size >= MIN_FORWARDED_ONLY_MACHINES && forwardedOnlySinceMs.values.any { nowMs - it >= timeoutMs }
 
     private companion object {
-        /** One or two machines may well miss direct calls by a fault of their own. */
-        const val MIN_WITNESSES = 3
+        /** One or two machines may fail to answer direct calls because of faults of their own. */
+        const val MIN_FORWARDED_ONLY_MACHINES = 3
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
@@ -7,9 +7,9 @@
 import cleathitch.scheduler.model.MachineId
 
 /**
- * Suspects machines that are silent, that don't get our replies, or whose heartbeats don't arrive; probes the silent ones
- * directly, and terminates those that stay so. A majority of suspects at once is treated as a partition: those machines still
- * run their tasks, and are kept. Confined to the leader's event loop.
+ * Suspects machines that are silent, that don't receive the leader's replies, or whose heartbeats don't arrive. Silent machines
+ * are probed directly and terminated if they remain silent. If a majority of a zone or of the fleet is suspected at the same
+ * time, a network partition is assumed: the machines still run their tasks and are kept. Confined to the leader's event loop.
  */
 internal class FailureDetector(
     private val context: SchedulerContext,
@@ -21,28 +21,30 @@
 ) {
     private val nowMs get() = context.now.steadyMs
 
-    /** Probes listed machines that haven't shown themselves in this term, so that a failover doesn't wait for their heartbeats. */
-    fun probeUnseen() {
+    /** Probes listed machines without contact in this term, so that a failover doesn't have to wait for their heartbeats. */
+    fun probeUncontacted() {
         inventory.machines.values.asSequence()
             .filter { it.lastContactMs == null && it.isListedRunning && nowMs - it.lastProbeMs >= timings.probeGapMs }
-            .take(MAX_PROBES).forEach(::probe)
+            .take(MAX_DIRECT_CALLS).forEach(::probe)
     }
 
-    /** Asks the machine directly for a heartbeat. */
+    /** Requests a heartbeat from the machine by a direct call. */
     fun probe(machine: Machine) {
         machine.recordProbe(nowMs)
         machine.address?.let { context.emit(Effect.Probe(machine.id, it)) }
     }
 
     /**
-     * Probes machines that skip a heartbeat, and terminates those that answer neither: the cloud's confirmation frees their
-     * tasks long before their leases end. Partitioned machines are kept, as termination would end what still runs.
+     * Probes machines that miss a heartbeat, and terminates those that don't answer the probes either: once the cloud provider
+     * confirms the termination, their tasks can restart, long before the leases expire. Machines behind a network partition are
+     * kept, because termination would kill tasks that still run. Also terminates machines whose heartbeats don't arrive although
+     * they answer probes, and machines unseen since the failover.
      */
-    fun terminateSilent() {
+    fun terminateUnresponsive() {
         val up = inventory.machines.values.filter { it.state == MachineState.UP }
         terminateSuspects(up)
         terminateWithoutHeartbeats(up)
-        terminateUnknown()
+        terminateUnseenSinceFailover()
     }
 
     private fun terminateSuspects(up: List<Machine>) {
@@ -51,58 +53,59 @@
         val silent = partition.suspects.filter { hasFailedProbes(it) && silentForMs(it) >= timings.silentMs }
         silent.forEach { if (!partition.isPartitioned(it)) terminate(it.id, TerminationReason.SILENT) }
         partition.suspects.filter { it.state == MachineState.UP && nowMs - it.lastProbeMs >= timings.probeGapMs }
-            .take(MAX_PROBES).forEach(::probe)
+            .take(MAX_DIRECT_CALLS).forEach(::probe)
     }
 
     private fun hasFailedProbes(machine: Machine) = machine.unansweredProbes >= PROBES_BEFORE_TERMINATION || machine.address == null
 
     /**
-     * A machine that answers probes, but whose own heartbeats don't arrive, has lost its lease, and nothing can run there.
-     * Many of these at once are treated as a partition, as silent machines are, and get twice the time.
+     * Terminates machines that answer probes but whose own heartbeats don't arrive: they have lost their leases, so no task can
+     * run on them. A majority at the same time is treated as a network partition, as with silent machines, and gets twice the
+     * time.
      */
     private fun terminateWithoutHeartbeats(up: List<Machine>) {
-        val partition = PartitionDetector(up) { withoutHeartbeatMs(it) >= timings.silentMs }
+        val partition = PartitionDetector(up) { timeSinceHeartbeatMs(it) >= timings.silentMs }
         for (machine in partition.suspects) {
             if (machine.state != MachineState.UP) continue
-            val patienceMs = if (partition.isPartitioned(machine)) timings.leaseLossMs * 2 else timings.leaseLossMs
-            if (withoutHeartbeatMs(machine) >= patienceMs) terminate(machine.id, TerminationReason.NO_HEARTBEATS)
+            val timeoutMs = if (partition.isPartitioned(machine)) timings.leaseLossMs * 2 else timings.leaseLossMs
+            if (timeSinceHeartbeatMs(machine) >= timeoutMs) terminate(machine.id, TerminationReason.NO_HEARTBEATS)
         }
     }
 
-    /** Machines that the job table names, and that neither reported nor were listed since the failover. */
-    private fun terminateUnknown() {
+    /** Terminates machines with attempts in the job table that have neither reported nor been listed since the failover. */
+    private fun terminateUnseenSinceFailover() {
         if (nowMs - startedMs < timings.leaseLossMs) return
         jobTable.machinesInUse.filter { it !in inventory.machines && it !in inventory.terminatingMachines }
             .forEach { terminate(it, TerminationReason.UNSEEN_SINCE_FAILOVER) }
     }
 
-    /** Terminates machines that don't get our replies: their leases run out again and again, and with them their tasks. */
+    /** Terminates machines that don't receive the leader's replies: their leases expire repeatedly, which kills their tasks. */
     fun terminateMissingReplies() {
-        // Machines that missed a single reply count, too: those of one fault reach the limit one after the other, and the
-        // few at a time would all be terminated.
+        // Counts machines that missed even a single reply: machines affected by the same fault reach the limit one after another,
+        // and if only those were counted, there would be few at a time and all would be terminated.
         val suspects = inventory.machines.values.filter { it.state == MachineState.UP && it.missedReplies > 0 }
-        // With many at once it is more likely our replies that are late.
-        if (suspects.size > maxOf(FEW_MISSING_REPLIES, inventory.machines.size / MISSING_REPLIES_DIVISOR)) return
+        // If many machines miss replies at the same time, the leader's replies are more likely late than the machines faulty.
+        if (suspects.size > maxOf(MIN_INDEPENDENT_REPLY_LOSSES, inventory.machines.size / INDEPENDENT_REPLY_LOSS_DIVISOR)) return
         suspects.filter { it.missesReplies }.forEach { terminate(it.id, TerminationReason.MISSES_REPLIES) }
     }
 
-    /** For how long no heartbeat of the machine could be answered, whatever it answered to probes. */
-    private fun withoutHeartbeatMs(machine: Machine) =
+    /** Time since the last heartbeat of the machine that could be answered; probe responses don't count. */
+    private fun timeSinceHeartbeatMs(machine: Machine) =
         nowMs - maxOf(machine.lastHeartbeatMs ?: machine.expectedSinceMs, context.listeningSinceMs)
 
     /**
-     * Whether heartbeats and replies pass between the machine and us, as far as is known. Where they don't, the machine's
-     * lease runs out though direct commands arrive, and what is started there ends with it.
+     * Whether heartbeats and replies pass between the machine and the leader, as far as is known. Otherwise the machine's lease
+     * expires even if direct commands arrive, and tasks started on the machine are killed when it does.
      */
-    fun isReachable(machine: Machine): Boolean = !machine.missesReplies && withoutHeartbeatMs(machine) < timings.silentMs
+    fun isReachable(machine: Machine): Boolean = !machine.missesReplies && timeSinceHeartbeatMs(machine) < timings.silentMs
 
-    /** For how long the machine has shown itself in no way. */
+    /** Time since the last heartbeat or probe response of the machine; time in which none was expected or processed doesn't count. */
     fun silentForMs(machine: Machine): Long = nowMs - maxOf(machine.lastContactMs ?: machine.expectedSinceMs, context.listeningSinceMs)
 
     /**
-     * Expects heartbeats of a machine that the cloud lists as running, though it hasn't reported in this term: at once if
-     * tasks may run there, else when all machines have had time. This is checked not only when the machine is listed: one
-     * that is taken back before its first heartbeat isn't listed again, and would count as booting forever.
+     * Expects heartbeats from a machine that the cloud provider lists as running but that hasn't reported in this term:
+     * immediately if tasks may run on it, otherwise once all machines have had time to report. Must also be called apart from
+     * list updates: a machine that is reclaimed before its first heartbeat isn't listed again and would count as booting forever.
      */
     fun expectIfRunning(machine: Machine) {
         if (machine.state != MachineState.STARTING || !machine.isListedRunning) return
@@ -111,14 +114,17 @@
     }
 
     companion object {
-        /** Probes and other direct calls sent at a time. */
-        const val MAX_PROBES = 50
+        /** Limit on the direct calls (probes or commands) sent in one step. */
+        const val MAX_DIRECT_CALLS = 50
 
-        /** Probes that a silent machine must leave unanswered before it is terminated. */
+        /** Number of unanswered probes after which a silent machine may be terminated. */
         private const val PROBES_BEFORE_TERMINATION = 2
 
-        /** Above this part of the fleet, and above [FEW_MISSING_REPLIES], machines aren't blamed for missed replies. */
-        private const val MISSING_REPLIES_DIVISOR = 10
-        private const val FEW_MISSING_REPLIES = 2
+        /**
+         * If more machines miss replies than both the fleet size divided by [INDEPENDENT_REPLY_LOSS_DIVISOR] and
+         * [MIN_INDEPENDENT_REPLY_LOSSES], the fault is attributed to the leader's replies, and none of them is terminated.
+         */
+        private const val INDEPENDENT_REPLY_LOSS_DIVISOR = 10
+        private const val MIN_INDEPENDENT_REPLY_LOSSES = 2
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatIntake.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatIntake.kt
@@ -14,8 +14,9 @@
 import cleathitch.scheduler.model.Offer
 
 /**
- * Takes heartbeats in, whichever way they come, and decides about their answers. An answer renews the worker's lease, so
- * a stale heartbeat, and one of a terminated machine, gets none. Confined to the leader's event loop.
+ * Processes heartbeats, whether received directly, forwarded by a follower or returned by a probe, and decides how to answer
+ * them. An answer renews the worker's lease, so stale heartbeats and those of terminated machines aren't answered. Confined to
+ * the leader's event loop.
  */
 internal class HeartbeatIntake(
     private val context: SchedulerContext,
@@ -27,17 +28,17 @@
     private val directReachability: DirectReachability,
     private val imageCacheHints: ImageCacheHints,
 ) {
-    /** A heartbeat that a worker sent to this controller itself. */
+    /** Handles a heartbeat that a worker sent to this controller directly. */
     fun heartbeatReceived(input: Input.HeartbeatReceived) {
         when (val decision = decide(input.heartbeat)) {
             is HeartbeatDecision.Answer -> context.emit(Effect.AnswerHeartbeat(input.request, decision.token, decision.commands))
             HeartbeatDecision.Refuse, HeartbeatDecision.RequestFull -> context.emit(Effect.RefuseHeartbeat(input.request))
         }
-        // It shows that the path between the workers and this controller is whole.
+        // Proves that the network path between the workers and this controller works.
         directReachability.recordDirectContact()
     }
 
-    /** Decides about a heartbeat that a follower passes on. */
+    /** Decides how to answer a heartbeat that a follower forwarded. */
     fun decideForwarded(forwarded: ForwardedHeartbeat): HeartbeatDecision {
         if (context.hasSteppedDown || !context.mayAnswerMachines()) return HeartbeatDecision.Refuse
         val decision = when (forwarded) {
@@ -51,45 +52,46 @@
     }
 
     /**
-     * A worker answered a direct call with [heartbeat]: unlike a heartbeat that was on its way this can't be a late copy,
-     * so the machine is alive, and commands can be sent at once.
+     * Handles a worker's response to a direct call. Unlike a heartbeat that the worker sent, [heartbeat] can't be a delayed
+     * duplicate, so the machine is alive and commands can be sent immediately.
      */
     fun probeAnswered(heartbeat: Heartbeat) {
         val isFirstContact = inventory.machines[heartbeat.machine]?.lastContactMs == null
-        if (!observe(heartbeat)) return
+        if (!applyHeartbeat(heartbeat)) return
         val machine = inventory.machines.getValue(heartbeat.machine)
         machine.confirm()
         directReachability.recordDirectContact()
         if (isFirstContact) dispatcher.push(machine)
     }
 
-    /** A direct call to the machine got no answer. */
+    /** Handles a direct call to the machine that wasn't answered. */
     fun directCallUnanswered(id: MachineId) {
         inventory.machines[id]?.let { directReachability.recordUnansweredCall(it, context.now.steadyMs) }
     }
 
-    /** An unchanged heartbeat stands for its base with a newer sequence number, and is decided like that. */
+    /** An unchanged heartbeat is reconstructed from its base and then handled as a full one. */
     private fun decideUnchanged(forwarded: ForwardedHeartbeat.Unchanged): HeartbeatDecision {
         if (registry.isTerminated(forwarded.machine)) return HeartbeatDecision.Refuse
         val machine = inventory.machines[forwarded.machine] ?: return HeartbeatDecision.RequestFull
-        val heartbeat = machine.expand(forwarded) ?: return HeartbeatDecision.RequestFull
+        val heartbeat = machine.toFullHeartbeat(forwarded) ?: return HeartbeatDecision.RequestFull
         return decide(heartbeat)
     }
 
     private fun decide(heartbeat: Heartbeat): HeartbeatDecision {
-        if (!context.mayAnswerMachines() || !observe(heartbeat)) return HeartbeatDecision.Refuse
+        if (!context.mayAnswerMachines() || !applyHeartbeat(heartbeat)) return HeartbeatDecision.Refuse
         val machine = inventory.machines.getValue(heartbeat.machine)
         machine.recordAnswerableHeartbeat(heartbeat, context.now.steadyMs)
         return dispatcher.replyTo(machine)
     }
 
     /**
-     * Takes over what the heartbeat shows; false if it must not be answered, as it is stale or its machine is terminated.
+     * Applies the heartbeat to the machine and the job table. Returns false if it must not be answered, because it is stale or
+     * its machine is terminated, or because it shows a token of a newer leader, in favor of which this one steps down.
      *
-     * Every heartbeat taken over moves the bound of the machine's lease, also one that isn't answered: the machine's
-     * incarnation may just have begun, under a lease of its own.
+     * Every applied heartbeat extends the upper bound on the machine's lease, even if it isn't answered: the worker may have just
+     * started a new incarnation, which has a lease of its own.
      */
-    private fun observe(heartbeat: Heartbeat): Boolean {
+    private fun applyHeartbeat(heartbeat: Heartbeat): Boolean {
         if (heartbeat.token > dispatcher.token) {
             context.stepDown("machine ${heartbeat.machine} has seen token ${heartbeat.token}, ours is ${dispatcher.token}")
             return false
@@ -122,7 +124,7 @@
         }
     }
 
-    /** Stops what can save its progress on a machine that is about to be preempted, so that it is saved in time. */
+    /** Stops the attempts that write checkpoints on a machine that is about to be preempted, so that their progress is saved in time. */
     private fun drain(machine: Machine) {
         for (attempt in jobTable.attemptsOn(machine.id)) {
             if (attempt.stopCause == null && attempt.job.spec.checkpointIntervalS > 0) attempt.requestStop(StopCause.DRAIN)
--- a/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatReconciler.kt
@@ -18,8 +18,8 @@
 import cleathitch.scheduler.model.TaskStatus
 
 /**
- * Reconciles the job table with what a heartbeat shows: records the attempts that have completed or terminated, and what
- * failed on the machine. Confined to the leader's event loop.
+ * Reconciles the job table with the task statuses in heartbeats: records completed and terminated attempts, and task failures
+ * on the machine. Confined to the leader's event loop.
  */
 internal class HeartbeatReconciler(
     private val context: SchedulerContext,
@@ -30,18 +30,18 @@
     private val workerReconciler: WorkerReconciler,
     private val failureDetector: FailureDetector,
 ) {
-    /** Takes over the states of the tasks that [heartbeat] lists, then looks for the attempts that it lacks. */
+    /** Applies the task states in [heartbeat], then handles the machine's attempts that are missing from it. */
     fun reconcile(machine: Machine, heartbeat: Heartbeat) {
         for (task in heartbeat.tasks) reconcileTask(machine, task)
         val reported = heartbeat.tasks.mapTo(HashSet()) { it.attempt }
         for (attempt in jobTable.attemptsOn(machine.id).toList()) {
             if (attempt.id !in reported) reconcileMissing(machine, attempt)
         }
-        workerReconciler.dropSettledOutcomes(machine.id, reported)
+        workerReconciler.removeCommittedOutcomes(machine.id, reported)
         if (jobTable.attemptsOn(machine.id).isNotEmpty()) machine.recordUse(context.now.steadyMs)
     }
 
-    /** The attempt surely doesn't run any more; its task may start again. */
+    /** Records that the attempt can't be running any more, which allows its task to be started again. */
     fun recordTermination(attempt: Attempt) {
         val event = Event.AttemptTerminated(attempt.id.task.job, attempt.id.task.index, attempt.id.number)
         workerReconciler.recordOutcome(attempt.machine, attempt.id, context.append(event))
@@ -49,7 +49,7 @@
         if (jobTable.attemptsOn(machine.id).isEmpty()) machine.recordUse(context.now.steadyMs)
     }
 
-    /** Nothing runs on the machine any more. */
+    /** Records the termination of all attempts on the machine. */
     fun recordTerminationOfAll(machine: MachineId) {
         jobTable.attemptsOn(machine).toList().forEach(::recordTermination)
     }
@@ -59,14 +59,14 @@
         if (attempt != null) {
             recordState(machine, attempt, task)
         } else if (task.state == TaskState.EXITED && task.exitReason == ExitReason.DONE) {
-            // Results are kept outside the machine, so the result of any attempt completes the task.
+            // Results are stored outside the machine, so the task is complete even if this attempt isn't the live one.
             jobTable.job(task.attempt.task.job)?.let { recordCompletion(machine, it, task.attempt) }
         }
     }
 
     private fun reconcileMissing(machine: Machine, attempt: Attempt) {
         attempt.observe(null)
-        // A machine that misses our replies can't start the attempt; left to it, the task would wait until the partition heals.
+        // A machine that doesn't receive replies can't start the attempt; the task would wait until the network partition heals.
         val isAbandoned = attempt.stopCause != null || !failureDetector.isReachable(machine)
         if (isAbandoned && workerReconciler.isTerminationConfirmed(attempt, machine)) recordTermination(attempt)
     }
@@ -110,7 +110,7 @@
         recordTermination(attempt)
     }
 
-    /** The task's result is there; if its live attempt is another one, that is stopped. */
+    /** Records that [attempt] has produced the task's result, and stops the task's live attempt if that is another one. */
     private fun recordCompletion(machine: Machine, job: Job, attempt: AttemptId) {
         val index = attempt.task.index
         if (job.isDone(index)) return
@@ -123,7 +123,7 @@
         if (job.finishedIndex != null) context.logEvent(LogLevel.DEBUG) { "event=job_completed job=${job.id}" }
     }
 
-    /** A failing job is tried ever more rarely, down to once in a worker's lease. */
+    /** Increases the job's retry delay with each failure, up to the duration of a worker's lease. */
     private fun delayRetry(job: Job) {
         job.recordFailure(context.now.steadyMs, firstDelayMs = timings.roundMs, limitMs = (deployment.leaseS * 1000).toLong())
     }
--- a/src/main/kotlin/cleathitch/scheduler/machines/ImageCacheHints.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/ImageCacheHints.kt
@@ -8,8 +8,9 @@
 import cleathitch.scheduler.model.MachineId
 
 /**
- * Hands the knowledge of which machine holds which images from one leader to the next. Without it a new leader places
- * tasks without regard to images, and machines fetch what others hold. Confined to the leader's event loop.
+ * Shares with the followers which images are cached on which machines, so that the next leader knows. Otherwise a new leader
+ * would place tasks without regard to cached images, and machines would fetch images that others already hold. Confined to the
+ * leader's event loop.
  */
 internal class ImageCacheHints(
     private val context: SchedulerContext,
@@ -20,17 +21,17 @@
     private var received: Map<MachineId, ImageCache> = emptyMap()
     private var lastSharedMs = start.steadyMs
 
-    /** Takes over what an earlier leader has shared. */
+    /** Stores the hints that an earlier leader has shared. */
     fun receive(hints: Map<MachineId, ImageCache>) {
         received = hints
     }
 
-    /** Applies the hint for a machine whose first heartbeat in this term has just arrived, if its incarnation is still the same. */
+    /** Applies the hint for a machine on its first heartbeat in this term, if the hint is for the machine's current incarnation. */
     fun applyTo(machine: Machine) {
         received[machine.id]?.takeIf { it.incarnation == machine.incarnation }?.sizesGb?.forEach(machine::recordImage)
     }
 
-    /** Shares the image caches with the followers, once a period. */
+    /** Shares the contents of the image caches with the followers once per period. */
     fun shareIfDue() {
         if (context.now.steadyMs - lastSharedMs < timings.imageHintPeriodMs) return
         lastSharedMs = context.now.steadyMs
--- a/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
@@ -10,9 +10,9 @@
 import cleathitch.scheduler.model.Offer
 
 /**
- * Which machines there are: those rented, the rentals and terminations that the cloud hasn't confirmed, and the machine types
- * on offer. Rentals and terminations are a function of the recorded events; the machines themselves are learned anew in each
- * term, from heartbeats and the cloud's list. Confined to the leader's event loop.
+ * The rented machines, the rentals and terminations that the cloud provider hasn't confirmed, and the machine types on offer.
+ * Rentals and terminations are a function of the recorded events; the machines themselves are learned anew in each term, from
+ * heartbeats and the cloud provider's list. Confined to the leader's event loop.
  */
 class Inventory(private val deployment: Deployment) {
     private val machinesById = LinkedHashMap<MachineId, Machine>()
@@ -20,40 +20,40 @@
     private val terminating = LinkedHashSet<MachineId>()
     private val refusedUntilMs = HashMap<Offer, Long>()
 
-    /** The machines that this leader knows of, in the order in which it learned of them. */
+    /** The machines known to this leader, in the order in which they were registered. */
     val machines: Map<MachineId, Machine> get() = machinesById
 
-    /** Rentals that are recorded and not answered yet, by the name of their request. */
+    /** Rentals that are recorded but not yet answered by the cloud provider, by request name. */
     val pendingRentals: Map<String, Event.RentalRequested> get() = rentalsByRequest
 
-    /** Machines whose termination is recorded and not confirmed by the cloud yet. */
+    /** Machines whose termination is recorded but not yet confirmed by the cloud provider. */
     val terminatingMachines: Set<MachineId> get() = terminating
 
-    /** The machine types on offer, by name; empty until the cloud has listed them in this term. */
+    /** The machine types on offer, by name; empty until the cloud provider has listed them in this term. */
     var types: Map<String, MachineType> = emptyMap()
         private set
 
-    /** All zones in which there are machines to rent. */
+    /** All zones in which machines are on offer. */
     var zones: Set<String> = emptySet()
         private set
 
-    /** Zones that seem cut off: nothing is rented there. */
+    /** Zones that appear to be behind a network partition; no machines are rented in them. */
     var partitionedZones: Set<String> = emptySet()
         private set
 
-    /** Prices change, and machines whose heartbeats came before the first list get their type only now. */
+    /** Replaces the machine types, as prices change, and sets the type of machines that were registered before the first list. */
     fun updateTypes(listedTypes: List<MachineType>) {
         types = listedTypes.associateBy { it.name }
         zones = types.values.flatMapTo(LinkedHashSet()) { it.zones }
         machinesById.values.forEach { machine -> types[machine.offer.type]?.let { machine.type = it } }
     }
 
-    /** The failure detector's finding about the zones as they are now. */
+    /** Replaces the zones that the failure detector considers partitioned. */
     fun updatePartitionedZones(partitioned: Set<String>) {
         partitionedZones = partitioned
     }
 
-    /** Applies an event that is recorded, or queued to be recorded. */
+    /** Applies an event that is recorded in the log or queued for it. */
     fun apply(event: Event.InventoryEvent) {
         when (event) {
             is Event.RentalRequested -> rentalsByRequest[event.request] = event
@@ -69,30 +69,30 @@
         }
     }
 
-    /** The part of the inventory that the log keeps, after the record [upTo]. */
+    /** A snapshot of the part of the inventory that is kept in the log, as of record [upTo]. */
     fun snapshot(upTo: LogIndex) = InventorySnapshot(upTo, rentalsByRequest.values.toList(), terminating.toList())
 
-    /** Takes over what the log's snapshot holds; called once, before the events after it are applied. */
+    /** Restores the state from the log's snapshot; called once, before the events after the snapshot are applied. */
     fun restore(snapshot: InventorySnapshot) {
         snapshot.pendingRentals.forEach { rentalsByRequest[it.request] = it }
         terminating += snapshot.terminatingMachines
     }
 
-    /** The machine of this id; one that isn't known yet is added as starting, or as retired if its termination is recorded. */
+    /** Returns the machine with this id. An unknown one is added as starting, or as terminating if its termination is recorded. */
     fun register(id: MachineId, offer: Offer, rentedAtMs: Long): Machine = machinesById.getOrPut(id) {
         Machine(id, offer, types[offer.type], rentedAtMs).also { if (id in terminating) it.recordTerminationRequest() }
     }
 
-    /** The cloud had less than was asked for of [offer]: it isn't asked for again for some heartbeat periods. */
+    /** Records that the cloud provider rented out fewer machines of [offer] than requested; suspends requests for it for some time. */
     fun recordRefusal(offer: Offer, nowMs: Long) {
         refusedUntilMs[offer] = nowMs + (deployment.reportS * REFUSAL_BACKOFF_PERIODS * MS_PER_S).toLong()
     }
 
-    /** Whether the cloud refused [offer] so recently that it isn't worth asking for. */
+    /** Whether [offer] was refused so recently that it must not be requested again yet. */
     fun isRefused(offer: Offer, nowMs: Long): Boolean = nowMs < (refusedUntilMs[offer] ?: 0)
 
     private companion object {
-        /** After a refusal the same offer is asked for again after as many heartbeat periods; asked more often it uses up calls. */
+        /** Number of heartbeat periods after which a refused offer is requested again; requests in between would use up the call rate. */
         const val REFUSAL_BACKOFF_PERIODS = 3.0
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/Machine.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Machine.kt
@@ -10,103 +10,108 @@
 import cleathitch.scheduler.model.TaskStatus
 
 /**
- * A machine that is rented as far as is known: what its heartbeats, the cloud's lists and our probes have shown of it in this
- * term. Owned by [Inventory]; confined to the leader's event loop.
+ * The leader's view of a rented machine, learned in this term from heartbeats, the cloud provider's machine lists and probes.
+ * Owned by [Inventory]; confined to the leader's event loop.
  */
 class Machine(val id: MachineId, val offer: Offer, type: MachineType?, val rentedAtMs: Long) {
-    /** Null until the cloud has listed the machine types; its first heartbeat may arrive before that. */
+    /** Null until the cloud provider has listed the machine types; the machine's first heartbeat may arrive earlier. */
     var type: MachineType? = type
         internal set
 
     var state = MachineState.STARTING
         private set
 
-    /** Where commands and probes are sent, null while unknown. */
+    /** Destination of commands and probes, null while unknown. */
     var address: String? = null
         private set
 
-    /** The worker's incarnation and the newest sequence number in it, by which stale heartbeats are recognized. */
+    /** Incarnation of the worker in the newest heartbeat; together with [sequenceNumber] it identifies stale heartbeats. */
     var incarnation = 0L
         private set
+
+    /** The newest sequence number in the current incarnation. */
     private var sequenceNumber = 0L
 
-    /** The highest fencing token that the worker has shown: it accepts no command under a lower one. */
+    /** The highest fencing token that the worker has reported; it rejects commands with a lower one. */
     var highestSeenToken = FencingToken.NONE
         private set
 
-    /** When the machine last showed itself, by a heartbeat or the answer to a probe; null if it didn't in this term. */
+    /** Time of the last heartbeat or probe response from the machine, null if there was none in this term. */
     var lastContactMs: Long? = null
         private set
 
-    /** When the last heartbeat came that we could answer; null if none did in this term. */
+    /** Time of the last heartbeat that could be answered, null if there was none in this term. */
     var lastHeartbeatMs: Long? = null
         private set
 
-    /** From then on heartbeats of the machine are expected. */
+    /** Time from which heartbeats of the machine are expected. */
     var expectedSinceMs = 0L
         private set
 
-    /** The token of our last reply to the machine. */
+    /** The token of the leader's last reply to the machine. */
     var lastReplyToken = FencingToken.NONE
         private set
 
-    /** How many replies in a row the machine's heartbeats show it didn't get. */
+    /** Number of consecutive replies that, according to its heartbeats, the machine didn't receive. */
     var missedReplies = 0
         private set
 
-    /** Whether heartbeats arrive from the machine while our replies don't reach it. */
+    /** Whether heartbeats arrive from the machine but the leader's replies don't reach it. */
     val missesReplies: Boolean get() = missedReplies >= MISSED_REPLIES_LIMIT
 
     /**
-     * Whether the machine surely exists: it was rented in this term, or has shown a token of this term. The first heartbeat
-     * that a new leader gets may be a late copy, of a machine terminated long ago.
+     * Whether the machine is known to exist: it was rented in this term, has reported a token of this term or has answered a
+     * probe. The first heartbeat that a new leader receives is no proof, as it may be a delayed duplicate from a machine that
+     * was terminated long ago.
      */
     var isConfirmed = false
         private set
 
-    /** Probes sent since the machine last showed itself, and when the last was sent. */
+    /** Number of probes sent since the last contact. */
     var unansweredProbes = 0
         private set
+
+    /** Time at which the last probe was sent, 0 if none was. */
     var lastProbeMs = 0L
         private set
 
-    /** Until then the machine's tasks may run even if it never shows itself again. */
+    /** Upper bound on the end of the worker's lease: until then its tasks may run even without further contact. */
     var leaseEndMs = 0L
         private set
 
-    /** When the cloud takes the machine back, null unless it has given notice. */
+    /** When the cloud provider will reclaim the machine, null unless it has given a preemption notice. */
     var preemptionAtMs: Long? = null
         private set
 
-    /** The tasks that the newest heartbeat lists. */
+    /** Status of the tasks in the newest heartbeat. */
     var reportedTasks: List<TaskStatus> = emptyList()
         private set
 
-    /** Since when nothing has been placed or run here. */
+    /** Time since which no task has been placed or run on the machine. */
     var idleSinceMs: Long = rentedAtMs
         private set
 
-    /** How many tasks have failed here by themselves: the more, the less work is placed here. */
+    /** Number of tasks that failed on the machine with an error; placement prefers machines with fewer of them. */
     var taskFailures = 0
         private set
 
-    /** Whether the cloud's list shows the machine running. */
+    /** Whether the cloud provider lists the machine as running. */
     var isListedRunning = false
         private set
 
-    /** Until then nothing more is placed here, as the worker has refused a task for lack of room. */
+    /** No task is placed on the machine before this time, because the worker has rejected one for lack of resources. */
     var fullUntilMs = 0L
         private set
 
-    /** Images cached here with their sizes in GB, by last use; the worker evicts the least recently used by itself. */
+    /** Sizes in GB of the images cached on the machine, least recently used first; mirrors the worker's own LRU eviction. */
     private val images = LinkedHashMap<String, Double>()
 
-    /** Whether the heartbeat is older than one already taken in, or a copy of it. */
+    /** Whether the heartbeat is a duplicate of the newest recorded one, or older. */
     fun isStale(heartbeat: Heartbeat): Boolean = heartbeat.incarnation < incarnation ||
         (heartbeat.incarnation == incarnation && heartbeat.sequenceNumber <= sequenceNumber)
 
-    /** The heartbeat that [unchanged] stands for, or null if the newest heartbeat taken in isn't its base. */
-    fun expand(unchanged: ForwardedHeartbeat.Unchanged): Heartbeat? {
+    /** Reconstructs the full heartbeat from [unchanged]; null if the newest recorded heartbeat isn't its base. */
+    fun toFullHeartbeat(unchanged: ForwardedHeartbeat.Unchanged): Heartbeat? {
         val address = address ?: return null
         val isBase = incarnation == unchanged.incarnation && sequenceNumber == unchanged.baseSequenceNumber
         if (lastContactMs == null || !isBase) return null
@@ -124,7 +129,7 @@
         )
     }
 
-    /** Takes over what a heartbeat shows that isn't stale. A new incarnation begins with an empty image cache. */
+    /** Records the contents of a heartbeat that isn't stale. A new incarnation starts with an empty image cache. */
     fun recordHeartbeat(heartbeat: Heartbeat, nowMs: Long) {
         if (heartbeat.incarnation > incarnation) images.clear()
         address = heartbeat.address
@@ -137,76 +142,76 @@
         reportedTasks = heartbeat.tasks
     }
 
-    /** The heartbeat is about to be answered. It shows the token of our last reply, unless that didn't reach the machine. */
+    /** Records a heartbeat that is about to be answered. A token older than that of the last reply shows that the reply didn't arrive. */
     fun recordAnswerableHeartbeat(heartbeat: Heartbeat, nowMs: Long) {
         lastHeartbeatMs = nowMs
         missedReplies = if (heartbeat.token < lastReplyToken) missedReplies + 1 else 0
     }
 
-    /** We have answered a heartbeat under [token]. */
+    /** Records that a heartbeat was answered with [token]. */
     fun recordReply(token: FencingToken) {
         lastReplyToken = token
     }
 
-    /** The machine surely exists. */
+    /** Records that the machine is known to exist. */
     fun confirm() {
         isConfirmed = true
     }
 
-    /** The worker's lease may run until [untilMs]. */
+    /** Raises the upper bound on the end of the worker's lease to [untilMs], if that is later. */
     fun extendLease(untilMs: Long) {
         leaseEndMs = maxOf(leaseEndMs, untilMs)
     }
 
-    /** The machine has reported for the first time. */
+    /** Records the first heartbeat of the machine. */
     fun recordUp(nowMs: Long) {
         state = MachineState.UP
         expectedSinceMs = nowMs
         idleSinceMs = nowMs
     }
 
-    /** The machine runs but hasn't reported: from now on it is expected to, and suspected if it doesn't. */
+    /** Expects heartbeats from a machine that runs but has sent none yet; from now on the failure detector suspects it without them. */
     fun expectHeartbeats(nowMs: Long) {
         state = MachineState.UP
         expectedSinceMs = nowMs
     }
 
-    /** The machine is to be terminated: nothing is placed here any more. */
+    /** Records that the machine is to be terminated; no more tasks are placed on it. */
     fun recordTerminationRequest() {
         state = MachineState.TERMINATING
     }
 
-    /** The cloud lists the machine; its [address] counts until a heartbeat gives the worker's own. */
+    /** Records the machine's entry in the cloud provider's list; its [address] is used until a heartbeat contains the worker's own. */
     fun recordListing(isRunning: Boolean, address: String?) {
         isListedRunning = isRunning
         if (this.address == null) this.address = address
     }
 
-    /** A probe was sent, or would have been if the machine's address were known. */
+    /** Records a probe, which is counted even if it couldn't be sent because the machine's address is unknown. */
     fun recordProbe(nowMs: Long) {
         unansweredProbes++
         lastProbeMs = nowMs
     }
 
-    /** The machine is in use up to now. */
+    /** Records that the machine is in use, which restarts its idle time. */
     fun recordUse(nowMs: Long) {
         idleSinceMs = nowMs
     }
 
-    /** A task has failed here by itself. */
+    /** Records that a task failed on the machine with an error. */
     fun recordTaskFailure() {
         taskFailures++
     }
 
-    /** The worker has refused a task for lack of room. */
+    /** Records that the worker has rejected a task for lack of resources; no task is placed on it before [untilMs]. */
     fun recordFull(untilMs: Long) {
         fullUntilMs = untilMs
     }
 
-    /** Whether the image is cached here, as far as is known. */
+    /** Whether the image is cached on the machine, as far as the leader knows. */
     fun hasImage(image: String): Boolean = image in images
 
-    /** The image was used here just now; the least recently used ones are evicted for it. */
+    /** Records that the image is in use now, and evicts the least recently used images beyond the cache size of the machine type. */
     fun recordImage(image: String, sizeGb: Double) {
         images.remove(image)
         images[image] = sizeGb
@@ -214,11 +219,11 @@
         while (images.size > 1 && images.values.sum() > cacheGb) images.remove(images.keys.first())
     }
 
-    /** The images cached in the current incarnation. */
+    /** The images cached on the machine in the current incarnation. */
     fun imageCache(): ImageCache = ImageCache(incarnation, LinkedHashMap(images))
 
     private companion object {
-        /** A reply is lost now and then, and a heartbeat may cross a reply; three in a row aren't an accident. */
+        /** A single reply may get lost or cross a heartbeat in flight; three consecutive misses indicate a fault. */
         const val MISSED_REPLIES_LIMIT = 3
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/MachineState.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/MachineState.kt
@@ -1,13 +1,13 @@
 package cleathitch.scheduler.machines
 
-/** The life of a rented machine. */
+/** Lifecycle state of a rented machine. */
 enum class MachineState {
-    /** Rented, and neither reported nor listed as running for long enough to be expected. */
+    /** Rented; it has neither reported nor been listed as running for long enough that heartbeats are expected. */
     STARTING,
 
-    /** It has reported, or is expected to. */
+    /** It has reported, or heartbeats are expected from it. */
     UP,
 
-    /** Its termination is recorded; the cloud hasn't confirmed it yet. */
+    /** Its termination is recorded but not yet confirmed by the cloud provider. */
     TERMINATING,
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/MachineWatch.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/MachineWatch.kt
@@ -7,10 +7,10 @@
 import cleathitch.scheduler.model.MachineId
 
 /**
- * The periodic check of the whole fleet: ends attempts whose worker's lease has surely run out, and runs the failure detector.
- * Confined to the leader's event loop.
+ * The periodic check of the whole fleet: records the termination of attempts whose worker's lease has certainly expired, and
+ * runs the failure detector. Confined to the leader's event loop.
  */
-// The collaborators of one step; an object that groups them would only hide what the step depends on.
+// Grouping the collaborators into a parameter object would only hide the dependencies of the check.
 @Suppress("LongParameterList")
 internal class MachineWatch(
     private val context: SchedulerContext,
@@ -27,20 +27,20 @@
 ) {
     private val startedMs = start.steadyMs
 
-    /** Watches every machine once; the caller keeps the period. */
+    /** Checks every machine once; the caller is responsible for the period. */
     fun watch() {
         endExpiredLeases()
-        if (context.isLeaseHeld() && context.now.steadyMs - startedMs < timings.failoverMs) failureDetector.probeUnseen()
+        if (context.isLeaseHeld() && context.now.steadyMs - startedMs < timings.failoverMs) failureDetector.probeUncontacted()
         if (!context.isSettled()) return
         inventory.machines.values.forEach(failureDetector::expectIfRunning)
         transferLeadershipIfUnreachable()
         if (context.hasSteppedDown) return
-        failureDetector.terminateSilent()
+        failureDetector.terminateUnresponsive()
         failureDetector.terminateMissingReplies()
         findOverdueBoots().forEach { terminate(it.id, TerminationReason.NEVER_STARTED) }
     }
 
-    /** A worker ends its tasks when its lease runs out, so they may start elsewhere from then on. */
+    /** A worker kills its tasks when its lease expires, so they may be started elsewhere from then on. */
     private fun endExpiredLeases() {
         val nowMs = context.now.steadyMs
         for (machine in inventory.machines.values.toList()) {
@@ -52,12 +52,12 @@
     }
 
     /**
-     * Where heartbeats arrive through followers but direct commands don't reach the machines, a controller that reaches them serves better.
-     * Without this a leader that keeps the key-value store and loses only its machines takes all of them for silent, and
-     * terminates them.
+     * Steps down in favor of another controller if heartbeats arrive through followers but direct commands don't reach the
+     * machines. Otherwise a leader that is connected to the key-value store but cut off from the machines would consider all of
+     * them silent and terminate them.
      */
     private fun transferLeadershipIfUnreachable() {
-        if (!directReachability.isCut(context.now.steadyMs)) return
+        if (!directReachability.isDirectPathDown(context.now.steadyMs)) return
         context.stepDown("direct commands don't reach machines that report to others", transferLeadership = true)
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/TerminationReason.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/TerminationReason.kt
@@ -1,25 +1,25 @@
 package cleathitch.scheduler.machines
 
-/** Why the leader asks the cloud to terminate a machine; [logName] is what the log line says, and stays the same between versions. */
+/** Why the leader requests a machine's termination; [logName] is its name in log lines, which must not change between versions. */
 enum class TerminationReason(val logName: String) {
-    /** It skipped heartbeats and left the probes unanswered. */
+    /** The machine missed heartbeats and didn't answer probes. */
     SILENT("silent"),
 
-    /** Its heartbeats arrive, but our replies don't reach it: its lease runs out again and again, and its tasks with it. */
+    /** Its heartbeats arrive but the leader's replies don't reach it, so its lease expires repeatedly, which kills its tasks. */
     MISSES_REPLIES("misses_replies"),
 
-    /** It answers probes, but none of its own heartbeats arrive, so its lease has run out. */
+    /** It answers probes but none of its own heartbeats arrive, so its lease has expired. */
     NO_HEARTBEATS("no_heartbeats"),
 
-    /** It was rented, and hasn't reported in the time that booting takes at most. */
+    /** It was rented but hasn't reported within the maximum boot time. */
     NEVER_STARTED("never_started"),
 
-    /** It has run nothing for longer than it pays to keep it. */
+    /** It has been idle for longer than it is economical to keep it. */
     IDLE("idle"),
 
-    /** The cloud lists it as failed. */
+    /** The cloud provider lists it as failed. */
     FAILED("failed"),
 
-    /** The job table names it, but it has neither reported nor been listed since the failover. */
+    /** It has attempts in the job table but has neither reported nor been listed since the failover. */
     UNSEEN_SINCE_FAILOVER("unseen_since_failover"),
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
@@ -12,41 +12,41 @@
 import cleathitch.scheduler.model.WorkerCommand
 
 /**
- * Derives the commands for a machine from the difference between the job table and the machine's newest heartbeat.
+ * Derives the commands for a machine from the differences between the job table and the machine's newest heartbeat.
  * Confined to the leader's event loop.
  */
 internal class WorkerReconciler(private val jobTable: JobTable, private val decisionLog: DecisionLog) {
     /**
-     * The records of attempts' outcomes, by machine. A worker may forget an exited attempt only once its outcome is
-     * committed: until then its heartbeat is the only source from which a next leader could learn it.
+     * The indexes of the records that hold the outcomes of attempts, by machine. A worker may forget an exited attempt only once
+     * its outcome is committed: until then the heartbeat is the only source from which a new leader could learn the outcome.
      */
     private val outcomeRecords = HashMap<MachineId, HashMap<AttemptId, LogIndex>>()
 
-    /** The outcome of an attempt on the machine will be in record [recordIndex]. */
+    /** Records that the outcome of an attempt on the machine is written in record [recordIndex]. */
     fun recordOutcome(machine: MachineId, attempt: AttemptId, recordIndex: LogIndex) {
         outcomeRecords.getOrPut(machine) { HashMap() }[attempt] = recordIndex
     }
 
-    /** Drops the committed outcomes of attempts that the machine's newest heartbeat doesn't list any more. */
-    fun dropSettledOutcomes(machine: MachineId, listedAttempts: Set<AttemptId>) {
+    /** Removes the committed outcomes of attempts that the machine's newest heartbeat no longer lists. */
+    fun removeCommittedOutcomes(machine: MachineId, listedAttempts: Set<AttemptId>) {
         val outcomes = outcomeRecords[machine] ?: return
         outcomes.entries.removeAll { (id, recordIndex) -> id !in listedAttempts && recordIndex <= decisionLog.committedIndex }
         if (outcomes.isEmpty()) outcomeRecords.remove(machine)
     }
 
     /**
-     * Whether an attempt that the newest heartbeat doesn't list can't run any more. A start in flight may still begin it,
-     * unless the machine has seen a higher token than any such start has, or its incarnation began after the last was sent:
-     * commands for an earlier incarnation are dropped. A machine that gets no commands can only ever show the latter.
+     * Whether an attempt that the newest heartbeat doesn't list can no longer run. A start command in flight could still start it,
+     * unless the machine has seen a higher token than that of any such command, or its incarnation began after the last one was
+     * sent: workers drop commands for an earlier incarnation. For a machine that no command reaches, only the latter can apply.
      */
     fun isTerminationConfirmed(attempt: Attempt, machine: Machine): Boolean {
         val newestStartToken = attempt.newestStartToken ?: return true
         if (machine.highestSeenToken > newestStartToken) return true
-        // For which incarnation an earlier leader sent a start isn't known.
+        // If an earlier leader sent the start command, the incarnation it was for is unknown.
         return !attempt.isInherited && attempt.lastSentIncarnation < machine.incarnation
     }
 
-    /** The commands that bring the machine from what its newest heartbeat lists to what the job table intends. */
+    /** The commands that bring the machine from the state in its newest heartbeat to the state intended by the job table. */
     fun commandsFor(machine: Machine): List<WorkerCommand> {
         val stops = ArrayList<WorkerCommand>()
         val starts = ArrayList<WorkerCommand>()
@@ -74,13 +74,13 @@
             task.state == TaskState.EXITED ->
                 WorkerCommand.Forget(task.attempt).takeIf { attempt == null && isOutcomeCommitted(machine, task.attempt) }
             attempt == null -> WorkerCommand.Stop(task.attempt, 0.0)
-            attempt.stopCause != null && mayStop(attempt) -> stopOf(attempt, task.state)
+            attempt.stopCause != null && mayStop(attempt) -> stopCommandFor(attempt, task.state)
             else -> null
         }
     }
 
     private fun commandForMissing(machine: Machine, attempt: Attempt): WorkerCommand? = when {
-        // Nothing runs yet, but the stop's token shuts out a start that is still in flight.
+        // The attempt isn't running, but the stop's token fences off a start command that is still in flight.
         attempt.stopCause != null ->
             WorkerCommand.Stop(attempt.id, 0.0).takeIf { attempt.newestStartToken != null && mayStop(attempt) }
         attempt.startIndex <= decisionLog.committedIndex && machine.state == MachineState.UP -> WorkerCommand.Start(attempt.id)
@@ -90,11 +90,11 @@
     private fun isOutcomeCommitted(machine: Machine, attempt: AttemptId) =
         (outcomeRecords[machine.id]?.get(attempt) ?: LogIndex.NONE) <= decisionLog.committedIndex
 
-    /** The stop of a cancelled attempt waits for its record: it couldn't be taken back if the record is never committed. */
+    /** A cancelled attempt is stopped only once the record is committed: a stop can't be undone if the record never is. */
     private fun mayStop(attempt: Attempt) = attempt.stopCause != StopCause.CANCELLED ||
         (attempt.job.cancelledIndex ?: attempt.job.finishedIndex ?: LogIndex.NONE) <= decisionLog.committedIndex
 
-    private fun stopOf(attempt: Attempt, state: TaskState): WorkerCommand? {
+    private fun stopCommandFor(attempt: Attempt, state: TaskState): WorkerCommand? {
         val spec = attempt.job.spec
         val savesProgress = attempt.stopCause != StopCause.CANCELLED && attempt.stopCause != StopCause.STRAY && spec.checkpointIntervalS > 0
         if (savesProgress && state == TaskState.SAVING) return null
