--- a/src/main/kotlin/cleathitch/scheduler/api/Effect.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/Effect.kt
@@ -8,7 +8,7 @@
 import cleathitch.scheduler.model.RequestId
 import cleathitch.scheduler.model.WorkerCommand
 
-/** What the scheduler wants done, to be executed in the order given. */
+/** An action that the scheduler requests. Effects are executed in the given order. */
 sealed interface Effect {
     /** Answers a user's submission, poll or cancellation. */
     data class Answer(val request: RequestId, val reply: UserReply) : Effect
@@ -16,10 +16,10 @@
     /** Answers a worker's heartbeat, which renews its lease, with [commands] under [token]. */
     data class AnswerHeartbeat(val request: RequestId, val token: FencingToken, val commands: List<WorkerCommand>) : Effect
 
-    /** Turns a worker's heartbeat down, so that its lease isn't renewed. */
+    /** Refuses a worker's heartbeat, so that its lease isn't renewed. */
     data class RefuseHeartbeat(val request: RequestId) : Effect
 
-    /** Answers a follower's batch: the decisions about its heartbeats and the answers to its polls, each in the batch's order. */
+    /** Answers a follower's batch with the decisions on its heartbeats and the answers to its polls, each in batch order. */
     data class AnswerFollower(val request: RequestId, val decisions: List<HeartbeatDecision>, val statuses: List<UserReply> = emptyList()) :
         Effect
 
@@ -32,7 +32,7 @@
         val machine: MachineId
     }
 
-    /** Sends commands to a worker; they count only in its [incarnation], and under [token]. */
+    /** Sends commands to a worker, under [token]; they are valid only for its [incarnation]. */
     data class SendCommands(
         override val machine: MachineId,
         val address: String,
@@ -41,19 +41,19 @@
         val commands: List<WorkerCommand>,
     ) : ToWorker
 
-    /** Asks a worker for a heartbeat. */
+    /** Requests a heartbeat from a worker. */
     data class Probe(override val machine: MachineId, val address: String) : ToWorker
 
-    /** Asks the cloud for machines. The cloud treats a repeated request as the same rental. */
+    /** Requests machines from the cloud. The call is idempotent: the cloud treats a repeated request as the same rental. */
     data class Rent(val rental: Event.RentalRequested) : Effect
 
-    /** Asks the cloud to terminate machines. */
+    /** Requests the termination of machines from the cloud. */
     data class TerminateMachines(val machines: List<MachineId>) : Effect
 
-    /** Shares the machines' image caches with the followers, one of which may lead next. */
+    /** Sends the contents of the machines' image caches to the followers, one of which may be the next leader. */
     data class ShareImageCacheHints(val images: Map<MachineId, ImageCache>) : Effect
 
-    /** Gives the term up; [transferLeadership] leaves the next one to other controllers, which are better placed. */
+    /** Ends the leader's term. With [transferLeadership] the next term is left to other controllers, which are better placed to lead. */
     data class StepDown(val reason: String, val transferLeadership: Boolean = false) : Effect
 
     /** Writes a log line. */
--- a/src/main/kotlin/cleathitch/scheduler/api/ForwardedHeartbeat.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/ForwardedHeartbeat.kt
@@ -4,7 +4,7 @@
 import cleathitch.scheduler.model.Heartbeat
 import cleathitch.scheduler.model.MachineId
 
-/** A worker's heartbeat as a follower passes it on to the leader. */
+/** A worker's heartbeat as a follower forwards it to the leader. */
 sealed interface ForwardedHeartbeat {
     /** The machine of the worker that sent the heartbeat. */
     val machine: MachineId
@@ -15,8 +15,8 @@
     }
 
     /**
-     * A heartbeat that equals an earlier one of the same incarnation, its base, in everything but sequence number, token and
-     * preemption notice. [baseSequenceNumber] is the base's sequence number; this leader has acknowledged the base.
+     * A heartbeat that differs from an earlier one of the same incarnation, its base, only in sequence number, token and preemption
+     * notice. [baseSequenceNumber] is the base's sequence number; this leader has acknowledged the base.
      */
     data class Unchanged(
         override val machine: MachineId,
--- a/src/main/kotlin/cleathitch/scheduler/api/HeartbeatDecision.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/HeartbeatDecision.kt
@@ -3,7 +3,7 @@
 import cleathitch.scheduler.model.FencingToken
 import cleathitch.scheduler.model.WorkerCommand
 
-/** What the leader decided about one heartbeat. Only an [Answer] may renew a worker's lease. */
+/** The leader's decision on one heartbeat. Only an [Answer] may renew a worker's lease. */
 sealed interface HeartbeatDecision {
     /** The worker is answered with [commands] under [token]. */
     data class Answer(val token: FencingToken, val commands: List<WorkerCommand>) : HeartbeatDecision
@@ -11,6 +11,6 @@
     /** The worker must not get an answer that renews its lease. */
     data object Refuse : HeartbeatDecision
 
-    /** The leader doesn't hold the base of an unchanged heartbeat, and decides once it has the full one. */
+    /** The leader doesn't have the base of an unchanged heartbeat and decides once it has received the full heartbeat. */
     data object RequestFull : HeartbeatDecision
 }
--- a/src/main/kotlin/cleathitch/scheduler/api/Input.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/Input.kt
@@ -10,7 +10,7 @@
 import cleathitch.scheduler.model.MachineType
 import cleathitch.scheduler.model.RequestId
 
-/** What happens outside the scheduler and concerns it. An input with a [RequestId] waits for the effect that answers it. */
+/** An external event that the scheduler handles. An input with a [RequestId] is answered by a later [Effect]. */
 sealed interface Input {
     /** A user submits a job; submitting it again is idempotent. */
     data class Submit(val request: RequestId, val spec: JobSpec) : Input
@@ -21,26 +21,26 @@
     /** A user cancels a job; cancelling it again is idempotent. */
     data class Cancel(val request: RequestId, val job: JobId) : Input
 
-    /** A worker sent a heartbeat to this controller itself. */
+    /** A worker sent a heartbeat directly to this controller. */
     data class HeartbeatReceived(val request: RequestId, val heartbeat: Heartbeat) : Input
 
-    /** A follower passes on workers' heartbeats and users' polls; one effect answers them all. */
+    /** A follower forwards workers' heartbeats and users' polls; a single effect answers all of them. */
     data class FollowerBatchReceived(
         val request: RequestId,
         val heartbeats: List<ForwardedHeartbeat>,
         val polls: List<JobId> = emptyList(),
     ) : Input
 
-    /** A worker answered a probe, or commands sent directly, with its heartbeat. */
+    /** A worker answered a probe or a direct command call with a heartbeat. */
     data class ProbeAnswered(val heartbeat: Heartbeat) : Input
 
-    /** A probe, or commands sent directly, got no answer from the machine. */
+    /** The machine didn't answer a probe or a direct command call. */
     data class DirectCallUnanswered(val machine: MachineId) : Input
 
-    /** The key-value store extended this leader's lease, up to [untilMs] of the steady clock. */
+    /** The key-value store renewed this leader's lease until [untilMs] on the steady clock. */
     data class LeaseRenewed(val untilMs: Long) : Input
 
-    /** The commit that ends with record [index] is durable; [revision] is the store's revision, a source of new fencing tokens. */
+    /** The commit whose last record is [index] is durable; new fencing tokens are derived from the store's [revision]. */
     data class CommitSucceeded(val index: LogIndex, val revision: Long) : Input
 
     /** The cloud listed its machine types, with their zones and prices. */
@@ -52,12 +52,12 @@
     /** The cloud answered the rental [request], or the call failed. */
     data class RentalCompleted(val request: String, val answer: RentalAnswer) : Input
 
-    /** The cloud confirmed that these machines are terminated: nothing runs there any more. */
+    /** The cloud confirmed that these machines are terminated, so that nothing runs on them any more. */
     data class MachinesTerminated(val machines: List<MachineId>) : Input
 
-    /** What an earlier leader shared of machines' image caches: a hint for placement, on which no invariant rests. */
+    /** Image cache contents shared by an earlier leader. They are only a hint for placement; no invariant depends on them. */
     data class ImageCacheHintsReceived(val images: Map<MachineId, ImageCache>) : Input
 
-    /** Nothing happened but that time passed. */
+    /** Time has passed without any other input. */
     data object Tick : Input
 }
--- a/src/main/kotlin/cleathitch/scheduler/api/JobState.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/JobState.kt
@@ -1,11 +1,11 @@
 package cleathitch.scheduler.api
 
-/** The state of a job as users see it. Only committed ends are shown. */
+/** The state of a job as reported to users. Final states are reported only once they are committed. */
 enum class JobState {
-    /** Accepted, and no task of it is seen running. */
+    /** Accepted; the latest heartbeats show no running task of the job. */
     QUEUED,
 
-    /** The newest heartbeats show a task of it running. */
+    /** The latest heartbeats show at least one running task of the job. */
     RUNNING,
 
     /** All its tasks are complete. */
--- a/src/main/kotlin/cleathitch/scheduler/api/LogLevel.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/LogLevel.kt
@@ -1,4 +1,4 @@
 package cleathitch.scheduler.api
 
-/** How important a log line is, the most important level first. */
+/** Log levels in descending order of severity. */
 enum class LogLevel { ERROR, INFO, DEBUG }
--- a/src/main/kotlin/cleathitch/scheduler/api/RentalAnswer.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/RentalAnswer.kt
@@ -2,17 +2,17 @@
 
 import cleathitch.scheduler.model.MachineId
 
-/** How the cloud answered a rental. */
+/** The cloud's answer to a rental request. */
 sealed interface RentalAnswer {
-    /** These machines are rented, perhaps fewer than asked for. */
+    /** These machines are rented, possibly fewer than requested. */
     data class Rented(val machines: List<MachineId>) : RentalAnswer
 
-    /** The cloud has no machine like this at the moment. */
+    /** The cloud currently has no capacity for the requested offer. */
     data object NoCapacity : RentalAnswer
 
-    /** The cloud rejected the request itself; sending it again doesn't help. */
+    /** The cloud rejected the request itself, so retrying doesn't help. */
     data object Rejected : RentalAnswer
 
-    /** No answer, or one that can't be understood; the request is sent again under its name. */
+    /** There was no answer, or it couldn't be parsed; the request is resent under the same name. */
     data object Unknown : RentalAnswer
 }
--- a/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
@@ -7,106 +7,109 @@
 import kotlin.math.min
 
 /**
- * The scheduler's periods, timeouts and margins. Each follows from the deployment's own figures, so that a deployment with
- * shorter heartbeats or leases gets a scheduler that is as much faster.
+ * The scheduler's periods, timeouts and margins. They are derived from the deployment's parameters, so that they scale with the
+ * heartbeat period and the lease duration.
  */
 data class SchedulerTimings(
-    /** Period of scheduling rounds, and of writes that nobody waits for; the first delay of a job whose tasks fail. */
+    /** Period of scheduling rounds and of writes that no request waits for; also the initial backoff of a job whose tasks fail. */
     val roundMs: Long,
 
     /** Period of the decision log's compaction. */
     val compactionMs: Long,
 
-    /** For how long after the end of its own lease a leader still answers heartbeats: old answers end before new starts. */
+    /**
+     * How long a leader still answers heartbeats after the end of its own lease. A new leader waits for this time plus a worker's lease
+     * before it restarts the tasks of machines that it hasn't answered, so that leases renewed by a former leader have expired.
+     */
     val graceMs: Long,
 
-    /** What is added to a worker's lease before its tasks count as ended, for clock drift and heartbeats on their way. */
+    /** Margin added to a worker's lease before its tasks count as ended; covers clock drift and heartbeats in transit. */
     val leaseMarginMs: Long,
 
-    /** For how long a leader's key outlives its last renewal. */
+    /** Time to live of the leader's key after its last renewal. */
     val leaderLeaseMs: Long,
 
-    /** Period at which the whole fleet is checked for machines that are silent, without a lease or never come up. */
+    /** Period at which the whole fleet is checked for machines that are silent, have lost their lease or never booted. */
     val fleetCheckMs: Long,
 
-    /** After how long without a heartbeat a machine is probed and gets no new tasks; more than one period, as some come late. */
+    /** Time without a heartbeat after which a machine is probed and gets no new tasks; over one period, as some heartbeats are late. */
     val probeMs: Long,
 
-    /** Least time between two probes of a machine, and the timeout of one. */
+    /** Minimum time between two probes of a machine, and the timeout of a probe. */
     val probeGapMs: Long,
 
-    /** After how long without a heartbeat a machine that answers no probe either is terminated: two periods. */
+    /** Time without a heartbeat or an answer to a probe after which a machine is terminated: two heartbeat periods. */
     val silentMs: Long,
 
-    /** After how long without an answered heartbeat a machine has certainly lost its lease. */
+    /** Time without an answered heartbeat after which a machine has certainly lost its lease. */
     val leaseLossMs: Long,
 
-    /** Least time between two termination calls to the cloud; what is decided in between goes in one call. */
+    /** Minimum time between two termination calls to the cloud; terminations requested in between are batched into one call. */
     val terminationGapMs: Long,
 
-    /** Period at which the leader shares with the followers which machine holds which images. */
+    /** Period at which the leader sends the contents of the machines' image caches to the followers. */
     val imageHintPeriodMs: Long,
 
     /**
-     * For how long a new leader waits before it decides what depends on silent machines, as rentals and terminations: more
-     * than one heartbeat period, so that every live machine has had its turn.
+     * How long a new leader waits before it makes decisions that rely on missing heartbeats, such as rentals and terminations. Longer
+     * than one heartbeat period, so that every live machine has had time to send a heartbeat.
      */
     val failoverMs: Long,
 
-    /** For how long a follower gathers heartbeats before it forwards them to the leader. */
+    /** How long a follower collects heartbeats into a batch before it forwards them to the leader. */
     val forwardIntervalMs: Long,
 
-    /** After how long a commit without an answer counts as a stall, in which submissions and cancellations are refused. */
+    /** Time after which an unanswered commit counts as a stall; submissions and cancellations are refused during a stall. */
     val commitStallMs: Long,
 
-    /** For how long a user's request waits for its commit before it is answered as unavailable. */
+    /** How long a user's request waits for its commit before it is answered as unavailable. */
     val maxCommitWaitMs: Long,
 ) {
     companion object {
-        /** The longest round period; shorter waits that are promised shorten it. */
+        /** The longest round period; short wait objectives reduce it. */
         private const val MAX_ROUND_MS = 2000.0
         private const val DEFAULT_COMPACTION_MS = 10_000L
 
-        /** How many rounds fit into the shortest wait that is promised: one may be missed by a failover, and a start takes time. */
+        /** Rounds per shortest wait objective: a failover may skip one round, and starting a task takes time. */
         private const val ROUNDS_PER_WAIT = 4
 
-        /** How often the fleet is checked in a heartbeat period, so that an overdue heartbeat is noticed soon. */
+        /** Fleet checks per heartbeat period, so that an overdue heartbeat is detected soon. */
         private const val FLEET_CHECKS_PER_HEARTBEAT = 6
 
-        /** A round writes two changes, its record and the log's head. */
+        /** Key changes that a round writes: its log record and the log's head. */
         private const val CHANGES_PER_ROUND = 2
 
-        /** The part of the time between the ends of a worker's lease and of a cancellation that goes into [graceMs]. */
+        /** The fraction of the time between the end of a worker's lease and the cancellation deadline that is used for [graceMs]. */
         private const val GRACE_SHARE = 0.25
 
-        /** The bound on how far steady clocks drift apart, as a ratio, doubled for two clocks. */
+        /** The bound on the relative drift between two steady clocks: twice the bound for one clock. */
         const val MAX_CLOCK_DRIFT = 0.001
 
-        /** The timings of [deployment]; [compactionS] is the operator's own compaction period, in seconds. */
+        /** Derives the timings from [deployment]; [compactionS] overrides the compaction period, in seconds. */
         fun of(deployment: Deployment, compactionS: Double? = null): SchedulerTimings {
-            val reportMs = deployment.reportS * MS_PER_S
+            val heartbeatPeriodMs = deployment.reportS * MS_PER_S
             val roundMs = roundMs(deployment)
             return SchedulerTimings(
                 roundMs = roundMs,
-                fleetCheckMs = max(roundMs, (reportMs / FLEET_CHECKS_PER_HEARTBEAT).toLong()),
+                fleetCheckMs = max(roundMs, (heartbeatPeriodMs / FLEET_CHECKS_PER_HEARTBEAT).toLong()),
                 compactionMs = compactionS?.let { (it * MS_PER_S).toLong() } ?: DEFAULT_COMPACTION_MS,
                 graceMs = graceMs(deployment),
-                leaseMarginMs = (deployment.leaseS * MS_PER_S * MAX_CLOCK_DRIFT + reportMs / 4).toLong(),
+                leaseMarginMs = (deployment.leaseS * MS_PER_S * MAX_CLOCK_DRIFT + heartbeatPeriodMs / 4).toLong(),
                 leaderLeaseMs = (deployment.leaseS * MS_PER_S / 24).toLong(),
-                probeMs = (reportMs * 1.35).toLong(),
-                probeGapMs = (reportMs / 4).toLong(),
-                silentMs = (reportMs * 2).toLong(),
-                leaseLossMs = (deployment.leaseS * MS_PER_S + reportMs).toLong(),
+                probeMs = (heartbeatPeriodMs * 1.35).toLong(),
+                probeGapMs = (heartbeatPeriodMs / 4).toLong(),
+                silentMs = (heartbeatPeriodMs * 2).toLong(),
+                leaseLossMs = (deployment.leaseS * MS_PER_S + heartbeatPeriodMs).toLong(),
                 terminationGapMs = (2000 / deployment.cloudRps).toLong(),
-                imageHintPeriodMs = (reportMs * 1.5).toLong(),
-                failoverMs = (reportMs * 1.25).toLong(),
-                forwardIntervalMs = (reportMs / 80).toLong(),
-                commitStallMs = (reportMs / 4).toLong(),
-                maxCommitWaitMs = (reportMs / 2).toLong(),
+                imageHintPeriodMs = (heartbeatPeriodMs * 1.5).toLong(),
+                failoverMs = (heartbeatPeriodMs * 1.25).toLong(),
+                forwardIntervalMs = (heartbeatPeriodMs / 80).toLong(),
+                commitStallMs = (heartbeatPeriodMs / 4).toLong(),
+                maxCommitWaitMs = (heartbeatPeriodMs / 2).toLong(),
             )
         }
 
-        /** Short enough for the shortest wait that is promised, but with at most half of the writes that the store allows. */
+        /** Short enough for the shortest wait objective, but using at most half of the store's write rate limit. */
         private fun roundMs(deployment: Deployment): Long {
             val shortestWaitS = shortestWaitS(deployment.objectives)
             val byObjectiveMs = if (shortestWaitS == null) {
@@ -126,7 +129,7 @@
             }
         }.minOrNull()
 
-        /** Cancelled tasks have to be gone in time even if an old leader answers until the end of its grace. */
+        /** Cancelled tasks have to end by the cancellation deadline even if a former leader answers until its grace period ends. */
         private fun graceMs(deployment: Deployment): Long {
             val spareMs = (deployment.cancelS - deployment.leaseS) * MS_PER_S
             return (spareMs * GRACE_SHARE).toLong().coerceAtLeast(0)
--- a/src/main/kotlin/cleathitch/scheduler/api/UserReply.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/UserReply.kt
@@ -4,21 +4,21 @@
 
 /** The answer to a user's submission, poll or cancellation. */
 sealed interface UserReply {
-    /** The job is accepted and durable; [known] if it was before this submission. */
+    /** The job is accepted and durably stored; [known] if an earlier submission was already accepted. */
     data class Accepted(val job: JobId, val state: JobState, val known: Boolean) : UserReply
 
-    /** The job's state, with the number of its tasks that are complete and that run. */
+    /** The job's state, with the numbers of its completed and running tasks. */
     data class Status(val job: JobId, val state: JobState, val done: Int, val running: Int) : UserReply
 
-    /** The job is over: cancelled, or done before the cancellation. */
+    /** The job has ended: it was cancelled, or completed before the cancellation. */
     data class Cancelled(val job: JobId, val state: JobState) : UserReply
 
-    /** The job could never run, and isn't accepted. */
+    /** The job is rejected because it could never run. */
     data class Unsatisfiable(val reason: String) : UserReply
 
-    /** No such job was ever accepted. */
+    /** No job with this identifier has been accepted. */
     data object NotFound : UserReply
 
-    /** The leader can't answer now; the user may ask again after [retryAfterS]. */
+    /** The leader can't answer at the moment; the user may retry after [retryAfterS] seconds. */
     data class Unavailable(val reason: String, val retryAfterS: Int = 1) : UserReply
 }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CapacityPlanner.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CapacityPlanner.kt
@@ -9,36 +9,36 @@
 import kotlin.math.min
 
 /**
- * Scale-out: which machines to rent for the tasks that fit nowhere. Machines that boot and rentals without an answer serve
- * demands first, so that one shortage isn't rented for twice; what they leave goes to the cheapest offers.
- * Holds no state between calls; confined to the leader's event loop.
+ * Scale-out: decides which machines to rent for tasks that fit on no existing machine. Demands are first assigned to booting
+ * machines and unanswered rentals, so that the same shortage isn't rented for twice; the rest is rented from the cheapest offers.
+ * Keeps no state between calls. Confined to the leader's event loop.
  */
 class CapacityPlanner(private val deployment: Deployment, private val inventory: Inventory) {
-    /** The rentals for [demands], which are served in this order, with [maxCalls] calls at most. */
+    /** Plans the rentals for [demands], in the given order, with at most [maxCalls] rental calls. */
     fun plan(demands: List<MachineDemand>, nowMs: Long, maxCalls: Int): List<PlannedRental> {
-        val capacities = capacityOnItsWay()
+        val capacities = pendingCapacity()
         val plan = RentalPlan(maxCalls)
-        val unservedBySpot = ArrayList<MachineDemand>()
+        val unmetBySpot = ArrayList<MachineDemand>()
         for (demand in demands.flatMap(::splitByZone)) {
             val spotAllowed = demand.placementClass.spotAllowed
-            var left = demand.tasks
+            var remaining = demand.tasks
             for (capacity in capacities) {
-                if (left == 0) break
-                if (demand.placementClass.permits(capacity.offer)) left -= capacity.assign(demand, left)
+                if (remaining == 0) break
+                if (demand.placementClass.permits(capacity.offer)) remaining -= capacity.assign(demand, remaining)
             }
-            rent(demand, left, nowMs, plan, spotOnly = spotAllowed) { capacity ->
-                left -= capacity.assign(demand, left)
+            rent(demand, remaining, nowMs, plan, spotOnly = spotAllowed) { capacity ->
+                remaining -= capacity.assign(demand, remaining)
                 capacities += capacity
             }
-            if (spotAllowed) unservedBySpot += demand.copy(tasks = min(left, demand.urgentTasks))
+            if (spotAllowed) unmetBySpot += demand.copy(tasks = min(remaining, demand.urgentTasks))
         }
-        // What may run on spot machines gets others only if it can neither have those nor wait.
-        for (demand in unservedBySpot) rent(demand, demand.tasks, nowMs, plan, spotOnly = false) {}
+        // Tasks that may run on spot machines get on-demand ones only if no spot machine is available and they can't wait.
+        for (demand in unmetBySpot) rent(demand, demand.tasks, nowMs, plan, spotOnly = false) {}
         return plan.rentals()
     }
 
-    /** Machines that boot, then those of rentals without an answer. */
-    private fun capacityOnItsWay(): ArrayList<FreeCapacity> {
+    /** The capacity of booting machines, then that of unanswered rentals. */
+    private fun pendingCapacity(): ArrayList<FreeCapacity> {
         val capacities = inventory.machines.values.filter { it.state == MachineState.STARTING }
             .mapNotNullTo(ArrayList()) { machine -> machine.type?.let { FreeCapacity(machine.offer, it) } }
         inventory.pendingRentals.values.forEach { rental ->
@@ -49,7 +49,7 @@
         return capacities
     }
 
-    /** A spread job's tasks need room in more than one zone: its demand becomes one for each zone. */
+    /** Splits the demand of a spread job, whose tasks need resources in more than one zone, into one demand per zone. */
     private fun splitByZone(demand: MachineDemand): List<MachineDemand> {
         val placementClass = demand.placementClass
         val zones = inventory.zones
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Adds machines for [tasks] tasks of the demand to the plan, as far as offers and calls go. */
+    /** Adds machines for [tasks] tasks of the demand to the plan, as far as offers and the call limit allow. */
     private fun rent(
         demand: MachineDemand,
         tasks: Int,
@@ -73,19 +73,19 @@
         spotOnly: Boolean,
         onPlanned: (FreeCapacity) -> Unit,
     ) {
-        var left = tasks
-        while (left > 0) {
-            val offer = cheapestOffer(demand, left, nowMs, plan, spotOnly) ?: return
+        var remaining = tasks
+        while (remaining > 0) {
+            val offer = cheapestOffer(demand, remaining, nowMs, plan, spotOnly) ?: return
             val type = inventory.types.getValue(offer.type)
             val tasksPerMachine = (demand.placementClass.fittingTasks(type) * demand.consecutiveTasks(type)).toInt()
-            val machines = min(plan.remainingMachines(offer), max(1, left / tasksPerMachine))
+            val machines = min(plan.remainingMachines(offer), max(1, remaining / tasksPerMachine))
             plan.add(offer, machines)
             repeat(machines) { onPlanned(FreeCapacity(offer, type)) }
-            left -= machines * tasksPerMachine
+            remaining -= machines * tasksPerMachine
         }
     }
 
-    /** The cheapest permitted offer for each task that it serves, or null if none can be rented now. */
+    /** The permitted offer with the lowest cost per task, or null if none can be rented now. */
     private fun cheapestOffer(demand: MachineDemand, tasks: Int, nowMs: Long, plan: RentalPlan, spotOnly: Boolean): Offer? {
         val placementClass = demand.placementClass
         return inventory.types.values.asSequence()
@@ -104,12 +104,12 @@
         sequenceOf(Offer(type.name, zone, spot = true), Offer(type.name, zone, spot = false))
     }
 
-    /** The price for each task, with the boot time spread over the time for which the machine is likely kept. */
+    /** The price per task, with the boot time amortized over the expected lifetime of the machine. */
     private fun costPerTask(type: MachineType, spot: Boolean, tasks: Int): Double =
-        type.priceOf(spot) / tasks * (1 + type.bootS / (deployment.leaseS * EXPECTED_LIFETIME_LEASES))
+        type.priceOf(spot) / tasks * (1 + type.bootS / (deployment.leaseS * EXPECTED_LIFETIME_IN_LEASES))
 
     private companion object {
-        /** A machine is kept for about so many lease durations; its boot is paid for out of that. */
-        const val EXPECTED_LIFETIME_LEASES = 6.0
+        /** The expected lifetime of a machine in lease durations, over which its boot time is amortized. */
+        const val EXPECTED_LIFETIME_IN_LEASES = 6.0
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudInventoryIntake.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudInventoryIntake.kt
@@ -13,7 +13,7 @@
 import cleathitch.scheduler.model.MachineId
 import cleathitch.scheduler.model.MachineType
 
-/** Takes over what the cloud lists: machine types, the list of machines and terminations. Confined to the leader's event loop. */
+/** Applies the cloud's machine types, machine list and terminations to the inventory. Confined to the leader's event loop. */
 internal class CloudInventoryIntake(
     private val context: SchedulerContext,
     private val inventory: Inventory,
@@ -26,18 +26,18 @@
     var areMachinesListed = false
         private set
 
-    /** The cloud has listed the machine types and their prices. */
+    /** Handles a list of the machine types and their prices. */
     fun machineTypesListed(types: List<MachineType>) {
         inventory.updateTypes(types)
     }
 
-    /** The cloud has listed the machines that it runs for us. */
+    /** Handles a list of the rented machines. */
     fun machinesListed(machines: List<ListedMachine>) {
         machines.forEach(::recordListed)
         areMachinesListed = true
     }
 
-    /** The cloud has confirmed that these machines are terminated: nothing runs there any more. */
+    /** Handles the cloud's confirmation that these machines are terminated, so that nothing runs on them any more. */
     fun machinesTerminated(machines: List<MachineId>) {
         for (id in machines) if (id in inventory.terminatingMachines) recordTerminated(id)
     }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
@@ -20,8 +20,9 @@
 import cleathitch.scheduler.model.Term
 
 /**
- * The rentals and terminations that the leader asks of the cloud. Each is recorded before it is sent, so that the next leader
- * knows of it, and sent again under the same name until it is answered, so that a lost answer costs no second machine.
+ * The rentals and terminations that the leader requests from the cloud. Each is recorded in the decision log before it is sent, so
+ * that the next leader knows of it. It is resent under the same request name until it is answered, so that a lost answer doesn't
+ * cause a second rental.
  */
 internal class CloudRequests(
     private val context: SchedulerContext,
@@ -30,7 +31,7 @@
     private val inventory: Inventory,
     private val decisionLog: DecisionLog,
     term: Term,
-    /** Whether the cloud has confirmed the machine's termination; a late answer to its rental may still name it. */
+    /** Whether the cloud has confirmed the machine's termination; a late answer to its rental may still list it. */
     private val isTerminated: (MachineId) -> Boolean,
     /** Adds a rented machine to the inventory. */
     private val register: (MachineId, Offer) -> Machine,
@@ -38,45 +39,45 @@
     private val rentalSentMs = HashMap<String, Long>()
     private val terminationSentMs = HashMap<MachineId, Long>()
 
-    /** The records of this term's rentals (by request) and terminations (by machine): nothing is sent before its record is committed. */
-    private val recordByName = HashMap<String, LogIndex>()
+    /** The log records of this term's rentals (by request) and terminations (by machine); no request is sent before its record commits. */
+    private val recordByRequest = HashMap<String, LogIndex>()
     private val requestPrefix = "r-${term.revision}-"
     private var rentalsRequested = 0L
     private var lastTerminationCallMs = 0L
 
-    /** Decides to rent [count] machines of [offer]; the call goes out once the record is committed. */
+    /** Records the rental of [count] machines of [offer]; the call is made once the record is committed. */
     fun requestRental(offer: Offer, count: Int) {
         val rental = Event.RentalRequested("$requestPrefix${rentalsRequested++}", offer, count)
-        recordByName[rental.request] = context.append(rental)
+        recordByRequest[rental.request] = context.append(rental)
         context.logEvent(LogLevel.INFO) { "event=rental_requested ${describe(rental)}" }
     }
 
-    /** Decides to give the machine back; the call goes out once the record is committed. */
+    /** Records the termination of the machine; the call is made once the record is committed. */
     fun requestTermination(id: MachineId, reason: TerminationReason) {
-        // Terminations that aren't confirmed have to fit into one stored value; the next round tries again.
+        // Unconfirmed terminations have to fit into one stored value; the next round retries.
         if (inventory.terminatingMachines.size >= deployment.stateValueBytes / BYTES_PER_TERMINATION) return
-        recordByName[id.text] = context.append(Event.MachineTerminationRequested(id))
+        recordByRequest[id.text] = context.append(Event.MachineTerminationRequested(id))
         context.logEvent(LogLevel.INFO) { "event=termination_requested machine=$id reason=${reason.logName}" }
     }
 
-    /** The cloud has confirmed that the machine is gone. */
+    /** Handles the cloud's confirmation that the machine is terminated. */
     fun recordTermination(id: MachineId) {
-        recordByName.remove(id.text)
+        recordByRequest.remove(id.text)
     }
 
-    fun onRentalAnswer(answered: Input.RentalCompleted) {
-        val request = answered.request
+    fun onRentalAnswer(completed: Input.RentalCompleted) {
+        val request = completed.request
         rentalSentMs.remove(request)
-        recordByName.remove(request)
+        recordByRequest.remove(request)
         val rental = inventory.pendingRentals[request] ?: return
-        when (val answer = answered.answer) {
+        when (val answer = completed.answer) {
             is RentalAnswer.Rented -> recordRented(rental, answer.machines)
             RentalAnswer.NoCapacity, RentalAnswer.Rejected -> recordRefused(rental)
             RentalAnswer.Unknown -> rentalSentMs[request] = context.now.steadyMs
         }
     }
 
-    /** The cloud may give fewer machines than asked for; what is missing isn't asked for again under this name. */
+    /** The cloud may rent out fewer machines than requested; the missing ones aren't requested again under this name. */
     private fun recordRented(rental: Event.RentalRequested, rented: List<MachineId>) {
         rented.filter { !isTerminated(it) }.forEach { register(it, rental.offer).confirm() }
         if (rented.size < rental.count) inventory.recordRefusal(rental.offer, context.now.steadyMs)
@@ -94,7 +95,7 @@
         "request=$request type=${offer.type} zone=${offer.zone} spot=${offer.spot} count=$count"
     }
 
-    /** Sends what is recorded and wasn't sent yet, and again what is without an answer for a heartbeat period. */
+    /** Sends recorded requests that haven't been sent, and resends those without an answer for one heartbeat period. */
     fun sendDue() {
         sendRentals()
         sendTerminations()
@@ -102,17 +103,17 @@
 
     private fun sendRentals() {
         for (rental in inventory.pendingRentals.values) {
-            if (!isRecorded(rental.request) || !isDue(rentalSentMs[rental.request])) continue
+            if (!isCommitted(rental.request) || !isDue(rentalSentMs[rental.request])) continue
             rentalSentMs[rental.request] = context.now.steadyMs
             context.emit(Effect.Rent(rental))
         }
     }
 
-    /** Terminations go many to a call; the gap between calls gathers them. */
+    /** Batches terminations: those requested within the gap between two calls share one call. */
     private fun sendTerminations() {
         if (inventory.terminatingMachines.isNotEmpty() && context.now.steadyMs - lastTerminationCallMs >= timings.terminationGapMs) {
             val due = inventory.terminatingMachines.filter {
-                isRecorded(it.text) && isDue(terminationSentMs[it])
+                isCommitted(it.text) && isDue(terminationSentMs[it])
             }.take(MAX_TERMINATIONS_PER_CALL)
             if (due.isNotEmpty()) {
                 lastTerminationCallMs = context.now.steadyMs
@@ -128,14 +129,17 @@
         return sentMs == null || context.now.steadyMs - sentMs >= retryAfterMs
     }
 
-    /** What an earlier leader recorded has no entry here, and is committed. */
-    private fun isRecorded(name: String) = (recordByName[name] ?: LogIndex.NONE) <= decisionLog.committedIndex
+    /** Whether the request's record is committed. Requests of earlier terms have no entry here; their records are committed. */
+    private fun isCommitted(request: String) = (recordByRequest[request] ?: LogIndex.NONE) <= decisionLog.committedIndex
 
     private companion object {
         /** The cloud's limit for one termination call. */
         const val MAX_TERMINATIONS_PER_CALL = 100
 
-        /** Unconfirmed terminations share one stored value with the rentals; a machine's name takes about half as much there. */
+        /**
+         * Unconfirmed terminations share one stored value with the pending rentals; a machine's name takes up about half of this many
+         * bytes there.
+         */
         const val BYTES_PER_TERMINATION = 27
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/MachineDemand.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/MachineDemand.kt
@@ -3,18 +3,18 @@
 import cleathitch.scheduler.model.MachineType
 import cleathitch.scheduler.model.PlacementClass
 
-/** Tasks of one class for which new machines are wanted. */
+/** Tasks of one placement class that need new machines. */
 data class MachineDemand(
     val placementClass: PlacementClass,
-    /** How many tasks want a new machine. */
+    /** The number of tasks that need a new machine. */
     val tasks: Int,
-    /** For how many of them running tasks leave no room in time either. */
+    /** The number of these tasks for which running tasks don't free enough resources within the whole slack either. */
     val urgentTasks: Int,
-    /** For how long the tasks may wait and still meet their objective, boot time included. */
+    /** How long the tasks may wait, including the boot time, and still meet their objective. */
     val slackS: Double = 0.0,
-    /** For how long one task runs; 0 when unknown. */
+    /** The run time of one task; 0 if unknown. */
     val runS: Double = 0.0,
 ) {
-    /** How many tasks may run on a new machine of [type] one after the other, within the slack; 1 at least. */
+    /** The number of tasks that can run one after another on a new machine of [type] within the slack; at least 1. */
     fun consecutiveTasks(type: MachineType): Double = if (runS <= 0) 1.0 else ((slackS - type.bootS) / runS).coerceAtLeast(1.0)
 }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/RentalPlan.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/RentalPlan.kt
@@ -3,13 +3,13 @@
 import cleathitch.scheduler.model.Offer
 import kotlin.math.min
 
-/** The machines to rent, by offer, gathered into as few calls as the cloud's limit for one call allows; [maxCalls] at most. */
+/** The machines to rent, by offer, batched into as few calls as the cloud's limit per call allows, and at most [maxCalls]. */
 internal class RentalPlan(private val maxCalls: Int) {
     private val machinesByOffer = LinkedHashMap<Offer, Int>()
 
-    /** How many more machines of [offer] fit into the calls that are left. */
+    /** The number of machines of [offer] that still fit into the remaining calls. */
     fun remainingMachines(offer: Offer): Int {
-        val otherCalls = machinesByOffer.entries.sumOf { (other, machines) -> if (other == offer) 0 else callsFor(machines) }
+        val otherCalls = machinesByOffer.entries.sumOf { (other, machines) -> if (other == offer) 0 else callsNeeded(machines) }
         return (maxCalls - otherCalls) * MAX_MACHINES_PER_CALL - (machinesByOffer[offer] ?: 0)
     }
 
@@ -17,17 +17,17 @@
         machinesByOffer.merge(offer, machines, Int::plus)
     }
 
-    /** The calls, offers in the order in which they were first added. */
+    /** The rental calls, in the order in which their offers were first added. */
     fun rentals(): List<PlannedRental> = machinesByOffer.flatMap { (offer, machines) ->
-        List(callsFor(machines)) { call ->
+        List(callsNeeded(machines)) { call ->
             PlannedRental(offer, min(MAX_MACHINES_PER_CALL, machines - call * MAX_MACHINES_PER_CALL))
         }
     }
 
-    private fun callsFor(machines: Int) = (machines + MAX_MACHINES_PER_CALL - 1) / MAX_MACHINES_PER_CALL
+    private fun callsNeeded(machines: Int) = (machines + MAX_MACHINES_PER_CALL - 1) / MAX_MACHINES_PER_CALL
 
     private companion object {
-        /** The cloud's limit for one rental call. */
+        /** The cloud's limit on machines per rental call. */
         const val MAX_MACHINES_PER_CALL = 50
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/ScaleInCandidates.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/ScaleInCandidates.kt
@@ -9,12 +9,13 @@
 import kotlin.math.max
 
 /**
- * Scale-in: the machines that serve nobody and aren't worth their price. Time in which the leader couldn't take heartbeats
- * counts against no machine: after an outage that ended all leases most of a fleet looks idle just before its tasks start again.
+ * Scale-in: selects idle machines that aren't worth keeping and machines that failed to boot. Time in which the leader couldn't
+ * receive heartbeats doesn't count as idle time: after an outage in which all leases expired, most of the fleet looks idle just
+ * before its tasks are restarted.
  */
 class ScaleInCandidates(private val deployment: Deployment, private val inventory: Inventory, private val jobTable: JobTable) {
-    /** Machines that are idle for longer than it pays to keep them; heartbeats are taken without a break since [listeningSinceMs]. */
-    fun idle(nowMs: Long, listeningSinceMs: Long): List<Machine> = inventory.machines.values.filter { machine ->
+    /** Machines that have been idle for longer than is worth paying for; heartbeats are received continuously since [listeningSinceMs]. */
+    fun idleMachines(nowMs: Long, listeningSinceMs: Long): List<Machine> = inventory.machines.values.filter { machine ->
         val type = machine.type
         type != null &&
             machine.state == MachineState.UP &&
@@ -24,8 +25,8 @@
     }
 
     /**
-     * Machines that should have booted long ago. One that the cloud lists as running isn't among them, even if this leader
-     * has no heartbeat of it yet: the failure detector decides about that one.
+     * Machines whose boot is long overdue. Excludes machines that the cloud lists as running, even if this leader hasn't received a
+     * heartbeat from them yet, because the failure detector handles those.
      */
     fun overdueBoots(nowMs: Long, listeningSinceMs: Long): List<Machine> = inventory.machines.values.filter { machine ->
         machine.state == MachineState.STARTING &&
@@ -35,13 +36,13 @@
     }
 
     private companion object {
-        /** A machine costs a minute at least, however early it is terminated. */
+        /** The cloud charges at least one minute per machine, however early it is terminated. */
         const val MIN_CHARGED_MS = 60_000L
 
-        /** Idle machines are kept for as many boot times: part of what a new one would make its tasks wait. */
+        /** Idle machines are kept for this many boot times, a fraction of the time that tasks would wait for a replacement. */
         const val MAX_IDLE_BOOTS = 0.5
 
-        /** Boots take up to 1.5 times their nominal time, except those of a few: given up on after so many. */
+        /** All but a few boots take up to 1.5 times the nominal boot time; a boot counts as failed after this many nominal boot times. */
         const val MAX_BOOT_FACTOR = 2.5
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/model/ClockReading.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/ClockReading.kt
@@ -1,7 +1,7 @@
 package cleathitch.scheduler.model
 
 /**
- * A moment by the controller's steady clock, for durations, and by the wall clock, which may jump but is about the same on all
- * controllers.
+ * A point in time on the controller's steady (monotonic) clock, for durations, and on the wall clock, which may jump but is roughly
+ * synchronized between controllers.
  */
 data class ClockReading(val steadyMs: Long, val wallMs: Long)
--- a/src/main/kotlin/cleathitch/scheduler/model/Deployment.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/Deployment.kt
@@ -1,30 +1,30 @@
 package cleathitch.scheduler.model
 
-/** The figures of the deployment that the scheduler's decisions rest on, as the settings give them. */
+/** The deployment parameters from the settings that the scheduler's decisions depend on. */
 data class Deployment(
     val zones: List<String>,
     /** The teams that may submit jobs, by name. */
     val teams: Map<String, Team>,
     /** Service-level objectives. */
     val objectives: List<Objective>,
-    /** Period of the workers' heartbeats. */
+    /** Period of the workers' heartbeats, in seconds. */
     val reportS: Double,
-    /** For how long a worker runs its tasks without a new answer to its heartbeats. */
+    /** Lease duration of a worker, in seconds: how long it runs its tasks without a new answer to its heartbeats. */
     val leaseS: Double,
-    /** Within this time after its confirmed cancellation no task of a job may run; longer than [leaseS]. */
+    /** Time in seconds after the confirmed cancellation of a job by which none of its tasks may run any more; longer than [leaseS]. */
     val cancelS: Double,
-    /** Requests a second that the key-value store allows. */
+    /** Rate limit of the key-value store, in requests per second. */
     val stateRps: Double,
-    /** Changes of keys a second that the key-value store allows. */
+    /** Write rate limit of the key-value store, in key changes per second. */
     val stateWriteRps: Double,
-    /** Size limit of one stored value, in bytes. */
+    /** Size limit of a stored value, in bytes. */
     val stateValueBytes: Int,
     /** Limit on the operations of one compare-and-swap transaction. */
     val stateTxnOps: Int,
-    /** Calls a second that the cloud allows. */
+    /** Rate limit of the cloud, in calls per second. */
     val cloudRps: Double,
-    /** By how much the cloud's list of machines may lag behind, in seconds. */
+    /** Maximum lag of the cloud's machine list, in seconds. */
     val listLagS: Double,
-    /** How many controllers there are. */
+    /** Number of controllers. */
     val nodes: Int,
 )
--- a/src/main/kotlin/cleathitch/scheduler/model/ExitReason.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/ExitReason.kt
@@ -1,25 +1,25 @@
 package cleathitch.scheduler.model
 
-/** Why an attempt ended on its machine. */
+/** The reason for which an attempt ended on its machine. */
 enum class ExitReason {
-    /** The task is completed; its result is kept outside the machine. */
+    /** The task is completed; its result is stored outside the machine. */
     DONE,
 
-    /** A command of the leader stopped it. */
+    /** The leader stopped it with a command. */
     STOPPED,
 
     /** It failed by itself. */
     ERROR,
 
-    /** The machine had less room than the task needs. */
+    /** The machine had too few free resources for the task. */
     NO_ROOM,
 
-    /** What it needs was still in use on the machine. */
+    /** The resources that it needs were still in use on the machine. */
     BUSY,
 
-    /** The worker doesn't know how it ended. */
+    /** The worker doesn't know why it ended. */
     UNKNOWN,
 
-    /** It is a gang's task, and others of its gang were missing. */
+    /** It is a task of a gang, and other tasks of the gang were missing. */
     PEERS_MISSING,
 }
--- a/src/main/kotlin/cleathitch/scheduler/model/Heartbeat.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/Heartbeat.kt
@@ -1,21 +1,21 @@
 package cleathitch.scheduler.model
 
-/** A worker's heartbeat with the status of its tasks. Of two, that with the larger ([incarnation], [sequenceNumber]) is newer. */
+/** A worker's heartbeat with the status of its tasks. A heartbeat with a larger ([incarnation], [sequenceNumber]) is newer. */
 data class Heartbeat(
     val machine: MachineId,
-    /** Where the worker takes direct commands, as `host:port`. */
+    /** Address at which the worker accepts direct commands, as `host:port`. */
     val address: String,
-    /** Name of its [MachineType]. */
+    /** Name of the machine's [MachineType]. */
     val type: String,
     val zone: String,
     val spot: Boolean,
-    /** Rises with each start of the worker's agent; tasks and images of an earlier incarnation are gone. */
+    /** Increases with each start of the worker's agent; tasks and images of an earlier incarnation are lost. */
     val incarnation: Long,
-    /** Rises with each heartbeat of an incarnation. */
+    /** Increases with each heartbeat of an incarnation. */
     val sequenceNumber: Long,
-    /** The newest token that the worker has seen; it ignores commands with older ones. */
+    /** The newest token that the worker has seen; it ignores commands with older tokens. */
     val token: FencingToken,
-    /** In how many seconds the cloud takes the machine; null without such a notice. */
+    /** Seconds until the cloud preempts the machine; null without a preemption notice. */
     val preemptionNoticeS: Double?,
     val tasks: List<TaskStatus>,
 )
--- a/src/main/kotlin/cleathitch/scheduler/model/Identifiers.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/Identifiers.kt
@@ -2,14 +2,14 @@
 
 import kotlinx.serialization.Serializable
 
-/** A job's name, chosen by its user. */
+/** The identifier of a job, chosen by its user. */
 @JvmInline
 @Serializable
 value class JobId(val text: String) {
     override fun toString() = text
 }
 
-/** A machine's name, chosen by the cloud. */
+/** The identifier of a machine, assigned by the cloud. */
 @JvmInline
 @Serializable
 value class MachineId(val text: String) : Comparable<MachineId> {
@@ -17,25 +17,25 @@
     override fun toString() = text
 }
 
-/** One task of a job. */
+/** The identifier of a task: its job and its index there. */
 @Serializable
 data class TaskId(val job: JobId, val index: Int) {
     override fun toString() = "$job/$index"
 }
 
 /**
- * One start of a task. Numbers rise within a job and are never used twice, so a message about an
- * earlier start can't be taken for one about the present.
+ * The identifier of an attempt, that is one start of a task. Numbers increase within a job and are never reused, so a message about
+ * an earlier attempt can't be mistaken for one about the current attempt.
  */
 @Serializable
 data class AttemptId(val task: TaskId, val number: Long) {
     override fun toString() = "$task#$number"
 }
 
-/** The revision at which the leader's key was created; it rises with every leader. */
+/** A leader's term, identified by the store's revision at which the leader's key was created; increases with every leader. */
 @JvmInline
 value class Term(val revision: Long)
 
-/** An open request, known to the outside by this number alone. */
+/** The identifier of an open request; outside the scheduler the request is known only by this number. */
 @JvmInline
 value class RequestId(val number: Long)
--- a/src/main/kotlin/cleathitch/scheduler/model/ImageCache.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/ImageCache.kt
@@ -1,8 +1,8 @@
 package cleathitch.scheduler.model
 
-/** The images that a machine holds by the leader's account, with their sizes; the least recently used comes first. */
+/** The leader's view of the images cached on a machine, with their sizes, least recently used first. */
 data class ImageCache(
-    /** The worker's incarnation that holds them; a later one begins without images. */
+    /** The worker incarnation that holds the images; a later incarnation starts with an empty cache. */
     val incarnation: Long,
     /** Sizes in gigabytes by image name. */
     val sizesGb: Map<String, Double>,
--- a/src/main/kotlin/cleathitch/scheduler/model/JobSpec.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/JobSpec.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** A job as its user submitted it. It never changes. Stored with the job: serial names are bytes on disk. */
+/** A job as its user submitted it; immutable. It is stored with the job, so the serial names are part of the storage format. */
 @Serializable
 data class JobSpec(
     val id: JobId,
@@ -13,46 +13,46 @@
     val team: String,
     val kind: JobKind,
     val priority: Priority,
-    /** Number of tasks, replicas for a service. */
+    /** Number of tasks; for a service, the number of replicas. */
     val tasks: Int,
-    /** Processors of one task. */
+    /** CPUs per task. */
     val cpus: Double,
-    /** Accelerators of one task. */
+    /** GPUs per task. */
     val gpus: Double,
-    /** Memory of one task. */
+    /** Memory per task, in gigabytes. */
     val memoryGb: Double,
     /** Name of the container image. */
     val image: String,
-    /** Size of the image. */
+    /** Size of the image, in gigabytes. */
     val imageGb: Double,
-    /** Names of the machine types on which tasks may run; null for any. */
+    /** Names of the machine types on which the tasks may run; null for any. */
     @SerialName("types")
     val allowedTypes: Set<String>? = null,
-    /** The zone in which tasks have to run; null for any. */
+    /** The zone in which the tasks have to run; null for any. */
     val zone: String? = null,
-    /** All tasks have to run in the same zone, whichever that is. */
+    /** Whether all tasks have to run in the same zone, whichever it is. */
     val oneZone: Boolean = false,
-    /** At most half of the tasks, rounded up, may share a zone. */
+    /** Whether at most half of the tasks, rounded up, may share a zone. */
     val spread: Boolean = false,
-    /** Tasks may run on spot machines. */
+    /** Whether tasks may run on spot machines. */
     val spotAllowed: Boolean = false,
-    /** How long a task runs, by its user's estimate; 0 when unknown. */
+    /** The user's estimate of a task's run time, in seconds; 0 if unknown. */
     @SerialName("estimateS")
     val estimatedRunS: Double = 0.0,
-    /** Interval of a task's own checkpoints; 0 when it writes none and loses all progress when it is stopped. */
+    /** Interval at which a task writes checkpoints, in seconds; 0 if it writes none and loses all progress when it is stopped. */
     @SerialName("checkpointS")
     val checkpointIntervalS: Double = 0.0,
-    /** How long a task takes to write a checkpoint when it is stopped. */
+    /** Time that a task needs to write a checkpoint when it is stopped, in seconds. */
     @SerialName("saveS")
     val checkpointWriteS: Double = 0.0,
-    /** Seconds after its submission within which the job is to be finished; null without a deadline. */
+    /** Completion deadline, in seconds after submission; null if there is none. */
     val deadlineS: Double? = null,
 ) {
-    /** Jobs of one class are interchangeable to the placement: where a task of one fits, a task of the other fits. */
+    /** Jobs of the same placement class are interchangeable for placement: a machine that fits a task of one fits a task of the other. */
     val placementClass = PlacementClass(
         team, kind, priority, cpus, gpus, memoryGb, image, allowedTypes, zone, oneZone, spread, spotAllowed,
     )
 
-    /** How many tasks may share a zone. */
+    /** The maximum number of tasks in the same zone. */
     val maxPerZone: Int get() = if (spread) (tasks + 1) / 2 else tasks
 }
--- a/src/main/kotlin/cleathitch/scheduler/model/ListedMachine.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/ListedMachine.kt
@@ -1,15 +1,15 @@
 package cleathitch.scheduler.model
 
-/** A machine as the cloud lists it. */
+/** An entry of the cloud's machine list. */
 data class ListedMachine(
     val machine: MachineId,
-    /** Where its worker takes direct commands, as `host:port`. */
+    /** Address at which the machine's worker accepts direct commands, as `host:port`. */
     val address: String,
     val offer: Offer,
     val state: ListedState,
-    /** Seconds since it was rented. */
+    /** Seconds since the machine was rented. */
     val ageS: Double,
 )
 
-/** A machine's state by the cloud's account; the worker on it may know better. */
+/** A machine's state as reported by the cloud; the heartbeats of its worker may be more up to date. */
 enum class ListedState { STARTING, RUNNING, FAILED }
--- a/src/main/kotlin/cleathitch/scheduler/model/MachineType.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/MachineType.kt
@@ -1,29 +1,29 @@
 package cleathitch.scheduler.model
 
-/** A machine type as the cloud lists it: what a machine of it holds, what it costs, and where it can be rented. */
+/** A machine type as the cloud lists it: resources, prices and the zones in which it can be rented. */
 data class MachineType(
     val name: String,
-    /** Processors. */
+    /** Number of CPUs. */
     val cpus: Double,
-    /** Accelerators. */
+    /** Number of GPUs. */
     val gpus: Double,
     val memoryGb: Double,
-    /** Room for images; a machine drops those least recently used. */
+    /** Size of the image cache, in gigabytes; a machine evicts the least recently used images. */
     val cacheGb: Double,
-    /** The rate at which images are fetched, shared by all fetches of a machine. */
+    /** Image fetch bandwidth in gigabytes per second, shared by all concurrent fetches of a machine. */
     val fetchGbPerS: Double,
-    /** Price of an on-demand machine for a unit of time; prices change between listings. */
+    /** Price of an on-demand machine per unit of time; prices may change between listings. */
     val price: Double,
-    /** Price of a spot machine for the same unit of time. */
+    /** Price of a spot machine per the same unit of time. */
     val spotPrice: Double,
-    /** Nominal time from the rental to the first heartbeat. */
+    /** Nominal time from the rental to the first heartbeat, in seconds. */
     val bootS: Double,
     val zones: List<String>,
 ) {
-    /** Whether an empty machine of this type has room for a task of the class. */
+    /** Whether a task of the class fits on an empty machine of this type. */
     fun canHold(placementClass: PlacementClass) =
         placementClass.cpus <= cpus && placementClass.gpus <= gpus && placementClass.memoryGb <= memoryGb
 
-    /** The price of a machine of this type for a unit of time, as a spot machine or on demand. */
+    /** The price of a machine of this type per unit of time, as a spot or an on-demand machine. */
     fun priceOf(spot: Boolean) = if (spot) spotPrice else price
 }
--- a/src/main/kotlin/cleathitch/scheduler/model/Offer.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/Offer.kt
@@ -2,6 +2,6 @@
 
 import kotlinx.serialization.Serializable
 
-/** What can be rented: machines of a [type] (the name of a [MachineType]) in a [zone], as [spot] or on demand. */
+/** A rentable offer: machines of a [type] (the name of a [MachineType]) in a [zone], as [spot] or on-demand machines. */
 @Serializable
 data class Offer(val type: String, val zone: String, val spot: Boolean)
--- a/src/main/kotlin/cleathitch/scheduler/model/PlacementClass.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/PlacementClass.kt
@@ -6,40 +6,40 @@
 import kotlin.math.min
 
 /**
- * Everything of a job that decides where its tasks may run. Jobs of one class are interchangeable to the placement: a machine
- * that fits a task of one fits a task of the other, so a round ranks machines once for each class.
+ * The attributes of a job that determine where its tasks may run. Jobs of the same class are interchangeable for placement: a
+ * machine that fits a task of one fits a task of the other, so a round ranks the machines once per class.
  */
 @Serializable
 data class PlacementClass(
     val team: String,
     val kind: JobKind,
     val priority: Priority,
-    /** Processors of one task. */
+    /** CPUs per task. */
     val cpus: Double,
-    /** Accelerators of one task. */
+    /** GPUs per task. */
     val gpus: Double,
-    /** Memory of one task. */
+    /** Memory per task, in gigabytes. */
     val memoryGb: Double,
     /** Name of the container image. */
     val image: String,
-    /** The machine types on which a task may run; null for any. */
+    /** Names of the machine types on which a task may run; null for any. */
     @SerialName("types")
     val allowedTypes: Set<String>?,
     /** The zone in which a task has to run; null for any. */
     val zone: String?,
-    /** All tasks of the job have to run in the same zone. */
+    /** Whether all tasks of the job have to run in the same zone. */
     val oneZone: Boolean,
-    /** At most half of the job's tasks, rounded up, may share a zone. */
+    /** Whether at most half of the job's tasks, rounded up, may share a zone. */
     val spread: Boolean,
-    /** Tasks may run on spot machines. */
+    /** Whether tasks may run on spot machines. */
     val spotAllowed: Boolean,
 ) {
-    /** Whether a task may run on a machine rented as [offer]; whether it has room there is another question. */
+    /** Whether a task may run on a machine rented as [offer], regardless of the machine's free resources. */
     fun permits(offer: Offer): Boolean = (allowedTypes == null || offer.type in allowedTypes) &&
         (zone == null || offer.zone == zone) &&
         (spotAllowed || !offer.spot)
 
-    /** How many tasks fit side by side into what is free of a machine. */
+    /** The number of tasks that fit concurrently into a machine's free resources. */
     fun fittingTasks(freeCpus: Double, freeGpus: Double, freeMemoryGb: Double): Int {
         var tasks = Double.MAX_VALUE
         if (cpus > 0) tasks = min(tasks, (freeCpus + RESOURCE_TOLERANCE) / cpus)
@@ -48,11 +48,11 @@
         return floor(min(tasks, MAX_FITTING_TASKS)).toInt().coerceAtLeast(0)
     }
 
-    /** How many tasks fit side by side into an empty machine of [type]. */
+    /** The number of tasks that fit concurrently on an empty machine of [type]. */
     fun fittingTasks(type: MachineType): Int = fittingTasks(type.cpus, type.gpus, type.memoryGb)
 
     private companion object {
-        /** Stands for any number of tasks, for those that ask for nothing; far above what a machine holds. */
+        /** Upper bound of the result, which applies to tasks that request no resources; far above what a machine can run. */
         const val MAX_FITTING_TASKS = 1e6
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/model/TaskState.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/TaskState.kt
@@ -1,17 +1,17 @@
 package cleathitch.scheduler.model
 
-/** What an attempt does on its machine. */
+/** The state of an attempt on its machine. */
 enum class TaskState {
     /** Its image is being fetched. */
     FETCHING,
 
-    /** It is a gang's task that is ready and waits for the others of its gang. */
+    /** It is a task of a gang, is ready to run and waits for the gang's other tasks. */
     WAITING,
     RUNNING,
 
-    /** It was stopped and writes its checkpoint. */
+    /** It was stopped and is writing its checkpoint. */
     SAVING,
 
-    /** It has ended, for an [ExitReason], and stays in heartbeats until the leader sends [WorkerCommand.Forget]. */
+    /** It has ended with an [ExitReason] and is reported in heartbeats until the leader sends [WorkerCommand.Forget]. */
     EXITED,
 }
--- a/src/main/kotlin/cleathitch/scheduler/model/TaskStatus.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/TaskStatus.kt
@@ -1,11 +1,11 @@
 package cleathitch.scheduler.model
 
-/** A task's attempt as a heartbeat shows it. */
+/** The status of a task's attempt as reported in a heartbeat. */
 data class TaskStatus(
     val attempt: AttemptId,
     val state: TaskState,
-    /** Why it ended; null unless [state] is [TaskState.EXITED], and for reasons that this release doesn't know. */
+    /** Why the attempt ended; null unless [state] is [TaskState.EXITED], and for reasons unknown to this release. */
     val exitReason: ExitReason? = null,
-    /** Its progress was saved before it ended. */
+    /** Whether its progress was saved before it ended. */
     val saved: Boolean = false,
 )
--- a/src/main/kotlin/cleathitch/scheduler/model/TimeUnits.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/TimeUnits.kt
@@ -1,4 +1,4 @@
 package cleathitch.scheduler.model
 
-/** Milliseconds in a second: settings and messages count in seconds, clocks in milliseconds. */
+/** Milliseconds per second. Settings and messages use seconds, clocks use milliseconds. */
 const val MS_PER_S = 1000.0
--- a/src/main/kotlin/cleathitch/scheduler/placement/AllowedZones.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/AllowedZones.kt
@@ -3,24 +3,24 @@
 import cleathitch.scheduler.jobs.Job
 import cleathitch.scheduler.machines.Inventory
 
-/** The zones in which the next task of a job may start. */
+/** The zones in which the next task of a job may be placed. */
 internal sealed interface AllowedZones {
     operator fun contains(zone: String): Boolean
 
-    /** The job has no rule about zones. */
+    /** The job has no zone constraint that depends on its running tasks, so every zone is allowed. */
     data object All : AllowedZones {
         override fun contains(zone: String) = true
     }
 
-    /** The job's rules leave just [zones]. */
+    /** Only [zones] satisfy the job's constraints. */
     data class Only(val zones: Set<String>) : AllowedZones {
         override fun contains(zone: String) = zone in zones
     }
 
     companion object {
         /**
-         * The zones that the job's own zone rules leave. Tasks that may still be running count where they may be; where one may
-         * run on a machine whose zone isn't known, no zone is safe.
+         * Evaluates the job's `oneZone` and `spread` constraints. Every attempt that may still be running counts in the zone of its
+         * machine; if the zone of one of these machines is unknown, no zone is allowed.
          */
         fun of(job: Job, inventory: Inventory): AllowedZones {
             val spec = job.spec
@@ -33,7 +33,7 @@
             }
         }
 
-        /** The number of the job's live attempts in each zone; null if one may run on a machine whose zone isn't known. */
+        /** The number of the job's live attempts per zone, or null if an attempt's machine isn't in the inventory. */
         private fun countTasksByZone(job: Job, inventory: Inventory): Map<String, Int>? {
             val tasksByZone = HashMap<String, Int>()
             for (attempt in job.liveAttempts.values) {
--- a/src/main/kotlin/cleathitch/scheduler/placement/CandidateMachine.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/CandidateMachine.kt
@@ -7,7 +7,7 @@
 import cleathitch.scheduler.model.MachineType
 import cleathitch.scheduler.model.PlacementClass
 
-/** A machine in one scheduling round, with what the round has left free of it. */
+/** A machine considered in one scheduling round, with the resources that the round hasn't reserved yet. */
 internal class CandidateMachine(val machine: Machine, type: MachineType, usage: ResourceUsage?, attempts: Collection<Attempt>) {
     var freeCpus = type.cpus - (usage?.cpus ?: 0.0)
         private set
@@ -16,13 +16,13 @@
     val totalCpus = type.cpus
     val zone: String get() = machine.offer.zone
 
-    /** A service keeps this machine, so it is paid for anyway: what is free of it costs nothing. */
+    /** Whether a service task runs here. The machine is then kept for the service, so its free resources cost nothing extra. */
     val runsService = attempts.any { it.job.spec.kind == JobKind.SERVICE }
 
-    /** Images on their way here, which share the machine's fetch rate. */
-    val fetchingImages: Set<String> = if (attempts.isEmpty()) emptySet() else imagesNotYetHere(attempts)
+    /** Images that are being fetched; concurrent fetches share the machine's fetch bandwidth. */
+    val fetchingImages: Set<String> = if (attempts.isEmpty()) emptySet() else missingImages(attempts)
 
-    private fun imagesNotYetHere(attempts: Collection<Attempt>): Set<String> = attempts
+    private fun missingImages(attempts: Collection<Attempt>): Set<String> = attempts
         .filter { it.runningSinceMs == null }
         .map { it.job.spec.image }
         .filterTo(HashSet()) { !machine.hasImage(it) }
@@ -31,7 +31,7 @@
 
     fun fits(placementClass: PlacementClass): Boolean = fittingTasks(placementClass) > 0
 
-    /** Takes the room of one task for the rest of the round. */
+    /** Reserves the resources of one task for the rest of the round. */
     fun reserve(placementClass: PlacementClass) {
         freeCpus -= placementClass.cpus
         freeGpus -= placementClass.gpus
--- a/src/main/kotlin/cleathitch/scheduler/placement/PlacementCost.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/PlacementCost.kt
@@ -3,29 +3,33 @@
 import cleathitch.scheduler.model.JobKind
 import cleathitch.scheduler.model.PlacementClass
 
-/** The cost of fetching an image, in terms of the fit, which costs between 0 and 1: a fetch outweighs any fit. */
+/** The cost of fetching an image. The fit costs between 0 and 1, so a fetch always outweighs it. */
 private const val IMAGE_FETCH_COST = 2.0
 
-/** A task that may run on spot machines leaves on-demand ones to those that may not, even if its image has to be fetched for it. */
-private const val ON_DEMAND_COST = 4.0
+/**
+ * The cost of placing a task that may run on spot machines on an on-demand one. It exceeds [IMAGE_FETCH_COST], so that on-demand
+ * machines stay free for tasks that need them even if the image has to be fetched to a spot machine.
+ */
+private const val ON_DEMAND_PENALTY = 4.0
 
-/** Room beside a service is paid for already. */
-private const val PAID_MACHINE_BONUS = -1.0
+/** The bonus for free resources beside a service, which are already paid for. */
+private const val SERVICE_MACHINE_BONUS = -1.0
 
 /**
- * The cost of one more task on a machine; smaller is better. In order of weight: the kind of machine meant for the work, the
- * image there or on its way, then the tightest fit. Each task that failed by itself on the machine counts as much as the loosest fit.
+ * The cost of placing one more task on a machine; lower is better. In descending order of weight: whether the task needlessly
+ * occupies an on-demand machine, whether the image is cached or being fetched, whether the machine is kept for a service anyway,
+ * and how tight the fit is (best fit). Each task that failed by itself on the machine adds as much as the loosest fit.
  */
 internal fun placementCost(placementClass: PlacementClass, candidate: CandidateMachine): Double {
-    val fetch = fetchCost(placementClass.image, candidate)
-    val wastesOnDemand = placementClass.spotAllowed && !candidate.machine.offer.spot && !candidate.runsService
-    val machineKind = if (wastesOnDemand) ON_DEMAND_COST else 0.0
-    val paid = if (placementClass.kind != JobKind.SERVICE && candidate.runsService) PAID_MACHINE_BONUS else 0.0
-    val looseness = (candidate.freeCpus - placementClass.cpus) / candidate.totalCpus
-    return fetch + machineKind + paid + looseness + candidate.machine.taskFailures
+    val imageFetchCost = fetchCost(placementClass.image, candidate)
+    val usesOnDemandNeedlessly = placementClass.spotAllowed && !candidate.machine.offer.spot && !candidate.runsService
+    val onDemandPenalty = if (usesOnDemandNeedlessly) ON_DEMAND_PENALTY else 0.0
+    val serviceBonus = if (placementClass.kind != JobKind.SERVICE && candidate.runsService) SERVICE_MACHINE_BONUS else 0.0
+    val unusedCpuShare = (candidate.freeCpus - placementClass.cpus) / candidate.totalCpus
+    return imageFetchCost + onDemandPenalty + serviceBonus + unusedCpuShare + candidate.machine.taskFailures
 }
 
-/** Images that are fetched together share the machine's rate, so each one on its way makes another dearer. */
+/** Concurrent fetches share the machine's bandwidth, so each image that is being fetched makes another fetch more expensive. */
 private fun fetchCost(image: String, candidate: CandidateMachine): Double = when {
     candidate.machine.hasImage(image) -> 0.0
     image in candidate.fetchingImages -> IMAGE_FETCH_COST / 2
--- a/src/main/kotlin/cleathitch/scheduler/placement/PlacementRound.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/PlacementRound.kt
@@ -8,11 +8,11 @@
 import cleathitch.scheduler.model.RESOURCE_TOLERANCE
 
 /**
- * Decides in one scheduling round where tasks go and whose tasks make room for them. What it sees of the fleet is fixed at its
- * start, less the room that it has given away itself. Confined to the leader's event loop.
+ * Placement and preemption in one scheduling round. Works on a snapshot of the fleet taken at the start of the round, less the
+ * resources that the round itself has reserved. Confined to the leader's event loop.
  *
- * Tasks of one class are interchangeable, so the machines are ranked once for each class, not for each task, and a class that
- * fits nowhere costs one ranking. That is why the ranking can afford to see all machines, not a sample of them.
+ * Tasks of one placement class are interchangeable, so machines are ranked once per class instead of once per task, and a class
+ * that fits nowhere costs a single ranking. This makes it affordable to rank all machines rather than a sample.
  */
 class PlacementRound(
     private val inventory: Inventory,
@@ -26,11 +26,11 @@
     private val rankings = HashMap<PlacementClass, Map<String, RankedMachines>>()
     private val preemptionPlanners = HashMap<PlacementClass, PreemptionPlanner>()
 
-    /** How many pairs of a class and a machine were weighed. Tests measure by it how a round's cost grows. */
+    /** The number of (placement class, machine) pairs evaluated; tests use it to measure how the cost of a round grows. */
     var candidatesEvaluated = 0L
         private set
 
-    /** The cheapest machine for the job's next task, with its room reserved; null if the task fits nowhere. */
+    /** Chooses the machine with the lowest placement cost for the job's next task and reserves its resources; null if none fits. */
     fun chooseMachine(job: Job): Machine? {
         val placementClass = job.spec.placementClass
         val allowedZones = AllowedZones.of(job, inventory)
@@ -52,11 +52,11 @@
             .mapValues { (_, inZone) -> RankedMachines.of(inZone, placementClass) }
     }
 
-    /** A machine for each waiting task of a gang, with its room reserved; null unless all find one at once. */
+    /** Chooses a machine for each waiting task of a gang and reserves its resources; null if not all tasks can be placed. */
     fun chooseGangMachines(job: Job): List<Machine>? =
         GangPlacement(job, AllowedZones.of(job, inventory)).reserve(candidates)?.map { it.machine }
 
-    /** The tasks to stop so that up to [maxTasks] tasks of [job] find room, where least is lost. */
+    /** Selects the tasks to preempt so that up to [maxTasks] tasks of [job] fit, with the least work lost. */
     fun planPreemption(job: Job, maxTasks: Int): PreemptionPlan {
         val planner = preemptionPlanners.getOrPut(job.spec.placementClass) {
             candidatesEvaluated += usableMachines.size
--- a/src/main/kotlin/cleathitch/scheduler/placement/PreemptionPlan.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/PreemptionPlan.kt
@@ -2,10 +2,10 @@
 
 import cleathitch.scheduler.jobs.Attempt
 
-/** Which tasks to stop for a job of higher priority. */
+/** The tasks to preempt for a job of higher priority. */
 class PreemptionPlan(
     /** The attempts to stop. */
     val victims: List<Attempt>,
-    /** For how many tasks of the job that makes room, together with what is being stopped already. */
+    /** The number of the job's tasks that fit once [victims] and the attempts that are already stopping have ended. */
     val tasks: Int,
 )
--- a/src/main/kotlin/cleathitch/scheduler/placement/PreemptionPlanner.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/PreemptionPlanner.kt
@@ -8,8 +8,8 @@
 import java.util.PriorityQueue
 
 /**
- * What could be stopped for one class of tasks in one round, machine by machine, the least loss first. Room that stopped
- * tasks are about to leave costs nothing and is used first. Only tasks of lower priority are ever stopped.
+ * Selects victims for one placement class in one round, machine by machine, in ascending order of the work lost. Resources that
+ * stopping tasks are about to free cost nothing and are used first. Only tasks of lower priority are preempted.
  */
 internal class PreemptionPlanner(
     private val spec: JobSpec,
@@ -17,7 +17,7 @@
     private val jobTable: JobTable,
     private val nowMs: Long,
 ) {
-    /** A machine on which [tasks] more tasks fit once [removed] are gone, of which [victims] still have to be stopped. */
+    /** A machine on which [tasks] more tasks fit once [removed] have ended; [victims] are those of them that still have to be stopped. */
     private class Option(
         val machine: Machine,
         val removed: List<Attempt>,
@@ -35,58 +35,61 @@
         }
     }
 
-    /** The victims that make room for up to [maxTasks] tasks in the allowed zones. */
+    /** Selects the victims whose resources let up to [maxTasks] tasks fit in the allowed zones. */
     fun plan(allowedZones: AllowedZones, maxTasks: Int): PreemptionPlan {
         val victims = ArrayList<Attempt>()
-        var left = maxTasks
-        while (left > 0) {
+        var remaining = maxTasks
+        while (remaining > 0) {
             val option = pollBest(allowedZones) ?: break
             victims += option.victims
-            left -= use(option, left)
+            remaining -= assign(option, remaining)
         }
-        return PreemptionPlan(victims, maxTasks - left)
+        return PreemptionPlan(victims, maxTasks - remaining)
     }
 
     private fun addOption(machine: Machine) {
         val attempts = jobTable.attemptsOn(machine.id)
         val stopping = attempts.filter { it.stopCause != null }
-        val freeSoon = fittingTasksWithout(stopping, machine)
-        if (freeSoon > 0) {
-            options += Option(machine, stopping, emptyList(), freeSoon, 0.0)
+        val tasksAfterStops = fittingTasksWithout(stopping, machine)
+        if (tasksAfterStops > 0) {
+            options += Option(machine, stopping, emptyList(), tasksAfterStops, 0.0)
             return
         }
         val preemptible = attempts.filter { it.stopCause == null && it.job.spec.priority > spec.priority }
         addCheapestPreemption(machine, stopping, preemptible)
     }
 
-    /** Stops tasks in the order of their loss, as many as it takes until one task of the class fits. */
+    /** Adds an option that preempts tasks in ascending order of lost work until at least one task of the class fits. */
     private fun addCheapestPreemption(machine: Machine, stopping: List<Attempt>, preemptible: List<Attempt>) {
         val victims = ArrayList<Attempt>()
-        for (attempt in preemptible.sortedBy(::lossCpuS)) {
+        for (attempt in preemptible.sortedBy(::lostCpuS)) {
             victims += attempt
             val tasks = fittingTasksWithout(stopping + victims, machine)
             if (tasks == 0) continue
-            val fetchLossCpuS = fetchS(machine) * placementClass.cpus
-            val lossPerTask = (fetchLossCpuS + victims.sumOf(::lossCpuS)) / tasks
+            val fetchCpuS = fetchS(machine) * placementClass.cpus
+            val lossPerTask = (fetchCpuS + victims.sumOf(::lostCpuS)) / tasks
             options += Option(machine, stopping + victims, victims, tasks, lossPerTask)
             return
         }
     }
 
-    /** Takes the best option in the allowed zones out of the queue. */
+    /** Removes the option with the lowest loss per task in the allowed zones from the queue. */
     private fun pollBest(allowedZones: AllowedZones): Option? {
-        val elsewhere = ArrayList<Option>()
+        val skipped = ArrayList<Option>()
         var option = options.poll()
         while (option != null && option.machine.offer.zone !in allowedZones) {
-            elsewhere += option
+            skipped += option
             option = options.poll()
         }
-        options += elsewhere
+        options += skipped
         return option
     }
 
-    /** Uses the option for up to [maxTasks] tasks and returns for how many; what it has left costs nothing more. */
-    private fun use(option: Option, maxTasks: Int): Int {
+    /**
+     * Assigns up to [maxTasks] tasks to the option and returns how many it took. Its remaining tasks go back to the queue at no
+     * further loss, because the victims are already counted.
+     */
+    private fun assign(option: Option, maxTasks: Int): Int {
         val used = minOf(maxTasks, option.tasks)
         if (used < option.tasks) {
             options += Option(option.machine, option.removed, emptyList(), option.tasks - used, 0.0)
@@ -94,7 +97,7 @@
         return used
     }
 
-    /** How many tasks of the class fit into what is free of the machine once [removed] have left it. */
+    /** The number of tasks of the class that fit on the machine once [removed] have ended. */
     private fun fittingTasksWithout(removed: List<Attempt>, machine: Machine): Int {
         val type = machine.type ?: return 0
         val usage = jobTable.usageOnMachine(machine.id)
@@ -108,8 +111,11 @@
     private fun fetchS(machine: Machine): Double =
         if (machine.hasImage(placementClass.image)) 0.0 else spec.imageGb / (machine.type?.fetchGbPerS ?: 1.0)
 
-    /** About how much processor time is lost when the attempt is stopped: the saving of its progress, or all that it ran without. */
-    private fun lossCpuS(attempt: Attempt): Double {
+    /**
+     * The approximate CPU time lost when the attempt is stopped: the time to write a checkpoint if the task writes checkpoints, otherwise
+     * all the time that it has run.
+     */
+    private fun lostCpuS(attempt: Attempt): Double {
         val spec = attempt.job.spec
         val ranS = attempt.runningSinceMs?.let { (nowMs - it) / MS_PER_S } ?: 0.0
         return spec.cpus * if (spec.checkpointIntervalS > 0) minOf(ranS, spec.checkpointWriteS) else ranS
--- a/src/main/kotlin/cleathitch/scheduler/placement/RankedMachines.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/RankedMachines.kt
@@ -2,15 +2,15 @@
 
 import cleathitch.scheduler.model.PlacementClass
 
-/** One zone's machines with room for a class, cheapest first, with a cursor that passes those that are full by now. */
+/** The machines of one zone that fit a placement class, in ascending order of cost, with a cursor that skips full machines. */
 internal class RankedMachines private constructor(private val candidates: List<CandidateMachine>, private val costs: DoubleArray) {
     private var next = 0
 
-    /** The cheapest machine that isn't passed over yet; call [skipFull] first. */
+    /** The cheapest machine that the cursor hasn't passed; call [skipFull] first. */
     val first: CandidateMachine? get() = candidates.getOrNull(next)
     val firstCost: Double get() = costs[next]
 
-    /** Passes over machines without room. A machine only fills up during a round, so none has to be seen again. */
+    /** Advances the cursor past full machines. Free resources only shrink during a round, so a skipped machine never fits again. */
     fun skipFull(placementClass: PlacementClass) {
         while (next < candidates.size && !candidates[next].fits(placementClass)) next++
     }
--- a/src/test/kotlin/cleathitch/scheduler/capacity/CapacityPlannerTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/capacity/CapacityPlannerTest.kt
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Which machines are rented for which demands. A machine of the only type fits two of the tasks asked for here. */
+/** Rental planning. Two of the requested tasks fit on a machine of the only type. */
 class CapacityPlannerTest {
     private val deployment = Deployment(
         zones = listOf("a", "b"), teams = emptyMap(), objectives = emptyList(),
@@ -47,18 +47,18 @@
     private fun offer(zone: String, spot: Boolean = false) = Offer("m4", zone, spot)
 
     @Test
-    fun `tasks are packed side by side, on spot machines where they may run there`() {
+    fun `tasks share machines, and use spot machines if allowed`() {
         assertEquals(listOf(PlannedRental(offer("a"), 3)), plan(demand(6)))
         assertEquals(listOf(PlannedRental(offer("a", spot = true), 3)), plan(demand(6, spotAllowed = true)))
     }
 
     @Test
-    fun `tasks with slack run one after the other on fewer machines`() {
+    fun `tasks with slack run one after another on fewer machines`() {
         assertEquals(listOf(PlannedRental(offer("a"), 1)), plan(demand(6, slackS = 35.0, runS = 10.0)))
     }
 
     @Test
-    fun `machines that boot and rentals without an answer serve demands first`() {
+    fun `booting machines and unanswered rentals serve demands first`() {
         inventory.register(MachineId("m-1"), offer("b"), 0)
         assertEquals(listOf(PlannedRental(offer("a"), 2)), plan(demand(6)))
         inventory.apply(Event.RentalRequested("r-1", offer("a"), 2))
@@ -66,12 +66,12 @@
     }
 
     @Test
-    fun `a spread demand is divided among the zones`() {
+    fun `a spread demand is split across the zones`() {
         assertEquals(listOf(PlannedRental(offer("a"), 1), PlannedRental(offer("b"), 1)), plan(demand(4, spread = true)))
     }
 
     @Test
-    fun `neither partitioned zones nor offers refused a moment ago are rented`() {
+    fun `partitioned zones and recently refused offers aren't rented`() {
         inventory.recordRefusal(offer("a"), nowMs = 0)
         assertEquals(listOf(PlannedRental(offer("b"), 1)), plan(demand(2), nowMs = 8_999))
         assertEquals(listOf(PlannedRental(offer("a"), 1)), plan(demand(2), nowMs = 9_000))
@@ -80,7 +80,7 @@
     }
 
     @Test
-    fun `tasks that can't have spot machines get others only if they can't wait`() {
+    fun `tasks that can't get spot machines get on-demand ones only if they can't wait`() {
         inventory.recordRefusal(offer("a", spot = true), nowMs = 0)
         inventory.recordRefusal(offer("b", spot = true), nowMs = 0)
         assertEquals(emptyList<PlannedRental>(), plan(demand(4, urgentTasks = 0, spotAllowed = true)))
@@ -88,7 +88,7 @@
     }
 
     @Test
-    fun `a call rents fifty machines at most, and the calls are limited`() {
+    fun `a call rents at most fifty machines, and the number of calls is limited`() {
         val calls = listOf(PlannedRental(offer("a"), 50), PlannedRental(offer("a"), 10))
         assertEquals(calls, plan(demand(120)))
         assertEquals(calls.take(1), plan(demand(120), maxCalls = 1))
--- a/src/test/kotlin/cleathitch/scheduler/model/PlacementClassTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/model/PlacementClassTest.kt
@@ -19,14 +19,14 @@
     )
 
     @Test
-    fun `the scarcest resource decides how many tasks fit`() {
+    fun `the scarcest resource determines how many tasks fit`() {
         assertEquals(3, placementClass().fittingTasks(freeCpus = 7.0, freeGpus = 0.0, freeMemoryGb = 100.0))
         assertEquals(1, placementClass().fittingTasks(freeCpus = 7.0, freeGpus = 0.0, freeMemoryGb = 7.0))
         assertEquals(0, placementClass(gpus = 1.0).fittingTasks(freeCpus = 7.0, freeGpus = 0.0, freeMemoryGb = 100.0))
     }
 
     @Test
-    fun `a rounding error keeps no task off a machine, and an overcommitted machine fits none`() {
+    fun `a rounding error doesn't keep a task off a machine, and an overcommitted machine fits none`() {
         val tenth = placementClass(cpus = 0.1, memoryGb = 0.1)
         val leftOfOne = 1.0 - (0.1 + 0.2 + 0.3 + 0.3)
         assertTrue(leftOfOne < 0.1)
--- a/src/test/kotlin/cleathitch/scheduler/placement/PlacementRoundTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/placement/PlacementRoundTest.kt
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Test
 
-/** Where tasks go in one round. A machine fits two of the tasks asked for here, unless a test says otherwise. */
+/** Placement and preemption in one round. Two tasks of the default size fit on a machine. */
 class PlacementRoundTest {
     private val deployment = Deployment(
         zones = listOf("a", "b"), teams = emptyMap(), objectives = emptyList(),
@@ -62,7 +62,7 @@
     private fun round() = PlacementRound(inventory, jobTable, inventory.machines.values.toList(), nowMs = 0)
 
     @Test
-    fun `tasks go to the machine that has their image, then to others, then nowhere`() {
+    fun `machines that cache the image are filled first, then others, and then no machine is chosen`() {
         machine("m-1")
         machine("m-2").recordImage("image", 1.0)
         val job = accept(spec("j-1"))
@@ -71,7 +71,7 @@
     }
 
     @Test
-    fun `a class is weighed against the machines once, however many tasks it has`() {
+    fun `each machine is evaluated once per placement class, independent of the number of tasks`() {
         repeat(5) { machine("m-$it") }
         val job = accept(spec("j-1"))
         val round = round()
@@ -96,7 +96,7 @@
     }
 
     @Test
-    fun `a spread job's tasks that may be running count in their zone`() {
+    fun `a spread job's attempts that may still be running count towards the limit of their zone`() {
         val inA = machine("m-1", zone = "a")
         machine("m-2", zone = "b")
         val job = accept(spec("j-1", tasks = 2, cpus = 1.0, spread = true))
@@ -105,7 +105,7 @@
     }
 
     @Test
-    fun `preemption stops tasks of lower priority only, and counts on what is stopping already`() {
+    fun `preemption stops only tasks of lower priority and counts resources that stopping tasks will free`() {
         val machine = machine("m-1")
         val low = accept(spec("j-1", priority = Priority.LOW))
         val equal = accept(spec("j-2", priority = Priority.PRODUCTION))
--- a/src/test/kotlin/cleathitch/scheduler/placement/SchedulingOrderTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/placement/SchedulingOrderTest.kt
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Who is served first when not all can be. */
+/** The order of waiting jobs, its bounded delays and the overdue rule. */
 class SchedulingOrderTest {
     private val teams = mapOf("red" to Team("red", 4.0, null, 0.0, null), "blue" to Team("blue", 0.0, null, 0.0, null))
     private val quota = Quota(teams, JobTable())
@@ -25,7 +25,7 @@
         SchedulingOrder(completionObjectives, quota, nowS * 1000L).order(jobs.toList()).map { it.id.text.removePrefix("j-").toInt() }
 
     @Test
-    fun `services, then guarantees, then small jobs before large ones of about the same age`() {
+    fun `order is by priority, then guaranteed quota, then small jobs before large ones of similar age`() {
         val service = job(1, submittedS = 9, tasks = 2, kind = JobKind.SERVICE)
         val guaranteed = job(2, submittedS = 8, tasks = 1, team = "red")
         val large = job(3, submittedS = 1, tasks = 100)
@@ -33,23 +33,23 @@
         assertEquals(listOf(1, 2, 4, 3), order(10, large, small, guaranteed, service))
     }
 
-    /** With plain shortest-first, virtualSubmissionMs without its bounds, the large job never comes up. */
+    /** Guards against starvation: with plain shortest-job-first, virtualSubmissionMs without its bounds, the large job is never first. */
     @Test
-    fun `no stream of small jobs keeps a large one from its turn`() {
+    fun `a stream of small jobs doesn't starve a large one`() {
         val large = job(1, submittedS = 0, tasks = 100)
         val before = (0..300 step 5).takeWhile { now -> order(now, large, job(2, submittedS = now, tasks = 1)).first() == 2 }
         assertTrue(before.last() in 30..100) { "the large job is first from ${before.last() + 5} s on" }
     }
 
     @Test
-    fun `a job that can't meet an objective any more gives way, but not for ever`() {
-        val lost = job(1, submittedS = 0, tasks = 5)
-        assertEquals(listOf(2, 1), order(95, lost, job(2, submittedS = 50, tasks = 5)))
-        assertEquals(listOf(1, 2), order(160, lost, job(2, submittedS = 120, tasks = 5)))
+    fun `a job that can no longer meet an objective is delayed by a bounded time`() {
+        val late = job(1, submittedS = 0, tasks = 5)
+        assertEquals(listOf(2, 1), order(95, late, job(2, submittedS = 50, tasks = 5)))
+        assertEquals(listOf(1, 2), order(160, late, job(2, submittedS = 120, tasks = 5)))
     }
 
     @Test
-    fun `a job of which nothing began within two minutes is overdue`() {
+    fun `a job without any attempt within two minutes is overdue`() {
         val waiting = job(1, submittedS = 0, tasks = 5)
         assertFalse(SchedulingOrder.isOverdue(waiting, 119_000))
         assertTrue(SchedulingOrder.isOverdue(waiting, 120_000))
