--- a/src/main/kotlin/cleathitch/scheduler/LogWriter.kt
+++ b/src/main/kotlin/cleathitch/scheduler/LogWriter.kt
@@ -15,8 +15,8 @@
 import cleathitch.scheduler.model.Term
 
 /**
- * Applies events to the state in memory, and paces the commits that make them durable by what the key-value store allows.
- * Confined to the leader's event loop.
+ * Applies events to the state in memory, and limits the rate of the commits that make them durable to the leader's share of the
+ * key-value store's write rate. Confined to the leader's event loop.
  */
 internal class LogWriter(
     private val context: SchedulerContext,
@@ -30,19 +30,19 @@
 ) {
     private val budget = WriteBudget(deployment.stateWriteRps * WRITE_SHARE, start.steadyMs)
 
-    /** When the commit in flight was handed out, null while none is. */
-    private var writeSinceMs: Long? = null
+    /** When the commit in flight was emitted, null if none is in flight. */
+    private var inFlightSinceMs: Long? = null
     private var lastWriteMs = 0L
     private var lastCompactionMs = start.steadyMs
 
-    /** A queued event holds up a reply or a command, so its commit doesn't wait for the next round. */
+    /** Whether a reply or a command waits for a queued event; its commit then doesn't wait for the next round. */
     private var isUrgent = false
     private var isCompacting = false
 
-    /** Whether the key-value store leaves a commit without an answer for long. */
-    fun isStalled(): Boolean = writeSinceMs?.let { context.now.steadyMs - it > timings.commitStallMs } == true
+    /** Whether the commit in flight has been unanswered for longer than [SchedulerTimings.commitStallMs]. */
+    fun isStalled(): Boolean = inFlightSinceMs?.let { context.now.steadyMs - it > timings.commitStallMs } == true
 
-    /** Applies [event] in memory and queues it; returns the index of the record that will hold it. */
+    /** Applies [event] in memory and queues it for the next commit; returns the index of the record that will contain it. */
     fun append(event: Event): LogIndex {
         val index = decisionLog.append(event)
         if (event !is Event.TaskCompleted && event !is Event.AttemptTerminated) isUrgent = true
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Writes at once what a reply or a command waits for, and the rest once a round, as far as the budget goes.
-     * Half of a second's budget is never spent on compaction, so that it doesn't delay a decision.
+     * Writes events immediately if a reply or a command waits for them, otherwise once per round, within the write budget.
+     * Compaction leaves half of the budget's burst unused, so that it doesn't delay decisions.
      */
     fun write() {
         if (!decisionLog.isIdle) return
@@ -75,24 +75,24 @@
         budget.consume(commit.changes.sumOf { if (it is Mutation.Put) it.parts else 1 })
         lastWriteMs = nowMs
         isUrgent = decisionLog.hasPendingRecords
-        writeSinceMs = nowMs
+        inFlightSinceMs = nowMs
         context.emit(Effect.Write(commit))
     }
 
-    /** The commit in flight, up to record [index], is durable. */
+    /** Called when the commit in flight, up to record [index], is durable. */
     fun recordCommit(index: LogIndex) {
         decisionLog.recordCommitted(index, jobTable)
-        writeSinceMs = null
+        inFlightSinceMs = null
     }
 
     private companion object {
-        /** The leader's share of the key-value store's write rate; elections need the rest. */
+        /** The part of the key-value store's write rate that the leader may use; the rest is left for elections. */
         const val WRITE_SHARE = 0.8
 
-        /** A step of the compaction that could make fewer changes isn't worth a commit. */
+        /** A compaction step limited to fewer changes isn't worth a commit. */
         const val MIN_COMPACTION_CHANGES = 4
 
-        /** The smallest commit of events: a record and the head. */
+        /** Changes in the smallest commit that contains events: one record and the head. */
         const val EVENT_COMMIT_CHANGES = 2
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -34,12 +34,12 @@
 
 /**
  * The scheduler as a deterministic state machine for one leadership term. [handle] consumes a batch of inputs and returns
- * the effects to execute, in order. No clock, randomness or I/O; confined to the leader's event loop.
+ * the effects to execute, in order. It reads no clock, draws no random numbers and does no I/O. Confined to the leader's event loop.
  *
- * Events change the state in memory at once, but nothing that depends on an event leaves the scheduler before its record is
- * committed: replies wait in [JobRequests], commands in [CommandDispatcher].
+ * Events are applied to the state in memory immediately, but no output that depends on an event is emitted before its record is
+ * committed: replies wait in [JobRequests], worker commands in [CommandDispatcher], calls to the cloud in [CloudRequests].
  *
- * This class wires the parts together and dispatches inputs to them; each part owns its state.
+ * This class creates the components and dispatches inputs to them; each component owns its state.
  */
 class Scheduler(
     deployment: Deployment,
@@ -48,7 +48,7 @@
     recovered: RecoveredState,
     start: ClockReading,
     sizes: SizeEstimator,
-    /** Log lines less important than this aren't even formatted: their text for each step of each task would cost time. */
+    /** Less important log lines aren't formatted at all: formatting a line for every state change of every task is costly. */
     private val logLevel: LogLevel = LogLevel.DEBUG,
 ) {
     private val effects = ArrayList<Effect>()
@@ -110,32 +110,32 @@
         StateRecovery(jobTable, inventory, decisionLog).restore(recovered, dispatcher.firstToken)
     }
 
-    /** Jobs that aren't over, or of which something may still run. */
+    /** Number of jobs that aren't archived: those that aren't in a terminal state, have live attempts or await compaction. */
     val openJobs: Int get() = jobTable.jobs.size
 
-    /** Machines that are rented as far as is known. */
+    /** Number of machines known to be rented. */
     val machineCount: Int get() = inventory.machines.size
 
-    /** Pairs of task class and machine that all rounds have evaluated: the measure of what a round costs. */
+    /** Number of (placement class, machine) pairs evaluated in all rounds so far; measures the cost of scheduling. */
     val candidatesEvaluated: Long get() = schedulingRound.candidatesEvaluated
 
-    /** Takes in [batch] at the time [now] and returns the effects to execute, in order. */
+    /** Processes [batch] as of time [now] and returns the effects to execute, in order. */
     fun handle(batch: List<Input>, now: ClockReading): List<Effect> {
         this.now = now
         effects.clear()
-        lease.observeTime()
-        for (input in batch) if (!hasSteppedDown) take(input)
+        lease.updateListeningPeriod()
+        for (input in batch) if (!hasSteppedDown) dispatch(input)
         if (!hasSteppedDown) {
-            watchIfDue()
+            checkFleetIfDue()
             if (lease.mayPlace()) schedulingRound.runIfDue()
             fleetScaling.scale(schedulingRound.demands)
-            jobRequests.expire()
+            jobRequests.expirePendingReplies()
             logWriter.write()
         }
         return effects.toList()
     }
 
-    private fun take(input: Input) {
+    private fun dispatch(input: Input) {
         when (input) {
             is Input.Submit -> jobRequests.submit(input)
             is Input.Poll -> jobRequests.poll(input)
@@ -163,18 +163,18 @@
         effects += Effect.AnswerFollower(input.request, decisions, statuses)
     }
 
-    /** What waited for the commit goes out: stops first, as the replies that follow confirm cancellations to users. */
+    /** Sends the output that was waiting for the commit. Stops go before replies, because the replies confirm cancellations to users. */
     private fun commitSucceeded(input: Input.CommitSucceeded) {
         logWriter.recordCommit(input.index)
         dispatcher.recordRevision(input.revision)
         dispatcher.sendCommittedStops()
-        jobRequests.answerCommitted()
+        jobRequests.sendCommittedReplies()
         dispatcher.sendCommittedPushes()
         cloudRequests.sendDue()
     }
 
-    /** Work that looks at every machine is done once a period, so that a batch costs only what its inputs change. */
-    private fun watchIfDue() {
+    /** Runs the checks that iterate over all machines once per period, so that the cost of a batch depends only on its inputs. */
+    private fun checkFleetIfDue() {
         if (now.steadyMs - lastFleetCheckMs < timings.fleetCheckMs) return
         lastFleetCheckMs = now.steadyMs
         machineWatch.watch()
@@ -183,7 +183,7 @@
         imageCacheHints.shareIfDue()
     }
 
-    /** The view of the term that the parts share. */
+    /** The state of the term that the components share. */
     private inner class Context : SchedulerContext {
         override val now get() = this@Scheduler.now
         override val listeningSinceMs get() = lease.listeningSinceMs
--- a/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
+++ b/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
@@ -27,10 +27,10 @@
 import cleathitch.scheduler.placement.SchedulingOrder
 
 /**
- * The periodic scheduling round: starts waiting tasks where they find room, preempts for production work, and computes what
- * demand for machines is left. Confined to the leader's event loop.
+ * The periodic scheduling round: places waiting tasks on machines with free capacity, preempts lower-priority tasks for production
+ * jobs, and computes the remaining demand for machines. Confined to the leader's event loop.
  */
-// The collaborators of one step; an object that groups them would only hide what the step depends on.
+// All parameters are dependencies; grouping them in one object would only hide them.
 @Suppress("LongParameterList")
 internal class SchedulingRound(
     private val context: SchedulerContext,
@@ -43,24 +43,24 @@
     private val dispatcher: CommandDispatcher,
     private val failureDetector: FailureDetector,
 ) {
-    /** The seconds within which a class's jobs should be finished, ascending, by class name. */
+    /** Completion-time objectives in seconds, ascending, by job class name. */
     private val completionObjectives = deployment.objectives.filterIsInstance<Objective.Finished>().sortedBy { it.deadlineS }
         .groupBy({ it.className }, { it.deadlineS })
     private var lastRoundMs = 0L
 
-    /** What the tasks that found no room in the last round demand of new machines. */
+    /** Demand for new machines by the tasks that the last round couldn't place. */
     var demands: List<MachineDemand> = emptyList()
         private set
 
-    /** Pairs of task class and machine that all rounds have evaluated: the measure of what a round costs. */
+    /** Number of (placement class, machine) pairs evaluated in all rounds so far; measures the cost of scheduling. */
     var candidatesEvaluated = 0L
         private set
 
-    /** Runs a round once a period, unless the log is behind: a decision that waits for a commit could go stale. */
+    /** Runs a round once per period, unless commits are behind: a decision could be outdated by the time its record is committed. */
     fun runIfDue() {
         if (context.now.steadyMs - lastRoundMs < timings.roundMs ||
             !decisionLog.isIdle ||
-            decisionLog.pendingRecordCount > MAX_BACKLOG
+            decisionLog.pendingRecordCount > MAX_PENDING_RECORDS
         ) {
             return
         }
@@ -73,7 +73,7 @@
         val candidates = PlacementRound(inventory, jobTable, inventory.machines.values.filter(::isUsable), context.now.steadyMs)
         val round = Round(candidates)
         val jobs = SchedulingOrder(completionObjectives, quota, context.now.wallMs).order(waiting)
-        // Each job starts in time however long the queue: overdue ones get their first task before the rest.
+        // Overdue jobs get their first task before all others, so that every job starts in time however long the queue is.
         for (job in jobs) if (SchedulingOrder.isOverdue(job, context.now.wallMs)) round.place(job, limit = 1)
         round.unplacedTasks.clear()
         for (job in jobs) round.place(job)
@@ -88,17 +88,17 @@
         failureDetector.isReachable(machine) &&
         failureDetector.silentForMs(machine) < timings.probeMs
 
-    /** The state of one round: the room that is left, and the tasks that found none. */
+    /** The state of one round: the remaining capacity, and the tasks that couldn't be placed. */
     private inner class Round(private val candidates: PlacementRound) {
         private val unplaceableClasses = HashSet<PlacementClass>()
         val unplacedTasks = ArrayList<UnplacedTasks>()
 
-        /** Starts up to [limit] waiting tasks of the job; a gang is started whole or not at all. */
+        /** Starts up to [limit] waiting tasks of [job]; a gang is started all at once or not at all. */
         fun place(job: Job, limit: Int = Int.MAX_VALUE) {
             if (job.spec.kind == JobKind.GANG) return placeGang(job)
             var placed = 0
             while (placed < limit) {
-                val index = job.nextWaiting() ?: return
+                val index = job.nextWaitingTask() ?: return
                 if (!quota.allows(job.spec)) return
                 val machine = if (job.spec.placementClass in unplaceableClasses) null else candidates.chooseMachine(job)
                 if (machine == null) return recordUnplaced(job)
@@ -108,19 +108,19 @@
         }
 
         private fun recordUnplaced(job: Job) {
-            // A class that fits nowhere for one job fits for no other, unless the job's own tasks restrict the zones.
+            // A class that fits on no machine for one job fits for no other job either, unless the job restricts its tasks' zones.
             if (!job.spec.oneZone && !job.spec.spread) unplaceableClasses += job.spec.placementClass
             val count = minOf(job.waitingTasks, quota.remainingTasks(job.spec))
-            val left = count - preempt(job, count)
-            if (left > 0) unplacedTasks += UnplacedTasks(job.spec, left)
+            val remaining = count - preempt(job, count)
+            if (remaining > 0) unplacedTasks += UnplacedTasks(job.spec, remaining)
         }
 
-        /** Stops work of lower priority for up to [count] tasks of a production job; returns for how many that makes room. */
+        /** Preempts lower-priority tasks for up to [count] tasks of a production job; returns how many of these will fit as a result. */
         private fun preempt(job: Job, count: Int): Int {
             if (job.spec.priority != Priority.PRODUCTION || !context.isSettled()) return 0
-            val roomMade = candidates.planPreemption(job, count)
+            val plan = candidates.planPreemption(job, count)
             val machines = LinkedHashSet<Machine>()
-            for (victim in roomMade.victims) {
+            for (victim in plan.victims) {
                 victim.requestStop(StopCause.PREEMPTED)
                 context.logEvent(LogLevel.DEBUG) {
                     "event=attempt_preempted attempt=${victim.id} machine=${victim.machine} for_job=${job.id}"
@@ -128,10 +128,10 @@
                 inventory.machines[victim.machine]?.let { machines += it }
             }
             machines.forEach(dispatcher::push)
-            return roomMade.tasks
+            return plan.tasks
         }
 
-        /** Starts the gang once all its tasks find room and nothing is left of an earlier start. */
+        /** Starts the gang if all its tasks can be placed and no attempt of an earlier start is still live. */
         private fun placeGang(job: Job) {
             if (job.liveAttempts.isNotEmpty() || quota.remainingTasks(job.spec) < job.waitingTasks) return
             val machines = candidates.chooseGangMachines(job)
@@ -139,10 +139,10 @@
                 unplacedTasks += UnplacedTasks(job.spec, job.waitingTasks)
                 return
             }
-            // The tasks of a gang find each other by the attempt number, so all share one.
+            // The tasks of a gang discover each other by attempt number, so all share one number.
             val number = job.lastAttemptNumber + 1
-            decisionLog.reserveRoomFor(machines.mapIndexed { index, machine -> Event.AttemptStarted(job.id, index, number, machine.id) })
-            for (machine in machines) start(job, job.nextWaiting() ?: return, machine, number)
+            decisionLog.reserveSpaceFor(machines.mapIndexed { index, machine -> Event.AttemptStarted(job.id, index, number, machine.id) })
+            for (machine in machines) start(job, job.nextWaitingTask() ?: return, machine, number)
         }
     }
 
@@ -156,7 +156,7 @@
     }
 
     private companion object {
-        /** Rounds pause while more records than these wait for a commit. */
-        const val MAX_BACKLOG = 2
+        /** No round runs while more records than this are pending. */
+        const val MAX_PENDING_RECORDS = 2
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/StateRecovery.kt
+++ b/src/main/kotlin/cleathitch/scheduler/StateRecovery.kt
@@ -9,9 +9,9 @@
 import cleathitch.scheduler.machines.Inventory
 import cleathitch.scheduler.model.FencingToken
 
-/** Rebuilds the state in memory at the start of a term: snapshots first, then the records that are newer than each snapshot. */
+/** Rebuilds the state in memory at the start of a term: restores the snapshots, then replays the events that they don't include. */
 internal class StateRecovery(private val jobTable: JobTable, private val inventory: Inventory, private val decisionLog: DecisionLog) {
-    /** Restores [recovered] for a term whose first fencing token is [firstToken]. */
+    /** Restores [recovered] in a term whose first fencing token is [firstToken]. */
     fun restore(recovered: RecoveredState, firstToken: FencingToken) {
         recovered.finishedJobs.forEach { jobTable.restore(it.snapshot) }
         recovered.jobs.forEach { jobTable.restore(it.snapshot) }
@@ -33,7 +33,7 @@
 
     private fun inheritAttempts(firstToken: FencingToken) {
         jobTable.jobs.forEach { job ->
-            // Commands of an earlier leader may still be in flight, under tokens below this term's first.
+            // Commands of an earlier leader may still be in flight, with tokens below the first token of this term.
             job.liveAttempts.values.forEach { it.inherit(firstToken) }
             job.liveAttempts.values.forEach { if (job.isDone(it.id.task.index)) it.requestStop(StopCause.STRAY) }
             job.stopIfOver()
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Attempt.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Attempt.kt
@@ -7,60 +7,60 @@
 import cleathitch.scheduler.model.TaskState
 
 /**
- * A start of a task that isn't known to be over. While it is live, the task counts in quota, spread and the machine's
- * load, and is started nowhere else. Owned by [JobTable]; confined to the leader's event loop.
+ * One execution attempt of a task. While the attempt is live, that is until its termination is confirmed, it counts towards quota,
+ * spread and the machine's load, and the task isn't started again. Owned by [JobTable]; confined to the leader's event loop.
  */
 class Attempt(val id: AttemptId, val job: Job, val machine: MachineId, val startIndex: LogIndex) {
-    /** The state that the machine's newest heartbeat shows, null if it doesn't list the attempt. */
+    /** The attempt's state in the machine's newest heartbeat, null if that doesn't list the attempt. */
     var observedState: TaskState? = null
         private set
 
-    /** Since when the attempt is known to have its image, null before that. */
+    /** When this leader first saw that the attempt has its image, null if it hasn't seen that yet. */
     var runningSinceMs: Long? = null
         private set
 
-    /** Why the attempt is to be stopped, null if it isn't. */
+    /** Why the attempt is to be stopped, null if it isn't to be stopped. */
     var stopCause: StopCause? = null
         private set
 
-    /** The worker's incarnation for which this leader last sent the start. */
+    /** The worker incarnation to which this leader last sent the start command; 0 if it sent none. */
     var lastSentIncarnation = 0L
         private set
 
-    /** The token under which this leader last sent the start, null if it didn't. */
+    /** The fencing token with which this leader last sent the start command, null if it sent none. */
     private var lastSentToken: FencingToken? = null
 
-    /** The token below which a command of an earlier term may still be in flight, null if the attempt began in this term. */
+    /** Commands of earlier terms that are still in flight have tokens below this one; null if the attempt was created in this term. */
     private var inheritedToken: FencingToken? = null
 
-    /** Whether an earlier leader began the attempt. */
+    /** Whether the attempt was created in an earlier term. */
     val isInherited: Boolean get() = inheritedToken != null
 
-    /** Any start in flight has this token at most; null if none was ever sent. */
+    /** An upper bound on the tokens of all start commands in flight; null if none was ever sent. */
     val newestStartToken: FencingToken? get() = lastSentToken ?: inheritedToken
 
-    /** The machine's newest heartbeat shows [state], or doesn't list the attempt. */
+    /** Records the attempt's [state] in the machine's newest heartbeat, null if that doesn't list the attempt. */
     fun observe(state: TaskState?) {
         observedState = state
     }
 
-    /** The attempt has its image. */
+    /** Records that the attempt has its image. */
     fun recordRunning(nowMs: Long) {
         runningSinceMs = nowMs
     }
 
-    /** The start was sent under [token], for the worker's [incarnation]. */
+    /** Records that the start command was sent with [token] to the worker's [incarnation]. */
     fun recordSent(token: FencingToken, incarnation: Long) {
         lastSentToken = token
         lastSentIncarnation = incarnation
     }
 
-    /** The attempt is to be stopped; a later cause replaces an earlier one. */
+    /** Marks the attempt as to be stopped; a later cause replaces an earlier one. */
     fun requestStop(cause: StopCause) {
         stopCause = cause
     }
 
-    /** An earlier leader began the attempt, and may have sent starts under tokens below [token]. */
+    /** Marks the attempt as created in an earlier term, whose leader may have sent start commands with tokens below [token]. */
     fun inherit(token: FencingToken) {
         inheritedToken = token
     }
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
@@ -7,89 +7,91 @@
 import java.util.TreeSet
 
 /**
- * A job from its acceptance until nothing of it runs any more. Owned by [JobTable], which applies the events to it; confined
- * to the leader's event loop.
+ * A job from its acceptance until it is archived. Owned by [JobTable], which applies events to it; confined to the leader's event
+ * loop.
  */
 class Job(
     val spec: JobSpec,
-    /** The wall clock's time of the acceptance, from which the job's age is counted across terms. */
+    /** The wall-clock time of the acceptance; the job's age is measured from it across terms. */
     val acceptedAtWallMs: Long,
-    /** The record that accepts the job: nothing of it is shown to users before that is committed. */
+    /** The record that contains the acceptance; the job isn't visible to users before that record is committed. */
     val acceptedIndex: LogIndex,
 ) {
     val id: JobId get() = spec.id
 
     private val completedTasks = BitSet()
 
-    /** How many tasks are complete. */
-    var doneCount = 0
+    /** The number of completed tasks. */
+    var completedCount = 0
         private set
 
     private val attemptsByTask = LinkedHashMap<Int, Attempt>()
 
-    /** The attempts that may still be running, by task index, the oldest first. */
+    /** The attempts that may still be running, by task index, in the order in which they were started. */
     val liveAttempts: Map<Int, Attempt> get() = attemptsByTask
 
-    /** The highest attempt number given so far. */
+    /** The highest attempt number assigned so far. */
     var lastAttemptNumber = 0L
         private set
 
-    /** The record that cancels the job, null while it isn't cancelled. */
+    /** The record that contains the cancellation, null if the job isn't cancelled. */
     var cancelledIndex: LogIndex? = null
         private set
 
-    /** The record with the job's last result, null while tasks are missing. */
+    /** The record that contains the completion of the last task, null while tasks are incomplete. */
     var finishedIndex: LogIndex? = null
         private set
 
-    /** Tasks that have failed by themselves since the last that completed. */
+    /** Task failures since the last task completion. */
     private var consecutiveFailures = 0
 
-    /** Until then no task of the job is started again after a failure. */
+    /** Backoff after a task failure: no task of the job is started before this time of the steady clock. */
     var retryNotBeforeMs = 0L
         private set
 
-    /** No task below this index is waiting for its first attempt. */
-    private var nextFreshIndex = 0
+    /** All tasks below this index have had an attempt or are completed. */
+    private var nextUnstartedIndex = 0
 
-    /** Tasks that wait for another attempt; they go first. */
+    /** Indexes of tasks that wait for another attempt; these are started before tasks that had none yet. */
     private val retryIndexes = TreeSet<Int>()
 
     val isCancelled: Boolean get() = cancelledIndex != null
 
-    /** Whether nothing of the job is started any more. */
-    val isOver: Boolean get() = isCancelled || finishedIndex != null
+    /** Whether the job is cancelled or completed, so that none of its tasks is started any more. */
+    val isTerminal: Boolean get() = isCancelled || finishedIndex != null
 
-    /** How many tasks wait to be started. */
-    val waitingTasks: Int get() = if (isOver) 0 else spec.tasks - doneCount - attemptsByTask.size
+    /** The number of tasks that wait to be started. */
+    val waitingTasks: Int get() = if (isTerminal) 0 else spec.tasks - completedCount - attemptsByTask.size
 
-    /** Whether the task's result is there. */
+    /** Whether the task is completed. */
     fun isDone(index: Int): Boolean = completedTasks[index]
 
-    /** The completed tasks as a bit set, in the form of [restoreProgress]. */
-    fun doneBits(): ByteArray = completedTasks.toByteArray()
+    /** The indexes of the completed tasks as a bit set, in the format that [restoreProgress] reads. */
+    fun completedTaskBits(): ByteArray = completedTasks.toByteArray()
 
-    /** The index of the task to start next, null if none waits. */
-    fun nextWaiting(): Int? {
-        if (isOver) return null
+    /** The index of the task to start next, null if no task waits. */
+    fun nextWaitingTask(): Int? {
+        if (isTerminal) return null
         retryIndexes.firstOrNull()?.let { return it }
-        while (nextFreshIndex < spec.tasks && (completedTasks[nextFreshIndex] || nextFreshIndex in attemptsByTask)) nextFreshIndex++
-        return nextFreshIndex.takeIf { it < spec.tasks }
+        while (nextUnstartedIndex < spec.tasks && (completedTasks[nextUnstartedIndex] || nextUnstartedIndex in attemptsByTask)) {
+            nextUnstartedIndex++
+        }
+        return nextUnstartedIndex.takeIf { it < spec.tasks }
     }
 
-    /** Stops what may still run of a job that is over. */
+    /** Requests a stop of all live attempts if the job is in a terminal state. */
     fun stopIfOver() {
-        if (isOver) attemptsByTask.values.forEach { it.requestStop(StopCause.CANCELLED) }
+        if (isTerminal) attemptsByTask.values.forEach { it.requestStop(StopCause.CANCELLED) }
     }
 
-    /** A task has failed by itself: the time before the next start doubles with each failure, from [firstDelayMs] to [limitMs]. */
+    /** Records a task failure: the delay before the next start doubles with each consecutive one, from [firstDelayMs] up to [limitMs]. */
     fun recordFailure(nowMs: Long, firstDelayMs: Long, limitMs: Long) {
         consecutiveFailures++
         val delayMs = firstDelayMs shl minOf(consecutiveFailures - 1, MAX_DELAY_DOUBLINGS)
         retryNotBeforeMs = nowMs + minOf(limitMs, delayMs)
     }
 
-    /** A task has completed, so the delay after the next failure is short again. */
+    /** Records a task completion, which resets the backoff delay. */
     fun recordSuccess() {
         consecutiveFailures = 0
     }
@@ -113,21 +115,21 @@
     internal fun recordCompletion(index: Int, recordIndex: LogIndex) {
         if (completedTasks[index]) return
         completedTasks.set(index)
-        doneCount++
+        completedCount++
         retryIndexes.remove(index)
-        if (doneCount == spec.tasks && !isCancelled) finishedIndex = recordIndex
+        if (completedCount == spec.tasks && !isCancelled) finishedIndex = recordIndex
     }
 
-    /** Takes over the progress that a snapshot holds. */
-    internal fun restoreProgress(doneBits: ByteArray, lastAttemptNumber: Long) {
-        completedTasks.or(BitSet.valueOf(doneBits))
-        doneCount = completedTasks.cardinality()
-        if (doneCount == spec.tasks) finishedIndex = LogIndex.NONE
+    /** Restores the progress stored in a snapshot. */
+    internal fun restoreProgress(completedTaskBits: ByteArray, lastAttemptNumber: Long) {
+        completedTasks.or(BitSet.valueOf(completedTaskBits))
+        completedCount = completedTasks.cardinality()
+        if (completedCount == spec.tasks) finishedIndex = LogIndex.NONE
         this.lastAttemptNumber = lastAttemptNumber
     }
 
     private companion object {
-        /** Keeps the shift far from an overflow; the limit bounds the delay long before. */
+        /** Prevents the shift from overflowing; the delay reaches its limit long before. */
         const val MAX_DELAY_DOUBLINGS = 20
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/jobs/JobTable.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/JobTable.kt
@@ -14,47 +14,47 @@
 import cleathitch.scheduler.model.TaskId
 
 /**
- * All jobs, their completed tasks and their live attempts: a function of the events applied. Confined to the leader's
+ * All jobs with their completed tasks and live attempts. The contents are determined by the applied events. Confined to the leader's
  * event loop.
  */
 class JobTable : LoggedJobs {
     private val jobsById = LinkedHashMap<JobId, Job>()
 
-    /** The jobs of which nothing is kept but how they ended. */
+    /** The archived jobs, of which only the final state is kept. */
     private val finalStates = HashMap<JobId, FinalState>()
     private val attemptsByMachine = HashMap<MachineId, LinkedHashMap<AttemptId, Attempt>>()
     private val usageByMachine = HashMap<MachineId, ResourceUsage>()
     private val usageByTeam = HashMap<String, ResourceUsage>()
 
-    /** Jobs that aren't over, or of which something may still run. */
+    /** The jobs that aren't archived: those that aren't in a terminal state, have live attempts or await compaction. */
     val jobs: Collection<Job> get() = jobsById.values
 
-    /** The job, null if it is unknown or archived. */
+    /** The job with this id, null if it is unknown or archived. */
     fun job(id: JobId): Job? = jobsById[id]
 
-    /** How an archived job ended, null if the job isn't archived. */
+    /** The final state of an archived job, null if the job isn't archived. */
     fun finalState(id: JobId): FinalState? = finalStates[id]
 
-    /** The attempts that may still run on the machine; a live view. */
+    /** The attempts that may still be running on the machine, as a view that reflects later changes. */
     fun attemptsOn(machine: MachineId): Collection<Attempt> = attemptsByMachine[machine]?.values.orEmpty()
 
-    /** The attempt, null if it isn't live. */
+    /** The attempt with this id, null if it isn't live. */
     fun attempt(id: AttemptId): Attempt? = jobsById[id.task.job]?.liveAttempts?.get(id.task.index)?.takeIf { it.id == id }
 
-    /** What the live attempts on the machine hold, null if there are none. */
+    /** The resources held by the live attempts on the machine, null if there are none. */
     fun usageOnMachine(machine: MachineId): ResourceUsage? = usageByMachine[machine]
 
-    /** What the team's live attempts hold, null if there never were any. */
+    /** The resources held by the team's live attempts, null if it never had any. */
     fun usageOfTeam(team: String): ResourceUsage? = usageByTeam[team]
 
-    /** The machines with live attempts; a live view. */
+    /** The machines that have live attempts, as a view that reflects later changes. */
     val machinesInUse: Set<MachineId> get() = attemptsByMachine.keys
 
-    /** Applies an event, which is in record [recordIndex]. */
+    /** Applies [event], which is contained in record [recordIndex]. */
     fun apply(event: Event.JobEvent, recordIndex: LogIndex) {
         when (event) {
             is Event.JobAccepted -> jobsById.getOrPut(event.job) { Job(event.spec, event.acceptedAtWallMs, recordIndex) }
-            is Event.JobCancelled -> jobsById[event.job]?.let { if (!it.isOver) it.recordCancellation(recordIndex) }
+            is Event.JobCancelled -> jobsById[event.job]?.let { if (!it.isTerminal) it.recordCancellation(recordIndex) }
             is Event.AttemptStarted -> jobsById[event.job]?.let {
                 addAttempt(Attempt(AttemptId(TaskId(event.job, event.taskIndex), event.number), it, event.machine, recordIndex))
             }
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Takes over a job's snapshot. */
+    /** Restores a job from its snapshot. */
     fun restore(snapshot: JobSnapshot) {
         val job = Job(snapshot.spec, snapshot.acceptedAtWallMs, snapshot.lastIncludedIndex)
         job.restoreProgress(snapshot.completedTasks, snapshot.lastAttemptNumber)
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Takes over a snapshot of archived jobs. */
+    /** Restores the final states of archived jobs. */
     fun restore(snapshot: FinishedJobsSnapshot) {
         snapshot.completed.forEach { finalStates[it] = FinalState.DONE }
         snapshot.cancelled.forEach { finalStates[it] = FinalState.CANCELLED }
@@ -93,13 +93,13 @@
     }
 
     override fun archive(id: JobId) {
-        val job = checkNotNull(jobsById[id]) { "job $id is archived already" }
-        check(isArchivable(job)) { "job $id isn't over" }
+        val job = checkNotNull(jobsById[id]) { "can't archive job $id: it is not in the job table" }
+        check(isArchivable(job)) { "can't archive job $id: terminal=${job.isTerminal}, live attempts: ${job.liveAttempts.size}" }
         finalStates[id] = finalStateOf(job)
         jobsById.remove(id)
     }
 
-    private fun isArchivable(job: Job) = job.isOver && job.liveAttempts.isEmpty()
+    private fun isArchivable(job: Job) = job.isTerminal && job.liveAttempts.isEmpty()
     private fun finalStateOf(job: Job) = if (job.isCancelled) FinalState.CANCELLED else FinalState.DONE
 
     private fun snapshotOf(job: Job, lastIncludedIndex: LogIndex) = JobSnapshot(
@@ -107,14 +107,14 @@
         job.spec,
         job.acceptedAtWallMs,
         job.isCancelled,
-        job.doneBits(),
+        job.completedTaskBits(),
         job.liveAttempts.values.map { LiveAttempt(it.id.task.index, it.id.number, it.machine) },
         job.lastAttemptNumber,
     )
 
     private fun addAttempt(attempt: Attempt) {
         val job = attempt.job
-        check(attempt.id.task.index !in job.liveAttempts) { "${attempt.id.task} is live already" }
+        check(attempt.id.task.index !in job.liveAttempts) { "can't add attempt ${attempt.id}: the task already has a live attempt" }
         job.recordStart(attempt)
         attemptsByMachine.getOrPut(attempt.machine) { LinkedHashMap() }[attempt.id] = attempt
         usageByMachine.getOrPut(attempt.machine) { ResourceUsage() }.add(job.spec)
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Quota.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Quota.kt
@@ -6,11 +6,11 @@
 import cleathitch.scheduler.model.Team
 
 /**
- * The teams' quotas: a guarantee, which decides who is served first, and a limit, which is never exceeded. Usage counts
- * everything that may still be running, so a limit holds even while it is unknown whether a task has ended.
+ * The teams' quotas: a guarantee, which determines scheduling precedence, and a limit, which is never exceeded. Usage includes all
+ * attempts that may still be running, so the limit holds even while it is unknown whether a task has ended.
  */
 class Quota(private val teams: Map<String, Team>, private val jobTable: JobTable) {
-    /** Whether the team's limit allows one more task like this now. */
+    /** Whether the team's limit currently allows one more task with the resources of [spec]. */
     fun allows(spec: JobSpec): Boolean {
         val team = teams[spec.team] ?: return false
         val usage = jobTable.usageOfTeam(spec.team)
@@ -18,14 +18,14 @@
             isWithin((usage?.gpus ?: 0.0) + spec.gpus, team.maxGpus)
     }
 
-    /** Whether the job could run if its team had nothing else: a service needs room for all tasks at once, others for one. */
-    fun couldEverAllow(spec: JobSpec): Boolean {
+    /** Whether the team's limit would allow the job if the team used nothing else: all tasks at once of a service, one task of others. */
+    fun isSatisfiable(spec: JobSpec): Boolean {
         val team = teams[spec.team] ?: return false
         val tasks = if (spec.kind == JobKind.SERVICE) spec.tasks else 1
         return isWithin(spec.cpus * tasks, team.maxCpus) && isWithin(spec.gpus * tasks, team.maxGpus)
     }
 
-    /** Whether the team stays within its guarantee with one more task like this. */
+    /** Whether the team would stay within its guarantee with one more task with the resources of [spec]. */
     fun isWithinGuarantee(spec: JobSpec): Boolean {
         val team = teams[spec.team] ?: return false
         val usage = jobTable.usageOfTeam(spec.team)
@@ -33,7 +33,7 @@
             isWithin((usage?.gpus ?: 0.0) + spec.gpus, team.gpus)
     }
 
-    /** How many more tasks like this the team's limit allows now. */
+    /** How many more tasks with the resources of [spec] the team's limit currently allows. */
     fun remainingTasks(spec: JobSpec): Int {
         val team = teams[spec.team] ?: return 0
         val usage = jobTable.usageOfTeam(spec.team)
--- a/src/main/kotlin/cleathitch/scheduler/jobs/ResourceUsage.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/ResourceUsage.kt
@@ -2,7 +2,7 @@
 
 import cleathitch.scheduler.model.JobSpec
 
-/** The resources that a number of live attempts hold together. */
+/** The total resources held by a set of live attempts. */
 class ResourceUsage {
     var cpus = 0.0
         private set
@@ -13,16 +13,16 @@
     var tasks = 0
         private set
 
-    /** A task like this has been started. */
+    /** Adds the resources of one task of [spec]. */
     fun add(spec: JobSpec) = change(spec, 1)
 
-    /** A task like this is over. */
+    /** Subtracts the resources of one task of [spec]. */
     fun remove(spec: JobSpec) = change(spec, -1)
 
     private fun change(spec: JobSpec, sign: Int) {
         tasks += sign
         if (tasks == 0) {
-            // Rounding errors would otherwise add up over days.
+            // Reset exactly; floating-point rounding errors would otherwise accumulate over days.
             cpus = 0.0
             gpus = 0.0
             memoryGb = 0.0
--- a/src/main/kotlin/cleathitch/scheduler/jobs/StopCause.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/StopCause.kt
@@ -2,15 +2,15 @@
 
 /** Why an attempt is to be stopped. */
 enum class StopCause {
-    /** Its job is cancelled, or over for another reason: nothing of it goes on, and no progress is saved. */
+    /** Its job is in a terminal state: it is stopped without a checkpoint. */
     CANCELLED,
 
-    /** The cloud takes its machine back soon: it saves its progress first. */
+    /** The cloud is about to reclaim its machine: it writes a checkpoint first. */
     DRAIN,
 
-    /** It makes room for a task of higher priority: it saves its progress first. */
+    /** It is preempted by a job of higher priority: it writes a checkpoint first. */
     PREEMPTED,
 
-    /** Its task is complete by the result of another attempt, so its progress is of no use. */
+    /** Its task was completed by another attempt: it is stopped without a checkpoint. */
     STRAY,
 }
--- a/src/main/kotlin/cleathitch/scheduler/log/Commit.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/Commit.kt
@@ -1,4 +1,4 @@
 package cleathitch.scheduler.log
 
-/** One transaction of the log: the records up to [index], and the [changes] that write them and compact earlier ones. */
+/** One transaction on the stored log. [changes] write the records up to [index] and may compact earlier records. */
 data class Commit(val index: LogIndex, val changes: List<Mutation>)
--- a/src/main/kotlin/cleathitch/scheduler/log/CompactedJob.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/CompactedJob.kt
@@ -2,14 +2,14 @@
 
 import cleathitch.scheduler.model.JobId
 
-/** What compaction stores in place of the events of a job. */
+/** The form in which compaction stores a job in place of its events. */
 sealed interface CompactedJob {
-    /** The job isn't finished, or an attempt of it may still run: its [snapshot]. */
+    /** The job isn't in a terminal state, or an attempt of it may still be running; its [snapshot] is stored. */
     data class Open(val snapshot: JobSnapshot) : CompactedJob
 
-    /** Only the final state is kept. */
+    /** The job is finished or cancelled; only its [finalState] is stored. */
     data class Finished(val id: JobId, val finalState: FinalState) : CompactedJob
 
-    /** An earlier compaction has stored the final state; there is nothing to store. */
+    /** An earlier compaction has already stored the final state; nothing is stored. */
     data object Archived : CompactedJob
 }
--- a/src/main/kotlin/cleathitch/scheduler/log/CompactionPlan.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/CompactionPlan.kt
@@ -4,14 +4,14 @@
 import kotlin.math.ceil
 
 /**
- * The compaction that goes with one commit: snapshots, final states of finished jobs, and the deletion of the records that these
- * replace. Built up by [addRecord], oldest record first.
+ * The compaction that is part of one commit: snapshots, final states of finished jobs, and deletions of the records that they
+ * replace. Built by calling [addRecord] for each record, oldest first.
  *
- * It only plans. Memory changes once the commit is carried out: users see the final state of an archived job at once, and a
- * successor that doesn't find it in the store would contradict it.
+ * Planning doesn't change the state in memory; that is updated only once the commit is durable. Otherwise users could be told the
+ * final state of an archived job that isn't stored yet, and the next leader, not finding it in the store, could contradict it.
  *
- * @param index the commit's index; its snapshots include all records up to this one
- * @param stored the snapshots that are stored before this commit
+ * @param index the index of the commit; its snapshots include all records up to this one
+ * @param stored the snapshots stored by earlier commits
  */
 internal class CompactionPlan(
     private val index: LogIndex,
@@ -22,42 +22,46 @@
     private val stored: StoredSnapshots,
 ) {
     /**
-     * How much one compaction may write: so many [changes] and bytes in all, so many bytes to a value of a snapshot, and so many
-     * to a chunk of final states before the next is begun.
+     * Limits of one compaction.
+     *
+     * @property changes the maximum number of changes
+     * @property totalBytes the maximum number of bytes of all values together
+     * @property valueBytes the maximum number of bytes of one part of a job's snapshot
+     * @property chunkBytes a chunk of final states larger than this isn't extended; a new one is begun
      */
     class Limits(val changes: Int, val totalBytes: Double, val valueBytes: Double, val chunkBytes: Double)
 
     private val planned = ArrayList<Mutation>()
     private var plannedBytes = 0
 
-    /** Records that the commit deletes. */
+    /** The records that the commit deletes. */
     val deletedRecords = ArrayList<LogIndex>()
 
-    /** The last index that each snapshot of this commit includes, by key. */
+    /** For each snapshot that the commit writes, by key, the index of the last record that it includes. */
     val lastIncludedIndexes = HashMap<String, LogIndex>()
 
-    /** In how many parts each job's snapshot of this commit is stored. */
+    /** The number of parts of each job snapshot that the commit writes. */
     val jobParts = HashMap<JobId, Int>()
 
-    /** Jobs of which this commit keeps the final state alone. */
+    /** The jobs of which only the final state remains after the commit. */
     val archivedJobs = ArrayList<CompactedJob.Finished>()
 
-    /** The chunk of final states after the commit. */
+    /** The current chunk of final states as of this commit. */
     val finishedJobs by lazy {
         if (archivedJobs.isEmpty()) stored.finishedJobs else stored.finishedJobs.plus(archivedJobs, limits.chunkBytes)
     }
 
-    /** A record was left because the limits were reached; nothing more fits. */
+    /** Whether a record was left uncompacted because the limits were reached. */
     var isIncomplete = false
         private set
 
-    /** All changes of the plan, once every record was added. */
+    /** All changes of the plan. Called after all records were added. */
     fun changes(): List<Mutation> {
         if (archivedJobs.isEmpty()) return planned
         return planned + Mutation.Put(LogKeys.finishedJobs(finishedJobs.number), StoredValue.FinishedJobs(finishedJobs.snapshot))
     }
 
-    /** Plans the deletion of [record], and the snapshots that replace it, as far as the limits allow. */
+    /** Plans the deletion of [record] and the snapshots that replace it, within the limits. */
     fun addRecord(recordIndex: LogIndex, record: RetainedRecord) {
         if (record.hasUnobservedStarts(jobs)) return
         val isReplaced = record.snapshotKeys.all { ensureSnapshot(it, recordIndex) }
@@ -69,19 +73,19 @@
         planned += Mutation.Delete(LogKeys.record(recordIndex))
     }
 
-    /** Sees to it that a snapshot under [key] includes the record; false if the limits don't allow it. */
+    /** Ensures that the snapshot under [key] includes the record; returns false if the limits don't permit writing the snapshot. */
     private fun ensureSnapshot(key: String, recordIndex: LogIndex): Boolean {
         if (lastIncludedIndex(key) >= recordIndex) return true
-        if (!hasRoom() || !addSnapshot(key)) return false
+        if (!isBelowLimits() || !addSnapshot(key)) return false
         lastIncludedIndexes[key] = index
         return true
     }
 
     private fun lastIncludedIndex(key: String) = lastIncludedIndexes[key] ?: stored.lastIncludedIndex(key)
 
-    private fun hasRoom() = planned.size < limits.changes && plannedBytes < limits.totalBytes
+    private fun isBelowLimits() = planned.size < limits.changes && plannedBytes < limits.totalBytes
 
-    /** False if the snapshot is too large for what is left of the limits. */
+    /** Returns false if the snapshot is too large for what remains of the byte limit. */
     private fun addSnapshot(key: String): Boolean {
         if (key == LogKeys.INVENTORY) {
             planned += Mutation.Put(key, StoredValue.Inventory(inventorySnapshot(index)))
@@ -98,11 +102,11 @@
 
     private fun addJobSnapshot(key: String, snapshot: JobSnapshot): Boolean {
         val size = sizes.sizeOf(snapshot)
-        // A snapshot larger than the limit alone still has to be stored at some time.
+        // A snapshot that exceeds the limit on its own is still stored, as the first one of a plan; it could never be stored otherwise.
         if (plannedBytes > 0 && plannedBytes + size > limits.totalBytes) return false
         plannedBytes += size
         val id = snapshot.spec.id
-        // Never fewer parts than before, so that no part of an older snapshot is left.
+        // At least as many parts as the stored snapshot has, so that every part of it is overwritten.
         val parts = maxOf(stored.partsOf(id), ceil(size / limits.valueBytes).toInt())
         jobParts[id] = parts
         planned += Mutation.Put(key, StoredValue.Job(snapshot), parts)
--- a/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
@@ -5,11 +5,11 @@
 import java.util.TreeMap
 
 /**
- * The write-ahead log of the scheduler's decisions. Events are appended to pending records; a commit writes the pending records to
- * the key-value store and, if asked to, compacts older ones into snapshots. One commit is in flight at a time.
+ * The write-ahead log of the scheduler's decisions. Events are appended to pending records; a commit writes pending records to the
+ * key-value store and optionally compacts older records into snapshots. At most one commit is in flight at a time.
  *
- * Owned by the scheduler and confined to the leader's event loop. It does no I/O: commits are handed out by [nextCommit], and
- * [recordCommitted] confirms that one is durable. Only then do the compaction's effects show in memory.
+ * Owned by the scheduler and confined to the leader's event loop. It does no I/O: [nextCommit] returns the commit to write, and
+ * [recordCommitted] confirms that it is durable. Compaction changes the state in memory only after that confirmation.
  */
 class DecisionLog(private val deployment: Deployment, private val sizes: SizeEstimator) {
     private class PendingRecord(val index: LogIndex) {
@@ -30,25 +30,25 @@
     private var inFlight: InFlightCommit? = null
     private var lastIndex = LogIndex.NONE
 
-    /** The last record that is certain to be in the key-value store. */
+    /** The index of the last commit that is known to be durable. */
     var committedIndex = LogIndex.NONE
         private set
 
-    /** Records in the key-value store that no compaction has deleted yet. */
+    /** The records in the key-value store that compaction hasn't deleted yet. */
     private val retainedRecords = TreeMap<LogIndex, RetainedRecord>()
 
     private val storedSnapshots = StoredSnapshots()
 
-    /** No commit is in flight. */
+    /** Whether no commit is in flight. */
     val isIdle get() = inFlight == null
     val hasPendingRecords get() = pendingRecords.isNotEmpty()
     val pendingRecordCount get() = pendingRecords.size
 
-    /** The last compaction left records because it had reached its limits. */
+    /** Whether the last requested compaction left records, because it reached its limits or was skipped while records were pending. */
     var isCompactionIncomplete = false
         private set
 
-    /** Takes over what a new leader found in the key-value store. */
+    /** Restores the log's state from what a new leader read from the key-value store. */
     fun restore(recovered: RecoveredState) {
         lastIndex = recovered.head
         committedIndex = recovered.head
@@ -56,10 +56,10 @@
         storedSnapshots.restore(recovered)
     }
 
-    /** Whether a stored snapshot already includes [event] of the record [index], which replay then leaves out. */
+    /** Whether a stored snapshot already includes [event] of record [index], so that replay must skip it. */
     fun isInSnapshot(event: Event, index: LogIndex): Boolean = index <= storedSnapshots.lastIncludedIndex(LogKeys.snapshotOf(event))
 
-    /** Adds [event] to a record for the next commit, and gives the index of that record. */
+    /** Appends [event] to a pending record and returns the index of that record. */
     fun append(event: Event): LogIndex {
         val size = sizes.sizeOf(event)
         val record = pendingRecords.lastOrNull()?.takeIf { it.bytes + size <= recordBytes } ?: beginRecord()
@@ -67,8 +67,11 @@
         return record.index
     }
 
-    /** Begins a new record if [starts] don't fit into the current one but fit into one: a gang's starts are then recorded together. */
-    fun reserveRoomFor(starts: List<Event.AttemptStarted>) {
+    /**
+     * Begins a new record if [starts] don't fit into the current record but fit into an empty one, so that the starts of a gang are
+     * stored in the same record.
+     */
+    fun reserveSpaceFor(starts: List<Event.AttemptStarted>) {
         val size = starts.sumOf(sizes::sizeOf)
         val current = pendingRecords.lastOrNull() ?: return
         if (size <= recordBytes && current.bytes + size > recordBytes) beginRecord()
@@ -86,31 +89,31 @@
     }
 
     /**
-     * The next commit, in flight from now on; null while another one is, or if there is nothing to write. Compacts by up to
-     * [maxCompactionChanges] changes, 0 for no compaction.
+     * Returns the next commit, which is then in flight; null if another commit is in flight or there is nothing to write. The commit
+     * includes up to [maxCompactionChanges] changes for compaction; 0 disables compaction.
      */
     fun nextCommit(term: Term, jobs: LoggedJobs, inventorySnapshot: (LogIndex) -> InventorySnapshot, maxCompactionChanges: Int): Commit? {
         if (inFlight != null) return null
-        val isCompactionAsked = maxCompactionChanges > 0
-        if (pendingRecords.isEmpty() && (!isCompactionAsked || retainedRecords.isEmpty())) {
+        val isCompactionRequested = maxCompactionChanges > 0
+        if (pendingRecords.isEmpty() && (!isCompactionRequested || retainedRecords.isEmpty())) {
             isCompactionIncomplete = false
             return null
         }
         val records = takePendingRecords()
         val index = records.lastOrNull()?.index ?: nextIndex()
-        // Snapshots are taken of the state in memory, which is that of this commit only if no later record is pending.
-        val canCompact = isCompactionAsked && pendingRecords.isEmpty()
+        // Snapshots capture the state in memory, which is the state as of this commit only if no later record is pending.
+        val canCompact = isCompactionRequested && pendingRecords.isEmpty()
         val compaction = if (canCompact) planCompaction(index, jobs, inventorySnapshot, maxCompactionChanges) else null
-        isCompactionIncomplete = compaction?.isIncomplete ?: isCompactionAsked
+        isCompactionIncomplete = compaction?.isIncomplete ?: isCompactionRequested
         inFlight = InFlightCommit(index, records.associate { it.index to RetainedRecord(it.events) }, compaction)
         return Commit(index, changesOf(index, term, records, compaction))
     }
 
-    /** As many pending records as fit into one transaction, at least one if there are any. */
+    /** Removes and returns as many pending records as fit into one transaction, at least one if there are any. */
     private fun takePendingRecords(): List<PendingRecord> {
         val records = ArrayList<PendingRecord>()
         var bytes = 0
-        while (pendingRecords.isNotEmpty() && records.size < deployment.stateTxnOps / RECORDS_DIVISOR) {
+        while (pendingRecords.isNotEmpty() && records.size < deployment.stateTxnOps / RECORD_OPS_DIVISOR) {
             bytes += pendingRecords.first().bytes
             if (records.isNotEmpty() && bytes > MAX_COMMIT_BYTES) break
             records += pendingRecords.removeFirst()
@@ -131,7 +134,7 @@
             chunkBytes = deployment.stateValueBytes * CHUNK_FILL,
         )
         val plan = CompactionPlan(index, limits, jobs, sizes, inventorySnapshot, storedSnapshots)
-        // The records of this commit itself aren't retained yet, and stay.
+        // Only records of earlier commits are compacted, not those that this commit writes.
         for ((recordIndex, record) in retainedRecords.headMap(index)) {
             if (plan.isIncomplete) break
             plan.addRecord(recordIndex, record)
@@ -147,10 +150,10 @@
         return changes
     }
 
-    /** The commit in flight, at [index], was carried out: its records are committed, and its compaction takes effect. */
+    /** Called when the commit in flight, at [index], is durable: marks its records as committed and applies its compaction. */
     fun recordCommitted(index: LogIndex, jobs: LoggedJobs) {
         val commit = inFlight
-        check(commit?.index == index) { "the commit in flight is ${commit?.index}, not $index" }
+        check(commit?.index == index) { "commit $index was confirmed, but the commit in flight is ${commit?.index}" }
         inFlight = null
         committedIndex = index
         retainedRecords += commit.records
@@ -164,19 +167,19 @@
     }
 
     private companion object {
-        /** How much of a value's limit a record or a part of a snapshot may fill: limits count the JSON form, which takes more. */
+        /** The fraction of the value size limit used for a record or a part of a snapshot: the limit applies to the larger JSON form. */
         const val RECORD_FILL = 0.8
 
-        /** The part of a value's limit that a chunk of final states fills before the next chunk is begun. */
+        /** The fraction of the value size limit beyond which a chunk of final states isn't extended any more. */
         const val CHUNK_FILL = 0.5
 
-        /** The key-value store's limit for a transaction. */
+        /** The key-value store's size limit for a transaction. */
         const val MAX_TRANSACTION_BYTES = 65_536
 
-        /** What the records of a commit may take, and its compaction likewise. */
+        /** The size limit for the records of a commit, and separately for its compaction. */
         const val MAX_COMMIT_BYTES = MAX_TRANSACTION_BYTES * 0.4
 
-        /** Of a transaction's operations, the records of a commit take one in so many. */
-        const val RECORDS_DIVISOR = 4
+        /** The records of a commit use at most one in this many of a transaction's operations. */
+        const val RECORD_OPS_DIVISOR = 4
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/log/Event.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/Event.kt
@@ -10,54 +10,54 @@
 import kotlinx.serialization.cbor.CborArray
 
 /**
- * A decision that the log records. Applying the events of a job, or of the machine inventory, in their order gives its state
- * again; replay needs the decisions alone, not the inputs that led to them.
+ * A decision recorded in the log. Replaying the events of a job, or of the machine inventory, in order rebuilds its state; replay
+ * needs only the decisions, not the inputs that led to them.
  *
- * Each event changes one snapshot only, so that compaction can store a snapshot and delete its events without regard to others.
- * Events of which there are many are stored as arrays, without the names of their fields; there the order of the fields counts.
+ * Each event affects exactly one snapshot, so that compaction can store a snapshot and delete its events independently of other
+ * snapshots. Frequent events are stored as arrays without field names, so the order of their fields is part of the stored format.
  */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 sealed interface Event {
-    /** Changes one job. */
+    /** An event that changes one job. */
     sealed interface JobEvent : Event {
         val job: JobId
     }
 
-    /** Changes the machine inventory. */
+    /** An event that changes the machine inventory. */
     sealed interface InventoryEvent : Event
 
-    /** A user's job was accepted, at [acceptedAtWallMs] by the wall clock. */
+    /** A submitted job was accepted; [acceptedAtWallMs] is the wall-clock time of the acceptance. */
     @Serializable
     @SerialName("accepted")
     data class JobAccepted(val spec: JobSpec, @SerialName("wallMs") val acceptedAtWallMs: Long) : JobEvent {
         override val job get() = spec.id
     }
 
-    /** A user has cancelled the job: none of its tasks starts any more. */
+    /** The job was cancelled by a user; none of its tasks is started any more. */
     @Serializable
     @SerialName("cancelled")
     data class JobCancelled(override val job: JobId) : JobEvent
 
-    /** The attempt [number] at the task [taskIndex] is to run on [machine]. */
+    /** Attempt [number] of task [taskIndex] was placed on [machine]. */
     @Serializable
     @CborArray
     @SerialName("start")
     data class AttemptStarted(override val job: JobId, val taskIndex: Int, val number: Long, val machine: MachineId) : JobEvent
 
-    /** It is confirmed that the attempt [number] doesn't run any more; the task may start elsewhere. */
+    /** Attempt [number] is confirmed not to be running any more; unless completed, the task may be started again. */
     @Serializable
     @CborArray
     @SerialName("over")
     data class AttemptTerminated(override val job: JobId, val taskIndex: Int, val number: Long) : JobEvent
 
-    /** The task [taskIndex] is completed; if [number] is its live attempt, that has terminated. */
+    /** Task [taskIndex] was completed by attempt [number]; if that is the task's live attempt, it has terminated. */
     @Serializable
     @CborArray
     @SerialName("done")
     data class TaskCompleted(override val job: JobId, val taskIndex: Int, val number: Long) : JobEvent
 
-    /** [count] machines are to be rented; [request] makes the request to the cloud idempotent. */
+    /** A rental of [count] machines was requested; [request] is the idempotency key of the call to the cloud. */
     @Serializable
     @SerialName("rent")
     data class RentalRequested(val request: String, val offer: Offer, val count: Int) : InventoryEvent
@@ -67,12 +67,12 @@
     @SerialName("rented")
     data class RentalResolved(val request: String) : InventoryEvent
 
-    /** [machine] is to be returned to the cloud. */
+    /** Termination of [machine] was requested. */
     @Serializable
     @SerialName("retire")
     data class MachineTerminationRequested(val machine: MachineId) : InventoryEvent
 
-    /** It is confirmed that [machine] doesn't exist any more. */
+    /** The termination of [machine] is confirmed. */
     @Serializable
     @SerialName("gone")
     data class MachineTerminated(val machine: MachineId) : InventoryEvent
--- a/src/main/kotlin/cleathitch/scheduler/log/FinalState.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/FinalState.kt
@@ -2,6 +2,6 @@
 
 import kotlinx.serialization.Serializable
 
-/** How a job ended: all its tasks are completed, or it was cancelled before. */
+/** The terminal state of a job: all its tasks were completed, or it was cancelled before that. */
 @Serializable
 enum class FinalState { DONE, CANCELLED }
--- a/src/main/kotlin/cleathitch/scheduler/log/FinishedJobsChunk.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/FinishedJobsChunk.kt
@@ -2,11 +2,11 @@
 
 import cleathitch.scheduler.model.JobId
 
-/** The value to which the final states of archived jobs are added, as it is in the key-value store. Chunks are numbered from 0. */
+/** A chunk of final states of archived jobs, stored as one value in the key-value store. Chunks are numbered from 0. */
 internal class FinishedJobsChunk(val number: Long, val snapshot: FinishedJobsSnapshot) {
     private val bytes = (snapshot.completed + snapshot.cancelled).sumOf(::sizeOf)
 
-    /** The chunk with [jobs] added; if this one has over [maxBytes], a new one with these jobs alone. */
+    /** Returns this chunk with [jobs] added or, if this chunk exceeds [maxBytes], a new chunk that contains only [jobs]. */
     fun plus(jobs: List<CompactedJob.Finished>, maxBytes: Double): FinishedJobsChunk {
         val base = if (bytes > maxBytes) FinishedJobsChunk(number + 1, EMPTY) else this
         val (newlyCancelled, newlyCompleted) = jobs.partition { it.finalState == FinalState.CANCELLED }
@@ -21,10 +21,10 @@
         private val EMPTY = FinishedJobsSnapshot(emptyList(), emptyList())
         val FIRST = FinishedJobsChunk(0, EMPTY)
 
-        /** Bytes that an id takes beside its text. */
+        /** The encoding overhead of a job id, in bytes. */
         private const val ID_OVERHEAD_BYTES = 4
 
-        /** The bytes that the final state of the job [id] takes in a chunk. */
+        /** The number of bytes that the final state of job [id] takes in a chunk. */
         fun sizeOf(id: JobId) = id.text.length + ID_OVERHEAD_BYTES
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/log/InventorySnapshot.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/InventorySnapshot.kt
@@ -4,7 +4,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** Rentals and terminations of machines whose outcome isn't known after the record [lastIncludedIndex]. */
+/** The machine rentals and terminations that are still unresolved as of record [lastIncludedIndex]. */
 @Serializable
 data class InventorySnapshot(
     @SerialName("upTo") val lastIncludedIndex: LogIndex,
--- a/src/main/kotlin/cleathitch/scheduler/log/JobSnapshot.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/JobSnapshot.kt
@@ -5,15 +5,15 @@
 import kotlinx.serialization.Serializable
 
 /**
- * A job as it is after the record [lastIncludedIndex].
+ * The state of a job as of record [lastIncludedIndex].
  *
- * @property acceptedAtWallMs when the job was accepted, by the wall clock
- * @property completedTasks a bit for each completed task, as [java.util.BitSet] writes them
- * @property liveAttempts attempts whose termination isn't confirmed
- * @property lastAttemptNumber the highest number that an attempt of the job has had
+ * @property acceptedAtWallMs the wall-clock time at which the job was accepted
+ * @property completedTasks the indexes of the completed tasks, in the format of [java.util.BitSet.toByteArray]
+ * @property liveAttempts the attempts whose termination isn't confirmed
+ * @property lastAttemptNumber the highest attempt number used for the job
  */
 @Serializable
-@Suppress("ArrayInDataClass") // snapshots are never compared
+@Suppress("ArrayInDataClass") // production code never compares snapshots
 data class JobSnapshot(
     @SerialName("upTo") val lastIncludedIndex: LogIndex,
     val spec: JobSpec,
--- a/src/main/kotlin/cleathitch/scheduler/log/LogKeys.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/LogKeys.kt
@@ -2,7 +2,10 @@
 
 import cleathitch.scheduler.model.JobId
 
-/** The keys under which the log is stored in the key-value store, relative to the deployment's own prefix. Running clusters hold them. */
+/**
+ * The keys of the log in the key-value store, relative to the deployment's key prefix. Existing clusters have data stored under them,
+ * so they must not change.
+ */
 object LogKeys {
     /** The index and term of the last commit. */
     const val HEAD = "head"
@@ -13,13 +16,13 @@
     const val RECORD_PREFIX = "r/"
     const val FINISHED_JOBS_PREFIX = "f/"
 
-    /** As many digits as the largest number has, so that keys sort as their numbers do. */
+    /** The number of digits of the largest Long; numbers are zero-padded to it, so that keys sort in numeric order. */
     private const val NUMBER_DIGITS = 19
 
     /** The key of the record at [index]. */
     fun record(index: LogIndex) = RECORD_PREFIX + padded(index.number)
 
-    /** The key of a job's snapshot, whose parts are stored under it as `/0`, `/1` and so on. */
+    /** The key of a job's snapshot; its parts are stored under this key followed by `/0`, `/1` and so on. */
     fun job(id: JobId) = JOB_PREFIX + id.text
 
     /** The key of a chunk of final states. */
--- a/src/main/kotlin/cleathitch/scheduler/log/LogRecord.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/LogRecord.kt
@@ -2,6 +2,6 @@
 
 import kotlinx.serialization.Serializable
 
-/** Events that are stored in one value, in the order in which they were appended. */
+/** The events stored in one record, in the order in which they were appended. */
 @Serializable
 data class LogRecord(val events: List<Event>)
--- a/src/main/kotlin/cleathitch/scheduler/log/LoggedJobs.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/LoggedJobs.kt
@@ -3,14 +3,14 @@
 import cleathitch.scheduler.model.AttemptId
 import cleathitch.scheduler.model.JobId
 
-/** The jobs whose events the log records, as compaction asks about them. The job table implements it. */
+/** The view of the jobs that compaction needs. Implemented by the job table. */
 interface LoggedJobs {
-    /** Whether [attempt] is live and no heartbeat has shown it yet. */
+    /** Whether [attempt] is live and its machine's newest heartbeat, if any, doesn't list it. */
     fun isStartUnobserved(attempt: AttemptId): Boolean
 
-    /** What is to be stored of the job [id] as it is after the record [lastIncludedIndex]. */
+    /** The form in which compaction stores job [id] as of record [lastIncludedIndex]. */
     fun compact(id: JobId, lastIncludedIndex: LogIndex): CompactedJob
 
-    /** Forgets everything of the finished job [id] but its final state. Called once a commit has stored the final state. */
+    /** Drops everything about the finished job [id] except its final state. Called once the final state is durable. */
     fun archive(id: JobId)
 }
--- a/src/main/kotlin/cleathitch/scheduler/log/Mutation.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/Mutation.kt
@@ -1,6 +1,6 @@
 package cleathitch.scheduler.log
 
-/** One change of a commit to the key-value store. Keys are those of [LogKeys], without the deployment's prefix. */
+/** One change to the key-value store in a commit. Keys are those of [LogKeys], without the deployment's key prefix. */
 sealed interface Mutation {
     val key: String
 
--- a/src/main/kotlin/cleathitch/scheduler/log/RecoveredState.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/RecoveredState.kt
@@ -1,12 +1,12 @@
 package cleathitch.scheduler.log
 
 /**
- * What a new leader finds in the key-value store.
+ * The stored log and snapshots, as a new leader reads them from the key-value store.
  *
  * @property head the index of the last commit
- * @property records the records that no compaction has deleted, oldest first
+ * @property records the records that compaction hasn't deleted, oldest first
  * @property jobs the snapshots of open jobs
- * @property inventory the snapshot of the machine inventory, null before the first
+ * @property inventory the snapshot of the machine inventory, null if none was stored yet
  * @property finishedJobs the chunks of final states
  */
 data class RecoveredState(
@@ -17,7 +17,7 @@
     val finishedJobs: List<StoredFinishedJobs>,
 ) {
     companion object {
-        /** The state of a cluster that nobody has led yet. */
+        /** The state of a cluster that has never had a leader. */
         val EMPTY = RecoveredState(LogIndex.NONE, emptyList(), emptyList(), null, emptyList())
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/log/SizeEstimator.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/SizeEstimator.kt
@@ -1,10 +1,10 @@
 package cleathitch.scheduler.log
 
-/** Estimates, generously, how many bytes something takes in the key-value store; knows the stored form, which the log doesn't. */
+/** Estimates stored sizes, erring on the large side. Implemented where the stored encoding is known; the log itself doesn't know it. */
 interface SizeEstimator {
-    /** Bytes of [event] within its record. */
+    /** The bytes that [event] takes within its record. */
     fun sizeOf(event: Event): Int
 
-    /** Bytes of [snapshot], all its parts together. */
+    /** The bytes of all parts of [snapshot] together. */
     fun sizeOf(snapshot: JobSnapshot): Int
 }
--- a/src/main/kotlin/cleathitch/scheduler/log/StoredFinishedJobs.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/StoredFinishedJobs.kt
@@ -1,4 +1,4 @@
 package cleathitch.scheduler.log
 
-/** A chunk of final states as stored in the key-value store. */
+/** A chunk of final states as read from the key-value store. */
 data class StoredFinishedJobs(val chunkNumber: Long, val snapshot: FinishedJobsSnapshot)
--- a/src/main/kotlin/cleathitch/scheduler/log/StoredSnapshots.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/StoredSnapshots.kt
@@ -2,25 +2,25 @@
 
 import cleathitch.scheduler.model.JobId
 
-/** Which snapshots and final states are in the key-value store, as far as commits were carried out. */
+/** Tracks which snapshots and final states are in the key-value store, according to the durable commits. */
 internal class StoredSnapshots {
-    /** The last index that each snapshot includes, by key. */
+    /** For each snapshot, by key, the index of the last record that it includes. */
     private val lastIncludedIndexes = HashMap<String, LogIndex>()
 
-    /** In how many parts each job's snapshot is stored. */
+    /** The number of parts in which each job's snapshot is stored. */
     private val jobParts = HashMap<JobId, Int>()
 
-    /** The chunk to which final states are added. */
+    /** The newest chunk of final states, to which further ones are added. */
     var finishedJobs = FinishedJobsChunk.FIRST
         private set
 
-    /** The last index that the snapshot under [key] includes; [LogIndex.NONE] if there is no such snapshot. */
+    /** The index of the last record that the snapshot under [key] includes; [LogIndex.NONE] if there is no such snapshot. */
     fun lastIncludedIndex(key: String): LogIndex = lastIncludedIndexes[key] ?: LogIndex.NONE
 
-    /** In how many parts the snapshot of [job] is stored, 0 if there is none. */
+    /** The number of parts in which the snapshot of [job] is stored, 0 if there is none. */
     fun partsOf(job: JobId): Int = jobParts[job] ?: 0
 
-    /** Takes over what a new leader found. */
+    /** Restores this from what a new leader read from the key-value store. */
     fun restore(recovered: RecoveredState) {
         recovered.jobs.forEach(::restore)
         recovered.inventory?.let { lastIncludedIndexes[LogKeys.INVENTORY] = it.lastIncludedIndex }
@@ -34,7 +34,7 @@
         jobParts[id] = stored.parts
     }
 
-    /** The commit that [plan] went with was carried out. */
+    /** Called when the commit that includes [plan] is durable. */
     fun recordCompaction(plan: CompactionPlan) {
         lastIncludedIndexes += plan.lastIncludedIndexes
         jobParts += plan.jobParts
--- a/src/main/kotlin/cleathitch/scheduler/log/WriteBudget.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/WriteBudget.kt
@@ -1,24 +1,24 @@
 package cleathitch.scheduler.log
 
 /**
- * Limits the rate of changes that are sent to the key-value store: a token bucket that [changesPerSecond] refill and that holds a
- * second's worth of them. Times are readings of the steady clock.
+ * Limits the rate of changes sent to the key-value store: a token bucket that is refilled at [changesPerSecond] and holds the tokens
+ * of one second. Times are readings of the steady clock.
  */
 class WriteBudget(private val changesPerSecond: Double, startMs: Long) {
     private var tokens = changesPerSecond
     private var refilledAtMs = startMs
 
-    /** The most changes that can be available. */
+    /** The capacity of the bucket: the maximum number of changes available at a time. */
     val burst get() = changesPerSecond.toInt()
 
-    /** How many changes may be sent at [nowMs]. */
+    /** The number of changes that may be sent at [nowMs]. */
     fun available(nowMs: Long): Int {
         tokens = minOf(changesPerSecond, tokens + (nowMs - refilledAtMs) * changesPerSecond / MS_PER_SECOND)
         refilledAtMs = nowMs
         return tokens.toInt()
     }
 
-    /** Counts so many [changes] as sent. They may be more than are available; the next then wait longer. */
+    /** Deducts [changes] from the budget. They may exceed what is available, in which case later changes wait longer. */
     fun consume(changes: Int) {
         tokens -= changes
     }
--- a/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
@@ -24,8 +24,8 @@
 import cleathitch.scheduler.model.Team
 
 /**
- * The users' requests: submissions, polls and cancellations. No reply leaves before the record behind it is committed, so
- * that the next leader can't contradict it; a request whose commit takes too long is answered as unavailable.
+ * Handles user requests: submissions, polls and cancellations. A reply is sent only after the record that it depends on is committed,
+ * so that the next leader can't contradict it. A request whose commit takes too long is answered as unavailable.
  */
 internal class JobRequests(
     private val context: SchedulerContext,
@@ -35,15 +35,15 @@
     private val quota: Quota,
     private val teams: Map<String, Team>,
     private val maxCommitWaitMs: Long,
-    /** Sends the stops of attempts as soon as a record is committed. */
+    /** Sends stop commands for the attempts once the record is committed. */
     private val stopAfter: (LogIndex, Collection<Attempt>) -> Unit,
 ) {
-    /** A reply that may go out once [record] is committed, up to [expiresMs]. */
+    /** A reply that waits for [record] to be committed, until [expiresMs] of the steady clock. */
     private class PendingReply(val record: LogIndex, val answer: Effect.Answer, val expiresMs: Long)
 
     private val pendingReplies = ArrayList<PendingReply>()
 
-    /** Accepts a job. Repeated submissions are idempotent: they are answered with the state of the job accepted first. */
+    /** Accepts a job. Submissions are idempotent: one with a known job id is answered with the state of that job, whatever its spec. */
     fun submit(submission: Input.Submit) {
         val (request, spec) = submission
         val archived = jobTable.finalState(spec.id)
@@ -57,10 +57,10 @@
     }
 
     private fun submitNew(request: RequestId, spec: JobSpec) {
-        val obstacle = whyUnsatisfiable(spec)
+        val unsatisfiableReason = unsatisfiableReason(spec)
         when {
             inventory.types.isEmpty() -> answer(request, UserReply.Unavailable("machine types aren't known yet"))
-            obstacle != null -> answer(request, UserReply.Unsatisfiable(obstacle))
+            unsatisfiableReason != null -> answer(request, UserReply.Unsatisfiable(unsatisfiableReason))
             context.isStalled() -> answer(request, UserReply.Unavailable("the state service doesn't answer"))
             else -> accept(request, spec)
         }
@@ -74,35 +74,39 @@
         answerAfter(record, request, UserReply.Accepted(spec.id, JobState.QUEUED, known = false))
     }
 
-    /** Why no task of the job could ever start, as a text for the user; null if it could. */
-    private fun whyUnsatisfiable(spec: JobSpec): String? = when {
+    /** The reason shown to the user why no task of the job could ever start, null if one could. */
+    private fun unsatisfiableReason(spec: JobSpec): String? = when {
         spec.team !in teams -> "unknown team"
-        !isHeldBySomeType(spec) -> "no allowed machine type holds a task"
-        !quota.couldEverAllow(spec) -> "more than the team's limit"
+        !fitsSomeMachineType(spec) -> "no allowed machine type holds a task"
+        !quota.isSatisfiable(spec) -> "more than the team's limit"
         else -> null
     }
 
-    private fun isHeldBySomeType(spec: JobSpec): Boolean {
+    private fun fitsSomeMachineType(spec: JobSpec): Boolean {
         val placementClass = spec.placementClass
         return inventory.types.values.any { type ->
             type.canHold(placementClass) && type.zones.any { placementClass.permits(Offer(type.name, it, spot = false)) }
         }
     }
 
+    /** Answers with the job's status once the job's acceptance is committed. */
     fun poll(poll: Input.Poll) {
         val (request, id) = poll
         if (!context.isLeaseHeld()) return answer(request, UserReply.Unavailable("no lease"))
         answerAfter(acceptanceRecord(id), request, status(id))
     }
 
-    /** The reply to a poll if it can be given at once; polls that share an answer mustn't wait for one job's commit. */
+    /**
+     * The reply to a poll that was forwarded in a batch. It is given immediately, as unavailable if the job's acceptance isn't committed
+     * yet: the polls of a batch share one answer, which must not wait for the commit of a single job.
+     */
     fun currentStatus(id: JobId): UserReply {
         if (!context.isLeaseHeld()) return UserReply.Unavailable("no lease")
-        val isRecorded = acceptanceRecord(id) <= decisionLog.committedIndex
-        return if (isRecorded) status(id) else UserReply.Unavailable("the job isn't recorded yet")
+        val isCommitted = acceptanceRecord(id) <= decisionLog.committedIndex
+        return if (isCommitted) status(id) else UserReply.Unavailable("the job isn't recorded yet")
     }
 
-    /** The record in which the job was accepted; none for a job that is archived or unknown. */
+    /** The record that contains the job's acceptance; [LogIndex.NONE] for a job that is archived or unknown. */
     private fun acceptanceRecord(id: JobId): LogIndex = jobTable.job(id)?.acceptedIndex ?: LogIndex.NONE
 
     private fun status(id: JobId): UserReply {
@@ -114,10 +118,10 @@
         val running = job.liveAttempts.values.count { it.observedState == TaskState.RUNNING }
         val state = committedState(job)
         logFinalState(id, state, job.cancelledIndex ?: job.finishedIndex)
-        return UserReply.Status(id, state, job.doneCount, running)
+        return UserReply.Status(id, state, job.completedCount, running)
     }
 
-    /** Cancels a job; one that is over already keeps its final state, which the reply tells. */
+    /** Cancels a job. A job that already is in a terminal state keeps that state, and the reply contains it. */
     fun cancel(cancellation: Input.Cancel) {
         val (request, id) = cancellation
         val archived = jobTable.finalState(id)
@@ -126,15 +130,17 @@
             !context.isLeaseHeld() -> answer(request, UserReply.Unavailable("no lease"))
             archived != null -> answer(request, UserReply.Cancelled(id, jobState(archived)))
             job == null -> answer(request, UserReply.NotFound)
-            !job.isOver && context.isStalled() -> answer(request, UserReply.Unavailable("the state service doesn't answer"))
+            !job.isTerminal && context.isStalled() -> answer(request, UserReply.Unavailable("the state service doesn't answer"))
             else -> cancel(request, job)
         }
     }
 
     private fun cancel(request: RequestId, job: Job) {
-        if (!job.isOver) recordCancellation(job)
+        if (!job.isTerminal) recordCancellation(job)
         val state = if (job.isCancelled) JobState.CANCELLED else JobState.DONE
-        val record = checkNotNull(job.cancelledIndex ?: job.finishedIndex) { "job ${job.id} is over without a record of its end" }
+        val record = checkNotNull(job.cancelledIndex ?: job.finishedIndex) {
+            "terminal job ${job.id} has neither a cancellation nor a completion record"
+        }
         logFinalState(job.id, state, record)
         answerAfter(record, request, UserReply.Cancelled(job.id, state))
     }
@@ -146,16 +152,16 @@
         context.logEvent(LogLevel.DEBUG) { "event=job_cancelled job=${job.id}" }
     }
 
-    /** Sends the replies whose records are committed by now. */
-    fun answerCommitted() {
+    /** Sends the pending replies whose records are committed. */
+    fun sendCommittedReplies() {
         val (ready, waiting) = pendingReplies.partition { it.record <= decisionLog.committedIndex }
         pendingReplies.clear()
         pendingReplies += waiting
         ready.forEach { context.emit(it.answer) }
     }
 
-    /** Gives up on replies that wait too long for their commits; their users may ask again. */
-    fun expire() {
+    /** Answers requests whose commits take too long as unavailable; users may retry them. */
+    fun expirePendingReplies() {
         val expired = pendingReplies.filter { it.expiresMs <= context.now.steadyMs }
         if (expired.isEmpty()) return
         pendingReplies.removeAll(expired.toSet())
@@ -172,8 +178,8 @@
     }
 
     /**
-     * A reported final state can't be taken back, so the log line names the [record] behind it, null for an archived job. A record
-     * beyond the committed index holds the reply back until it is committed.
+     * Logs the final state given in a reply together with the [record] that establishes it, null for an archived job, because a final
+     * state can't be retracted once a user has seen it. If the record isn't committed yet, the reply waits until it is.
      */
     private fun logFinalState(id: JobId, state: JobState, record: LogIndex?) {
         if (state != JobState.DONE && state != JobState.CANCELLED) return
@@ -188,7 +194,7 @@
         FinalState.CANCELLED -> JobState.CANCELLED
     }
 
-    /** The state that users may be told: an end counts only once its record is committed. */
+    /** The job's state as visible to users: a terminal state is visible only once its record is committed. */
     private fun committedState(job: Job): JobState {
         job.cancelledIndex?.let { if (it <= decisionLog.committedIndex) return JobState.CANCELLED }
         job.finishedIndex?.let { if (it <= decisionLog.committedIndex) return JobState.DONE }
--- a/src/test/kotlin/cleathitch/scheduler/log/DecisionLogTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/log/DecisionLogTest.kt
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** [DecisionLog] and its compaction, with made-up jobs and sizes. */
+/** Tests [DecisionLog] and its compaction with fake jobs and fixed sizes. */
 class DecisionLogTest {
     private val deployment = SimulatedCluster.standard
     private val jobs = FakeJobs()
@@ -49,7 +49,7 @@
             SimulatedCluster.job(1).copy(id = id),
             acceptedAtWallMs = 0,
             isCancelled = false,
-            NO_TASKS,
+            NO_COMPLETED_TASKS,
             liveAttempts = emptyList(),
             lastAttemptNumber = 0,
         )
@@ -64,7 +64,7 @@
         return commit
     }
 
-    private fun accept(vararg events: Event) = events.forEach {
+    private fun appendAndCommit(vararg events: Event) = events.forEach {
         decisionLog.append(it)
         commit()
     }
@@ -72,7 +72,7 @@
     private fun keys(commit: Commit) = commit.changes.map { if (it is Mutation.Delete) "-${it.key}" else it.key }
 
     @Test
-    fun `an event is committed when the commit of its record is carried out and not before`() {
+    fun `an event counts as committed only once the commit of its record is confirmed`() {
         val index = decisionLog.append(Event.JobAccepted(spec, 0))
         val commit = nextCommit()
         assertEquals(index, commit?.index)
@@ -82,7 +82,7 @@
     }
 
     @Test
-    fun `one commit is in flight at a time`() {
+    fun `at most one commit is in flight`() {
         val first = decisionLog.append(Event.JobAccepted(spec, 0))
         nextCommit()
         decisionLog.append(Event.JobCancelled(spec.id))
@@ -93,17 +93,17 @@
     }
 
     @Test
-    fun `the starts of a gang share a record`() {
+    fun `the starts of a gang are stored in one record`() {
         val eventsPerRecord = (deployment.stateValueBytes * 0.8 / EVENT_BYTES).toInt()
         repeat(eventsPerRecord - 1) { decisionLog.append(Event.JobCancelled(spec.id)) }
         val starts = List(2) { start.copy(taskIndex = it) }
-        decisionLog.reserveRoomFor(starts)
+        decisionLog.reserveSpaceFor(starts)
         assertEquals(setOf(LogIndex(2)), starts.map(decisionLog::append).toSet())
     }
 
     @Test
-    fun `compaction replaces committed records by a snapshot`() {
-        accept(Event.JobAccepted(spec, 0), Event.JobCancelled(spec.id))
+    fun `compaction replaces committed records with a snapshot`() {
+        appendAndCommit(Event.JobAccepted(spec, 0), Event.JobCancelled(spec.id))
         val compaction = commit(maxCompactionChanges = 10)
         assertEquals(
             listOf(LogKeys.HEAD, LogKeys.job(spec.id), "-${LogKeys.record(LogIndex(1))}", "-${LogKeys.record(LogIndex(2))}"),
@@ -114,9 +114,9 @@
     }
 
     @Test
-    fun `a record with a start that no heartbeat has shown is retained`() {
+    fun `a record with the start of an unobserved attempt is retained`() {
         jobs.unobservedStarts += AttemptId(TaskId(spec.id, start.taskIndex), start.number)
-        accept(start, Event.JobAccepted(otherSpec, 0))
+        appendAndCommit(start, Event.JobAccepted(otherSpec, 0))
         assertEquals(
             listOf(LogKeys.HEAD, LogKeys.job(otherSpec.id), "-${LogKeys.record(LogIndex(2))}"),
             keys(commit(maxCompactionChanges = 10)),
@@ -126,8 +126,8 @@
     }
 
     @Test
-    fun `a compaction that reaches its limit says so and the next goes on`() {
-        accept(Event.JobAccepted(spec, 0), Event.JobAccepted(otherSpec, 0))
+    fun `a compaction that reaches its limit is reported as incomplete and the next one continues`() {
+        appendAndCommit(Event.JobAccepted(spec, 0), Event.JobAccepted(otherSpec, 0))
         assertEquals(listOf(LogKeys.HEAD, LogKeys.job(spec.id), "-${LogKeys.record(LogIndex(1))}"), keys(commit(maxCompactionChanges = 2)))
         assertTrue(decisionLog.isCompactionIncomplete)
         assertTrue("-${LogKeys.record(LogIndex(2))}" in keys(commit(maxCompactionChanges = 2)))
@@ -135,11 +135,11 @@
     }
 
     @Test
-    fun `a finished job is archived when the commit of its final state is carried out and not before`() {
-        accept(Event.JobAccepted(spec, 0))
+    fun `a finished job is archived only once the commit of its final state is confirmed`() {
+        appendAndCommit(Event.JobAccepted(spec, 0))
         commit(maxCompactionChanges = 10)
         jobs.finished += spec.id
-        accept(Event.TaskCompleted(spec.id, 0, 1))
+        appendAndCommit(Event.TaskCompleted(spec.id, 0, 1))
         val compaction = checkNotNull(nextCommit(maxCompactionChanges = 10))
         assertEquals(
             listOf(LogKeys.HEAD, "-${LogKeys.job(spec.id)}/0", "-${LogKeys.record(LogIndex(3))}", LogKeys.finishedJobs(0)),
@@ -152,7 +152,7 @@
 
     @Test
     fun `nothing is compacted while a later record is pending`() {
-        accept(Event.JobAccepted(spec, 0))
+        appendAndCommit(Event.JobAccepted(spec, 0))
         val recordsPerCommit = deployment.stateTxnOps / 4
         val eventsPerRecord = (deployment.stateValueBytes * 0.8 / EVENT_BYTES).toInt()
         repeat(recordsPerCommit * eventsPerRecord + 1) { decisionLog.append(Event.JobCancelled(spec.id)) }
@@ -163,7 +163,7 @@
     }
 
     @Test
-    fun `events that a restored snapshot includes are known`() {
+    fun `events included in a restored snapshot are recognized`() {
         val snapshot = jobs.snapshot(spec.id, LogIndex(4))
         decisionLog.restore(RecoveredState.EMPTY.copy(head = LogIndex(5), jobs = listOf(StoredJob(snapshot, parts = 1))))
         assertTrue(decisionLog.isInSnapshot(Event.JobCancelled(spec.id), LogIndex(4)))
@@ -175,6 +175,6 @@
     private companion object {
         const val EVENT_BYTES = 100
         const val SNAPSHOT_BYTES = 500
-        val NO_TASKS = byteArrayOf()
+        val NO_COMPLETED_TASKS = byteArrayOf()
     }
 }
