--- a/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
@@ -61,7 +61,7 @@
         when {
             inventory.types.isEmpty() -> answer(request, UserReply.Unavailable("machine types aren't known yet"))
             unsatisfiableReason != null -> answer(request, UserReply.Unsatisfiable(unsatisfiableReason))
-            context.isStalled() -> answer(request, UserReply.Unavailable("the state service doesn't answer"))
+            context.isStalled() -> answer(request, UserReply.Unavailable("the key-value store doesn't answer"))
             else -> accept(request, spec)
         }
     }
@@ -76,9 +76,9 @@
 
     /** The reason shown to the user why no task of the job could ever start, null if one could. */
     private fun unsatisfiableReason(spec: JobSpec): String? = when {
-        spec.team !in teams -> "unknown team"
-        !fitsSomeMachineType(spec) -> "no allowed machine type holds a task"
-        !quota.isSatisfiable(spec) -> "more than the team's limit"
+        spec.team !in teams -> "unknown team ${spec.team}"
+        !fitsSomeMachineType(spec) -> "no allowed machine type fits a task: vcpus=${spec.cpus} gpus=${spec.gpus} memoryGb=${spec.memoryGb}"
+        !quota.isSatisfiable(spec) -> "the job exceeds the quota limit of team ${spec.team}"
         else -> null
     }
 
@@ -103,7 +103,7 @@
     fun currentStatus(id: JobId): UserReply {
         if (!context.isLeaseHeld()) return UserReply.Unavailable("no lease")
         val isCommitted = acceptanceRecord(id) <= decisionLog.committedIndex
-        return if (isCommitted) status(id) else UserReply.Unavailable("the job isn't recorded yet")
+        return if (isCommitted) status(id) else UserReply.Unavailable("the acceptance of job $id isn't committed yet")
     }
 
     /** The record that contains the job's acceptance; [LogIndex.NONE] for a job that is archived or unknown. */
@@ -130,7 +130,7 @@
             !context.isLeaseHeld() -> answer(request, UserReply.Unavailable("no lease"))
             archived != null -> answer(request, UserReply.Cancelled(id, jobState(archived)))
             job == null -> answer(request, UserReply.NotFound)
-            !job.isTerminal && context.isStalled() -> answer(request, UserReply.Unavailable("the state service doesn't answer"))
+            !job.isTerminal && context.isStalled() -> answer(request, UserReply.Unavailable("the key-value store doesn't answer"))
             else -> cancel(request, job)
         }
     }
@@ -165,7 +165,7 @@
         val expired = pendingReplies.filter { it.expiresMs <= context.now.steadyMs }
         if (expired.isEmpty()) return
         pendingReplies.removeAll(expired.toSet())
-        expired.forEach { answer(it.answer.request, UserReply.Unavailable("the state service is slow")) }
+        expired.forEach { answer(it.answer.request, UserReply.Unavailable("not committed within $maxCommitWaitMs ms")) }
     }
 
     private fun answer(request: RequestId, reply: UserReply) {
