--- a/src/main/kotlin/cleathitch/controller/BatchForwarder.kt
+++ b/src/main/kotlin/cleathitch/controller/BatchForwarder.kt
@@ -12,7 +12,7 @@
 import cleathitch.peers.PeerRequest
 import cleathitch.peers.PeerResult
 
-/** Sends a follower's batches to the leader and reads its decisions, which show that it lives. */
+/** Sends a follower's batches to the leader and decodes its decisions, which also count as contact with the leader. */
 internal class BatchForwarder(
     private val member: String,
     private val peerAddresses: Map<String, Address>,
@@ -20,7 +20,7 @@
     private val role: ControllerRole,
     private val processingTimes: ProcessingTimes,
 ) {
-    /** Sends [batch] to [leader] and waits for its decisions, for [timeoutMs] at most. */
+    /** Sends [batch] to [leader] and waits for its decisions, for at most [timeoutMs]. */
     suspend fun send(leader: KnownLeader, batch: OutgoingBatch, timeoutMs: Long): BatchResult {
         val address = peerAddresses[leader.member] ?: return BatchResult.NotLeading
         val encoded = processingTimes.measure(ProcessingStage.BATCH_ENCODING) {
--- a/src/main/kotlin/cleathitch/controller/Controller.kt
+++ b/src/main/kotlin/cleathitch/controller/Controller.kt
@@ -17,11 +17,11 @@
 import kotlinx.coroutines.launch
 
 /**
- * One controller process: takes part in the election, leads or follows, and serves users, workers and other controllers.
- * Wires the parts, each of which has one of these concerns, and starts their loops.
+ * One controller process: takes part in the leader election, acts as leader or follower, and serves users, workers and other
+ * controllers. Creates the components for these tasks, connects them and starts their loops.
  *
- * Everything runs on the event loop of [scope], whose owner ends it; the election alone runs in [leaseScope], on a loop of
- * its own, so that a flood of requests can't cost the leader its lease.
+ * Everything runs on the event loop of [scope], which the caller cancels. Only the election runs in [leaseScope], on a separate
+ * event loop, so that the leader doesn't lose its lease under a high request load.
  */
 class Controller(
     private val settings: Settings,
@@ -54,14 +54,14 @@
     )
     private val userRequests = UserRequestRouter(role, batches, peers, peerAddresses)
 
-    /** Answers the load balancer, users and workers. */
+    /** Answers the requests of the load balancer, users and workers. */
     val requests = RequestRouter(
         Readiness(role, contacts, settings.peers.size, leaderLeaseMs, steadyMs),
         HeartbeatRouter(member, role, contacts, batches, WorkerDistribution(heartbeatPeriodMs), processingTimes, steadyMs),
         userRequests,
     )
 
-    /** Answers the other controllers. */
+    /** Answers the requests of other controllers. */
     val peerRequests = PeerRequestHandler(
         role,
         contacts,
@@ -73,15 +73,15 @@
         scope,
     )
 
-    /** Takes part in the election, and returns once there is a leader, or none is to be expected soon. */
+    /** Starts all loops and joins the election. Returns once a leader is known, or after [STARTUP_WAIT_LEASES] leases without one. */
     suspend fun start() {
         scope.launch { machineTypes.run() }
         scope.launch { announcer.run() }
         scope.launch { batches.run() }
         if (processingTimesLog.isEnabled) scope.launch { processingTimesLog.run() }
         leaseScope.launch { election.run(role) }
-        // Requests that come before there is a leader to answer them only delay its discovery.
-        role.awaitLeader(timeoutMs = leaderLeaseMs * FIRST_LEADER_LEASES)
+        // Requests that arrive before a leader can answer them would only delay its discovery.
+        role.awaitLeader(timeoutMs = leaderLeaseMs * STARTUP_WAIT_LEASES)
     }
 
     private fun newTerm(lease: LeaderLease, stepDown: (Effect.StepDown) -> Unit): LeaderTerm {
@@ -90,7 +90,7 @@
         return LeaderTerm(
             lease,
             dependencies,
-            LogStorage(store, PREFIX, LEADER_KEY, term, processingTimes, steadyMs),
+            LogStorage(store, LOG_KEY_PREFIX, LEADER_KEY, term, processingTimes, steadyMs),
             machineTypes.machineTypes,
             imageCacheHints.snapshot(),
             newDelivery = { enqueue -> WorkerCommandDelivery(routes, resultTimeoutMs = heartbeatPeriodMs, steadyMs, enqueue) },
@@ -100,16 +100,16 @@
     }
 
     companion object {
-        /** The key that the leader holds under its lease. */
+        /** The key that the leader holds, bound to its lease. */
         const val LEADER_KEY = "leader/cleathitch"
 
-        /** Begins each key of the log. */
-        private const val PREFIX = "cleathitch/"
+        /** The prefix of the log's keys. */
+        private const val LOG_KEY_PREFIX = "cleathitch/"
 
-        /** For how many leases a controller that starts waits for a leader before it listens to requests. */
-        private const val FIRST_LEADER_LEASES = 4
+        /** How long a starting controller waits for a leader before it accepts requests, in leader lease durations. */
+        private const val STARTUP_WAIT_LEASES = 4
 
-        /** The times of the processing stages are logged once in so many heartbeat periods. */
+        /** The interval at which processing times are logged, in heartbeat periods. */
         private const val LOG_PERIOD_HEARTBEATS = 5
     }
 }
--- a/src/main/kotlin/cleathitch/controller/ControllerRole.kt
+++ b/src/main/kotlin/cleathitch/controller/ControllerRole.kt
@@ -17,8 +17,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Which part this controller has: the leader in [activeTerm], or a follower of [leader]. Owns the coroutine of the active
- * term. Confined to the controller's event loop, the [ElectionListener] methods apart, which the lease's loop calls.
+ * Tracks whether this controller is the leader, in [activeTerm], or a follower of [leader]. Owns the coroutine of the active
+ * term. Confined to the controller's event loop, except for the [ElectionListener] methods, which are called on the election's loop.
  */
 internal class ControllerRole(
     private val member: String,
@@ -32,44 +32,44 @@
     private val leaderFound = CompletableDeferred<Unit>()
     private var activeTermJob: Job? = null
 
-    /** The term that this controller leads; null while it follows. */
+    /** The term in which this controller is the leader; null while it is a follower. */
     var activeTerm: LeaderTerm? = null
         private set
 
-    /** The member that leads as far as this controller knows, which may be itself. */
+    /** The current leader as far as this controller knows, which may be itself; null if none is known. */
     var leader: String? = null
         private set
 
-    /** The newest term that this controller knows of. */
+    /** The newest term of which this controller has learned. */
     var leaderTerm = 0L
         private set
 
-    /** When another leader last showed that it lives. */
-    var leaderContactMs: Long? = null
+    /** When another leader was last known to be alive; null if there has been none. */
+    var lastLeaderContactMs: Long? = null
         private set
 
     init {
         meters.gauge("leader.term", this) { (it.activeTerm?.revision ?: 0).toDouble() }
     }
 
-    /** The leader to which a follower forwards requests; null while there is none, or it is this controller. */
+    /** The leader to which requests are forwarded; null if none is known or if this controller is the leader. */
     fun knownLeader(): KnownLeader? = leader?.takeIf { activeTerm == null && it != member }?.let { KnownLeader(it, leaderTerm) }
 
-    /** Suspends until there is a leader that can be asked, for [timeoutMs] at most. */
+    /** Suspends until a leader that can answer requests is known, for at most [timeoutMs]. */
     suspend fun awaitLeader(timeoutMs: Long) {
         withTimeoutOrNull(timeoutMs) { leaderFound.await() }
     }
 
-    // The lease has a loop of its own; what follows from an election happens on the controller's.
-    override fun onElected(lease: LeaderLease) = post { lead(lease) }
+    // The election runs on its own event loop; its results are handled on the controller's.
+    override fun onElected(lease: LeaderLease) = post { startTerm(lease) }
     override fun onDeposed(lease: LeaderLease, reason: TermEndReason) = post { stepDown(lease.term, reason.toString()) }
-    override fun onLeaderObserved(member: String?, term: Long) = post { follow(member, term) }
+    override fun onLeaderObserved(member: String?, term: Long) = post { updateObservedLeader(member, term) }
 
     private fun post(action: () -> Unit) {
         scope.launch { action() }
     }
 
-    private fun lead(lease: LeaderLease) {
+    private fun startTerm(lease: LeaderLease) {
         val term = lease.term
         log.info("term={} event=elected holder={}", term.revision, member)
         elections.increment()
@@ -85,7 +85,7 @@
         leaderFound.complete(Unit)
     }
 
-    /** Ends the active term if it is [term]; [transferLeadership] leaves the next one to other controllers. */
+    /** Ends the active term if it is [term]. With [transferLeadership], the next election is left to other controllers. */
     fun stepDown(term: Term, reason: String, transferLeadership: Boolean = false) {
         val ended = activeTerm ?: return
         if (ended.term != term) return
@@ -103,26 +103,26 @@
         ended.lease.resign(reason, transferLeadership)
     }
 
-    /** Ends the active term if [from] knows a newer one. */
+    /** Ends the active term if it is older than [term], which the member [from] reported. */
     fun stepDownIfOlderThan(term: Long, from: String) {
         val active = activeTerm ?: return
         if (active.revision < term) stepDown(active.term, "newer_term: $from knows $term")
     }
 
-    /** Follows the member that holds the leader's key, or nobody. */
-    private fun follow(member: String?, term: Long) {
+    /** Records [member] as the current holder of the leader key; null if nobody holds it. */
+    private fun updateObservedLeader(member: String?, term: Long) {
         if (activeTerm != null || term < leaderTerm) return
         if (member != leader) {
             log.info("event=leader_changed leader={} term={} source=key", member ?: "none", term)
-            // A new leader announces itself only after its replay; until then it counts as alive.
-            if (member != null) leaderContactMs = steadyMs()
+            // A new leader announces itself only after its log replay; until then it is assumed to be alive.
+            if (member != null) lastLeaderContactMs = steadyMs()
         }
         leader = member
         leaderTerm = term
         if (member != null) leaderFound.complete(Unit)
     }
 
-    /** The member [from] showed that it leads in [term]: by an announcement, a command, or its answer to a batch. */
+    /** Handles evidence that [from] is the leader of [term]: its announcement, its command, or its answer to a batch. */
     fun onLeaderAnnouncement(from: String, term: Long) {
         if (term < leaderTerm) return
         activeTerm?.let { if (it.revision < term) stepDown(it.term, "newer_term: $from leads $term") }
@@ -130,7 +130,7 @@
         if (leader != from) log.info("event=leader_changed leader={} term={} source=announcement", from, term)
         leader = from
         leaderTerm = term
-        leaderContactMs = steadyMs()
+        lastLeaderContactMs = steadyMs()
     }
 
     private companion object {
--- a/src/main/kotlin/cleathitch/controller/FollowerContacts.kt
+++ b/src/main/kotlin/cleathitch/controller/FollowerContacts.kt
@@ -3,41 +3,41 @@
 import cleathitch.scheduler.model.MachineId
 
 /**
- * The leader's view of its followers: when each last showed that it lives, and through which one each machine sent its last
- * heartbeat. Confined to the controller's event loop.
+ * The leader's view of its followers: the time of the last contact with each, and the follower that forwarded each machine's
+ * last heartbeat. Confined to the controller's event loop.
  */
 internal class FollowerContacts(private val steadyMs: () -> Long, private val reachableMs: Long) {
     private val lastContactMs = HashMap<String, Long>()
     private val followerByMachine = HashMap<MachineId, String>()
 
-    /** The follower has just shown that it lives. */
+    /** Records that [follower] sent a request or an answer just now. */
     fun recordContact(follower: String) {
         lastContactMs[follower] = steadyMs()
     }
 
-    /** The followers that were in contact a moment ago. */
+    /** The followers whose last contact was less than [reachableMs] ago. */
     fun reachableFollowers(): List<String> {
         val now = steadyMs()
         return lastContactMs.filterValues { now - it < reachableMs }.keys.toList()
     }
 
-    /** Whether the follower was in contact within the last [withinMs]. */
-    fun isRecent(follower: String, withinMs: Long): Boolean {
+    /** Whether the last contact with [follower] was less than [withinMs] ago. */
+    fun hadContact(follower: String, withinMs: Long): Boolean {
         val contactMs = lastContactMs[follower] ?: return false
         return steadyMs() - contactMs < withinMs
     }
 
-    /** The machines' heartbeats came through [follower]. */
+    /** Records that [follower] forwarded heartbeats of [machines]. */
     fun recordHeartbeats(follower: String, machines: List<MachineId>) {
         if (followerByMachine.size > MAX_MACHINES) followerByMachine.clear()
         machines.forEach { followerByMachine[it] = follower }
     }
 
-    /** The follower through which the machine sent its last heartbeat, if one did. */
+    /** The follower that forwarded the machine's last heartbeat; null if none is recorded. */
     fun followerOf(machine: MachineId): String? = followerByMachine[machine]
 
     private companion object {
-        /** Machines come and go; the present ones are recorded again with their next heartbeats. */
+        /** Bounds the entries of terminated machines. After a clear, existing ones are recorded again with their next heartbeats. */
         const val MAX_MACHINES = 10_000
     }
 }
--- a/src/main/kotlin/cleathitch/controller/HeartbeatRouter.kt
+++ b/src/main/kotlin/cleathitch/controller/HeartbeatRouter.kt
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Answers workers' heartbeats: by the active term, through the leader, or with the name of a controller that the worker
- * should send them to instead. Confined to the controller's event loop.
+ * Answers workers' heartbeats: the leader decides them itself, a follower forwards them to the leader, and either may redirect
+ * the worker to another controller. Confined to the controller's event loop.
  */
 internal class HeartbeatRouter(
     private val member: String,
@@ -28,9 +28,9 @@
     private val processingTimes: ProcessingTimes,
     private val steadyMs: () -> Long,
 ) {
-    /** Answers one heartbeat, given as the body of its request. */
+    /** Answers the heartbeat in the request body [body]. */
     suspend fun handle(body: ByteArray): HttpReply {
-        // Right after an election the whole fleet sends heartbeats at once: a heartbeat that can't be answered isn't even decoded.
+        // Right after an election all workers send heartbeats at once, so one that can't be answered is rejected before decoding.
         if (role.activeTerm?.isReady == false || role.activeTerm == null && role.leader == null) return HttpReply(503)
         if (role.activeTerm == null && batches.isLeaderUnreachable) return redirectTo(role.leader)
         val heartbeat = try {
--- a/src/main/kotlin/cleathitch/controller/ImageCacheHintSharing.kt
+++ b/src/main/kotlin/cleathitch/controller/ImageCacheHintSharing.kt
@@ -13,8 +13,8 @@
 import kotlinx.coroutines.launch
 
 /**
- * Shares hints about the machines' image caches: the leader sends them to its followers, of which one may lead next and
- * then places tasks where their images are. Sending runs in [scope], which ends it.
+ * Shares hints about the machines' image caches. The leader sends them to its followers, so that the next leader can place tasks
+ * on machines that have their images cached. Hints are sent in coroutines of [scope].
  */
 internal class ImageCacheHintSharing(
     private val peers: List<Peer>,
@@ -25,16 +25,16 @@
 ) {
     private val received = HashMap<MachineId, ImageCache>()
 
-    /** Keeps the hints of the present leader. */
+    /** Stores hints that the current leader sent. */
     fun record(hints: PeerRequest.ImageCacheHints) {
         if (received.size > MAX_MACHINES) received.clear()
         received += hints.toImageCaches()
     }
 
-    /** A copy of the hints that earlier leaders have sent. */
+    /** A copy of the hints received from other leaders. */
     fun snapshot(): Map<MachineId, ImageCache> = HashMap(received)
 
-    /** Sends the hints to all peers, part by part, so that other work on this loop gets its turn between them. */
+    /** Sends the hints to all peers in several messages, so that other work can run on this event loop in between. */
     fun share(images: Map<MachineId, ImageCache>) {
         scope.launch {
             for (part in PeerRequest.ImageCacheHints.of(images)) {
@@ -45,7 +45,7 @@
     }
 
     private companion object {
-        /** Machines come and go; hints about the present ones come again soon. */
+        /** Bounds the hints about terminated machines. After a clear, the leader's next messages restore those about existing ones. */
         const val MAX_MACHINES = 10_000
     }
 }
--- a/src/main/kotlin/cleathitch/controller/LeaderAnnouncer.kt
+++ b/src/main/kotlin/cleathitch/controller/LeaderAnnouncer.kt
@@ -10,8 +10,8 @@
 import kotlinx.coroutines.launch
 
 /**
- * Announces this controller to its peers while it leads, so that they know the leader even without the key-value store.
- * Each call is a coroutine of [scope], so that one slow peer doesn't delay the others.
+ * Announces this controller to its peers while it is the leader, so that they know the leader even if the key-value store is
+ * unavailable. Each call runs in its own coroutine of [scope], so that one slow peer doesn't delay the others.
  */
 internal class LeaderAnnouncer(
     private val member: String,
@@ -24,7 +24,7 @@
 ) {
     private val periodMs = leaderLeaseMs / ANNOUNCEMENTS_PER_LEASE
 
-    /** Announces the active term in each period, until it is cancelled. */
+    /** Announces the active term every [periodMs] until cancelled. */
     suspend fun run() {
         while (true) {
             role.activeTerm?.takeIf { it.isReady }?.let(::announceLeadership)
@@ -36,8 +36,8 @@
         for (peer in peers.filter { needsAnnouncement(it.member) }) scope.launch { announce(term, peer) }
     }
 
-    /** A follower whose batch was answered a moment ago knows the leader from that answer. */
-    private fun needsAnnouncement(follower: String) = !contacts.isRecent(follower, withinMs = leaderLeaseMs / RECENT_CONTACTS_PER_LEASE)
+    /** A follower whose batch was answered recently knows the leader from that answer. */
+    private fun needsAnnouncement(follower: String) = !contacts.hadContact(follower, withinMs = leaderLeaseMs / RECENT_CONTACT_DIVISOR)
 
     private suspend fun announce(term: LeaderTerm, peer: Peer) {
         val announcement = PeerRequest.AnnounceLeader(member, member, term.revision)
@@ -49,7 +49,7 @@
     private companion object {
         const val ANNOUNCEMENTS_PER_LEASE = 3
 
-        /** A contact within this part of a lease makes an announcement needless. */
-        const val RECENT_CONTACTS_PER_LEASE = 6
+        /** A contact is recent if it was less than the lease duration divided by this ago. */
+        const val RECENT_CONTACT_DIVISOR = 6
     }
 }
--- a/src/main/kotlin/cleathitch/controller/PeerRequestHandler.kt
+++ b/src/main/kotlin/cleathitch/controller/PeerRequestHandler.kt
@@ -17,8 +17,8 @@
 import kotlinx.coroutines.launch
 
 /**
- * Answers the requests of other controllers. Each reply names the leader and the newest term that this one knows.
- * Confined to the controller's event loop; commands are delivered to workers in [scope], which ends that.
+ * Answers the requests of other controllers. Each reply contains the leader and the newest term that this controller knows.
+ * Confined to the controller's event loop; commands are delivered to workers in coroutines of [scope].
  */
 class PeerRequestHandler internal constructor(
     private val role: ControllerRole,
@@ -30,7 +30,7 @@
     private val processingTimes: ProcessingTimes,
     private val scope: CoroutineScope,
 ) {
-    /** Answers one request; [PeerReply.status] follows HTTP. */
+    /** Answers one request; [PeerReply.status] is an HTTP status code. */
     suspend fun handle(request: PeerRequest): PeerReply = when (request) {
         is PeerRequest.AnnounceLeader -> {
             role.onLeaderAnnouncement(request.from, request.term)
@@ -46,7 +46,7 @@
         is PeerRequest.DeliverCommands -> deliver(request)
     }
 
-    /** Decides the heartbeats and polls of a follower, if this controller leads in the batch's term. */
+    /** Answers a follower's heartbeats and polls if this controller is the leader of the batch's term. */
     private suspend fun decide(batch: PeerRequest.FollowerBatch): PeerReply {
         role.stepDownIfOlderThan(batch.term, batch.from)
         val term = role.activeTerm?.takeIf { it.revision == batch.term && it.isReady } ?: return reply(503)
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Delivers commands of the leader to workers; the workers' answers go to the leader with the next batches. */
+    /** Delivers the leader's commands to workers; the workers' answers are sent to the leader with the next batches. */
     private fun deliver(request: PeerRequest.DeliverCommands): PeerReply {
         role.onLeaderAnnouncement(request.from, request.term)
         val isFromLeader = role.activeTerm == null && role.leader == request.from && role.leaderTerm == request.term
--- a/src/main/kotlin/cleathitch/controller/ProcessingTimesLog.kt
+++ b/src/main/kotlin/cleathitch/controller/ProcessingTimesLog.kt
@@ -4,16 +4,16 @@
 import kotlinx.coroutines.delay
 import org.slf4j.LoggerFactory
 
-/** Writes the times of the processing stages to the log, periodically. */
+/** Logs the times of the processing stages periodically. */
 internal class ProcessingTimesLog(
     private val role: ControllerRole,
     private val processingTimes: ProcessingTimes,
     private val periodMs: Long,
 ) {
-    /** Whether the log level shows what [run] writes. */
+    /** Whether the log level includes the lines that [run] writes. */
     val isEnabled get() = log.isInfoEnabled
 
-    /** Logs until it is cancelled. */
+    /** Logs a line every [periodMs] until cancelled. */
     suspend fun run() {
         while (true) {
             delay(periodMs)
--- a/src/main/kotlin/cleathitch/controller/Readiness.kt
+++ b/src/main/kotlin/cleathitch/controller/Readiness.kt
@@ -3,9 +3,9 @@
 import cleathitch.leader.LeaderTerm
 
 /**
- * Whether requests can be served, here or through the leader. The load balancer takes ever longer to come back to a
- * controller that was not ready, so what passes by itself doesn't count: an election, and an outage of the key-value store
- * that the peers see, too.
+ * Whether this controller can serve requests, itself or through the leader. The load balancer waits longer after each failed
+ * check before it uses a controller again. Transient conditions therefore don't make a controller unready: an election, or an
+ * outage of the key-value store that affects the other controllers too.
  */
 internal class Readiness(
     private val role: ControllerRole,
@@ -14,7 +14,7 @@
     private val leaderLeaseMs: Long,
     private val steadyMs: () -> Long,
 ) {
-    /** The answer to the load balancer. */
+    /** The result of the load balancer's readiness check. */
     fun isReady(): Boolean = role.activeTerm?.let(::isReadyAsLeader) ?: isReadyAsFollower()
 
     private fun isReadyAsLeader(term: LeaderTerm): Boolean {
@@ -24,16 +24,16 @@
     }
 
     private fun isReadyAsFollower(): Boolean {
-        val silentMs = steadyMs() - (role.leaderContactMs ?: return false)
-        // A dead leader's key goes with its lease. While the key stands, the leader lives: it is slow, or a partition hides it.
-        return silentMs < leaderLeaseMs * if (role.leader == null) ELECTION_LEASES else SILENT_LEASES
+        val silentMs = steadyMs() - (role.lastLeaderContactMs ?: return false)
+        // The leader's key expires with its lease. While the key exists, the leader is alive, but slow or cut off by a partition.
+        return silentMs < leaderLeaseMs * if (role.leader == null) ELECTION_LEASES else LEADER_SILENCE_LEASES
     }
 
     private companion object {
-        /** How many leases an election takes: one for the lease's expiry, one for the replay, one for the announcement. */
+        /** The duration of an election in leases: one each for the expiry of the old lease, the log replay, and the announcement. */
         const val ELECTION_LEASES = 3
 
-        /** After so many leases without contact, a leader that lives would have announced itself, however slow its start. */
-        const val SILENT_LEASES = 3
+        /** A live leader announces itself within this many leases, even if it starts slowly. */
+        const val LEADER_SILENCE_LEASES = 3
     }
 }
--- a/src/main/kotlin/cleathitch/controller/RequestRouter.kt
+++ b/src/main/kotlin/cleathitch/controller/RequestRouter.kt
@@ -2,13 +2,13 @@
 
 import cleathitch.http.HttpReply
 
-/** Routes the requests of the load balancer, the workers and the users by their path. */
+/** Routes the requests of the load balancer, workers and users by path. */
 class RequestRouter internal constructor(
     private val readiness: Readiness,
     private val heartbeats: HeartbeatRouter,
     private val userRequests: UserRequestRouter,
 ) {
-    /** Answers one request to the public address. */
+    /** Answers one request received at the public address. */
     suspend fun handle(method: String, path: String, body: ByteArray): HttpReply = when {
         path == READY_PATH -> if (method == "GET") HttpReply(if (readiness.isReady()) 200 else 503) else HttpReply(405)
         path == HEARTBEAT_PATH -> if (method == "POST") heartbeats.handle(body) else HttpReply(405)
--- a/src/main/kotlin/cleathitch/controller/TermCommandRoutes.kt
+++ b/src/main/kotlin/cleathitch/controller/TermCommandRoutes.kt
@@ -11,7 +11,7 @@
 import cleathitch.scheduler.model.Term
 import cleathitch.workers.WorkerClient
 
-/** The routes of one term's commands to workers: through a follower, or directly. */
+/** Sends the commands of one term to workers, through a follower or directly. */
 internal class TermCommandRoutes(
     private val term: Term,
     private val member: String,
@@ -24,11 +24,11 @@
     override fun reachableFollowers() = contacts.reachableFollowers()
     override fun followerOf(machine: MachineId) = contacts.followerOf(machine)
 
-    override suspend fun toFollower(follower: String, commands: List<DeliveryMessage>): Boolean {
+    override suspend fun sendToFollower(follower: String, commands: List<DeliveryMessage>): Boolean {
         val address = peerAddresses[follower] ?: return false
         val request = PeerRequest.DeliverCommands(member, term.revision, commands)
         return client.ask(address, request, timeoutMs).reply?.status == 200
     }
 
-    override suspend fun toWorker(command: Effect.ToWorker) = workers.send(command)
+    override suspend fun sendToWorker(command: Effect.ToWorker) = workers.send(command)
 }
--- a/src/main/kotlin/cleathitch/controller/UserRequest.kt
+++ b/src/main/kotlin/cleathitch/controller/UserRequest.kt
@@ -5,27 +5,27 @@
 import cleathitch.scheduler.model.JobId
 import cleathitch.scheduler.model.JobSpec
 
-/** A user's request as its method, path and body say it. */
+/** A user's request, parsed from its method, path and body. */
 internal sealed interface UserRequest {
-    /** A request that the leader answers. */
+    /** A request that only the leader can answer. */
     sealed interface ForLeader : UserRequest
 
-    /** A job to accept. */
+    /** Submits a job. */
     data class Submit(val spec: JobSpec) : ForLeader
 
-    /** A query of a job's state. */
+    /** Queries a job's state. */
     data class Poll(val job: JobId) : ForLeader
 
-    /** A job to cancel. */
+    /** Cancels a job. */
     data class Cancel(val job: JobId) : ForLeader
 
-    /** The path names a job in a form that no job's name has. */
+    /** The job ID in the path is malformed, so no such job exists. */
     data object UnknownJob : ForLeader
 
-    /** The path is right, and the method isn't one of its methods. */
+    /** The path is valid, but doesn't support the method. */
     data object MethodNotAllowed : UserRequest
 
-    /** No user request has this path. */
+    /** The path is not that of any user request. */
     data object UnknownPath : UserRequest
 
     /** The body can't be parsed. */
@@ -35,10 +35,10 @@
         private const val PATH = "/submissions"
         private const val CANCEL = "abort"
 
-        /** Whether [path] is one of the paths for users, by its beginning. */
+        /** Whether [path] begins like the path of a user request. */
         fun isUserPath(path: String) = path == PATH || path.startsWith("$PATH/")
 
-        /** Reads a request whose path [isUserPath] has recognized. */
+        /** Parses a request for whose path [isUserPath] is true. */
         fun parse(method: String, path: String, body: ByteArray): UserRequest {
             if (path == PATH) return if (method == "POST") parseSubmission(body) else MethodNotAllowed
             val parts = path.removePrefix("$PATH/").split('/')
--- a/src/main/kotlin/cleathitch/controller/UserRequestRouter.kt
+++ b/src/main/kotlin/cleathitch/controller/UserRequestRouter.kt
@@ -11,14 +11,14 @@
 import cleathitch.scheduler.api.UserReply
 import cleathitch.scheduler.model.JobId
 
-/** Answers users' requests: by the active term, or through the leader. Confined to the controller's event loop. */
+/** Answers users' requests: the leader itself, a follower through the leader. Confined to the controller's event loop. */
 internal class UserRequestRouter(
     private val role: ControllerRole,
     private val batches: LeaderBatcher,
     private val client: PeerClient,
     private val peerAddresses: Map<String, Address>,
 ) {
-    /** Answers one request. One that a peer has [forwarded] isn't forwarded again: the peers would pass it round between two terms. */
+    /** Answers one request. One that a peer [forwarded] isn't forwarded again, which could loop while two peers disagree on the leader. */
     suspend fun handle(method: String, path: String, body: ByteArray, forwarded: Boolean): HttpReply =
         when (val request = UserRequest.parse(method, path, body)) {
             UserRequest.MethodNotAllowed -> HttpReply(405)
@@ -42,7 +42,7 @@
         UserRequest.UnknownJob -> UserReply.NotFound
     }
 
-    /** Polls go to the leader in batches. */
+    /** Forwards a poll to the leader, in a batch with others. */
     private suspend fun poll(job: JobId): HttpReply {
         if (role.knownLeader() == null || batches.isLeaderUnreachable) return unreachableLeader()
         return batches.forwardPoll(job).replyOrNull()?.let(UserProtocol::reply) ?: unreachableLeader()
@@ -58,7 +58,7 @@
     private fun unreachableLeader() = UserProtocol.unavailableHere("no way to the leader")
 
     private companion object {
-        /** Users wait 2 s for an answer; the rest of that is for the way to this controller and back. */
+        /** Users wait 2 s for an answer; the remaining 200 ms are for the round trip between the user and this controller. */
         const val FORWARD_TIMEOUT_MS = 1800L
     }
 }
--- a/src/main/kotlin/cleathitch/peers/BatchResult.kt
+++ b/src/main/kotlin/cleathitch/peers/BatchResult.kt
@@ -5,15 +5,15 @@
 
 /** The result of a batch that a follower sent to the leader. */
 sealed interface BatchResult {
-    /** The leader's decisions and answers, in the order of the batch's heartbeats and polls. */
+    /** The leader's decisions about the batch's heartbeats and its answers to the polls, each in the order of the batch. */
     data class Answered(val decisions: List<HeartbeatDecision>, val statuses: List<UserReply>) : BatchResult
 
-    /** The controller that received the batch doesn't lead in the batch's term, or can't decide yet. */
+    /** The receiving controller isn't the leader of the batch's term, or isn't ready yet. */
     data object NotLeading : BatchResult
 
     /** The connection failed. */
     data object Unreachable : BatchResult
 
-    /** A connection was there, but no answer came in time. */
+    /** The connection succeeded, but there was no answer in time. */
     data object TimedOut : BatchResult
 }
--- a/src/main/kotlin/cleathitch/peers/DeliveryMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/DeliveryMessage.kt
@@ -7,7 +7,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
 
-/** Commands for one worker that a follower delivers for the leader; without [commands] it is a probe. [token] is [FencingToken.packed]. */
+/** Commands that a follower delivers to a worker; if [commands] is empty, it probes the worker. [token] is [FencingToken.packed]. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 @CborArray
@@ -19,7 +19,7 @@
     val token: Long,
     val commands: List<WorkerCommandMessage>,
 ) {
-    /** The effect that this message carries. */
+    /** The effect that this message contains. */
     fun toCommand(): Effect.ToWorker = if (commands.isEmpty()) {
         Effect.Probe(machine, address)
     } else {
@@ -27,7 +27,7 @@
     }
 
     companion object {
-        /** The message that delivers the commands of [effect]; the result will carry [id]. */
+        /** The message that delivers the commands of [effect]; the result will have the same [id]. */
         fun of(id: Long, effect: Effect.SendCommands) = DeliveryMessage(
             id,
             effect.machine,
@@ -37,7 +37,7 @@
             effect.commands.map(WorkerCommandMessage::of),
         )
 
-        /** The message that asks a follower to probe a worker; the result will carry [id]. */
+        /** The message that asks a follower to send [probe]; the result will have the same [id]. */
         fun of(id: Long, probe: Effect.Probe) =
             DeliveryMessage(id, probe.machine, probe.address, incarnation = 0, token = 0, commands = emptyList())
     }
--- a/src/main/kotlin/cleathitch/peers/DeliveryResult.kt
+++ b/src/main/kotlin/cleathitch/peers/DeliveryResult.kt
@@ -2,5 +2,5 @@
 
 import cleathitch.scheduler.model.Heartbeat
 
-/** The heartbeat with which a worker answered a command that this controller delivered for the leader of [term]. */
+/** The heartbeat with which a worker answered the delivery [id], which this controller made for the leader of [term]. */
 class DeliveryResult(val term: Long, val id: Long, val heartbeat: Heartbeat)
--- a/src/main/kotlin/cleathitch/peers/DeliveryResultMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/DeliveryResultMessage.kt
@@ -5,7 +5,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
 
-/** The heartbeat with which a worker answered the command [id], from the follower that delivered it to the leader. */
+/** The heartbeat with which a worker answered the delivery [id]; sent to the leader by the follower that made the delivery. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 @CborArray
--- a/src/main/kotlin/cleathitch/peers/FullHeartbeatMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/FullHeartbeatMessage.kt
@@ -7,7 +7,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
 
-/** A worker's whole heartbeat, as followers send it to the leader; [preemptionNoticeS] is in seconds. */
+/** A worker's full heartbeat, as followers send it to the leader; [preemptionNoticeS] is in seconds. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 @CborArray
@@ -23,7 +23,7 @@
     val preemptionNoticeS: Double?,
     val tasks: List<TaskStatusMessage>,
 ) {
-    /** The heartbeat that this message carries. */
+    /** The heartbeat that this message contains. */
     fun toHeartbeat() = Heartbeat(
         machine,
         address,
@@ -38,7 +38,7 @@
     )
 
     companion object {
-        /** The message that carries [heartbeat]. */
+        /** The message that contains [heartbeat]. */
         fun of(heartbeat: Heartbeat) = FullHeartbeatMessage(
             heartbeat.machine,
             heartbeat.address,
--- a/src/main/kotlin/cleathitch/peers/JobStatusMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/JobStatusMessage.kt
@@ -8,12 +8,12 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
 
-/** The leader's answer to one poll of a batch: the job's state, and how many of its tasks are done and running. */
+/** The leader's answer to one poll of a batch: the job's state, and the numbers of its tasks that are done and running. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 @CborArray
 data class JobStatusMessage(val kind: Kind, val done: Int, val running: Int) {
-    /** The serial names are the bytes of the message. */
+    /** The serial names are part of the message format. */
     @Serializable
     enum class Kind {
         @SerialName("q")
@@ -49,7 +49,7 @@
         private val notFound = JobStatusMessage(Kind.NOT_FOUND, 0, 0)
         private val unavailable = JobStatusMessage(Kind.UNAVAILABLE, 0, 0)
 
-        /** The message for a poll's [reply]; a reply that doesn't belong to a poll counts as unavailable. */
+        /** The message for a poll's [reply]; a reply of a kind that no poll has becomes [Kind.UNAVAILABLE]. */
         fun of(reply: UserReply): JobStatusMessage = when (reply) {
             is UserReply.Status -> JobStatusMessage(kindOf(reply.state), reply.done, reply.running)
             UserReply.NotFound -> notFound
--- a/src/main/kotlin/cleathitch/peers/KnownLeader.kt
+++ b/src/main/kotlin/cleathitch/peers/KnownLeader.kt
@@ -1,4 +1,4 @@
 package cleathitch.peers
 
-/** The leader as a follower knows it: its member name, and its term. */
+/** The leader that a follower knows, and its term. */
 data class KnownLeader(val member: String, val term: Long)
--- a/src/main/kotlin/cleathitch/peers/LeaderBatcher.kt
+++ b/src/main/kotlin/cleathitch/peers/LeaderBatcher.kt
@@ -11,11 +11,11 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Forwards to the leader what a follower receives, in batches: workers' heartbeats, users' polls, and the results of commands
- * that the follower delivered to workers. One batch is in flight at a time, and before the next there is a pause of
- * [intervalMs] in which more gathers. Confined to the controller's event loop.
+ * Forwards to the leader, in batches, what this follower receives: workers' heartbeats, users' polls, and the results of commands
+ * that it delivered to workers. Only one batch is in flight at a time. Before each, the batcher waits [intervalMs] to collect more,
+ * unless enough heartbeats for a full batch are waiting. Confined to the controller's event loop.
  *
- * [leader] gives the leader to send to, or null if none is known; [send] sends one batch to it.
+ * [leader] returns the leader to send to, or null if none is known; [send] sends one batch to it.
  */
 class LeaderBatcher(
     private val intervalMs: Long,
@@ -28,14 +28,14 @@
     private val polls = PollQueue(POLL_TIMEOUT_MS)
     private val deliveryResults = ArrayDeque<DeliveryResult>()
     private val wakeUp = Channel<Unit>(Channel.CONFLATED)
-    private var unreachableSinceMs: Long? = null
+    private var lastUnreachableMs: Long? = null
 
-    /** A batch failed to reach the leader within the last [unreachableMs]. */
-    val isLeaderUnreachable get() = unreachableSinceMs?.let { nowMs() - it < unreachableMs } == true
+    /** Whether the last batch failed to reach the leader, less than [unreachableMs] ago. */
+    val isLeaderUnreachable get() = lastUnreachableMs?.let { nowMs() - it < unreachableMs } == true
 
     private val isEmpty get() = heartbeats.isEmpty && polls.isEmpty && deliveryResults.isEmpty()
 
-    /** Waits for the leader's decision about [heartbeat], for a bounded time. */
+    /** Forwards [heartbeat] and waits for the leader's decision, for a bounded time. */
     suspend fun forwardHeartbeat(heartbeat: Heartbeat): ForwardOutcome {
         val outcome = CompletableDeferred<ForwardOutcome>()
         heartbeats.add(heartbeat, nowMs()) { outcome.complete(it) }
@@ -43,7 +43,7 @@
         return outcome.await()
     }
 
-    /** Waits for the leader's answer about [job], for a bounded time. */
+    /** Forwards a poll for [job] and waits for the leader's answer, for a bounded time. */
     suspend fun forwardPoll(job: JobId): PollOutcome {
         val outcome = CompletableDeferred<PollOutcome>()
         polls.add(job, nowMs()) { outcome.complete(it) }
@@ -51,14 +51,14 @@
         return outcome.await()
     }
 
-    /** Queues the result of a command that this controller delivered for the leader. If too many wait, the oldest are dropped. */
+    /** Queues the result of a command that this controller delivered for the leader; drops the oldest one if the queue is full. */
     fun forwardDeliveryResult(result: DeliveryResult) {
         deliveryResults.addLast(result)
         if (deliveryResults.size > MAX_DELIVERY_RESULTS) deliveryResults.removeFirst()
         wakeUp.trySend(Unit)
     }
 
-    /** Sends batches until it is cancelled. */
+    /** Sends batches until cancelled. */
     suspend fun run() {
         while (true) {
             wakeUp.receive()
@@ -74,7 +74,7 @@
         val batch = nextBatch(receiver.term)
         if (batch.isEmpty) return
         val result = sendSafely(receiver, batch, heartbeats.timeLeftMs(batch.heartbeats, nowMs()))
-        unreachableSinceMs = if (result is BatchResult.Unreachable) nowMs() else null
+        lastUnreachableMs = if (result is BatchResult.Unreachable) nowMs() else null
         when (result) {
             is BatchResult.Answered -> complete(batch, result, receiver.term)
             BatchResult.NotLeading, BatchResult.Unreachable, BatchResult.TimedOut -> completeUnanswered(batch)
@@ -84,8 +84,8 @@
     private fun nextBatch(term: Long) =
         OutgoingBatch(heartbeats.nextBatch(term, nowMs()), polls.take(MAX_POLLS_PER_BATCH), takeDeliveryResults(term))
 
-    /** Whatever goes wrong with one batch, its waiting callers are completed, and the next one is sent. */
-    // An exception of any kind would end the sending loop, and with it all forwarding of heartbeats.
+    /** Sends [batch]. An exception is logged and returned as a failure, so that the callers are completed and the loop continues. */
+    // An uncaught exception would end the loop in [run], and no more heartbeats would be forwarded.
     @Suppress("TooGenericExceptionCaught")
     private suspend fun sendSafely(receiver: KnownLeader, batch: OutgoingBatch, timeoutMs: Long): BatchResult = try {
         send(receiver, batch, timeoutMs)
@@ -96,7 +96,7 @@
         BatchResult.NotLeading
     }
 
-    /** Answers of a leader that has been followed by another since are not passed on. */
+    /** Completes [batch] with [answer], or as unanswered if the leader has changed since. */
     private fun complete(batch: OutgoingBatch, answer: BatchResult.Answered, term: Long) {
         val currentTerm = leader()?.term
         heartbeats.completeDecided(batch.heartbeats, answer.decisions, currentTerm, nowMs())
@@ -108,7 +108,7 @@
         polls.completeUnanswered(batch.polls)
     }
 
-    /** Without those of earlier terms: their ids mean nothing to the present leader. */
+    /** Drops the results of earlier terms, whose IDs the current leader doesn't know. */
     private fun takeDeliveryResults(term: Long): List<DeliveryResult> {
         val taken = List(minOf(deliveryResults.size, MAX_DELIVERY_RESULTS_PER_BATCH)) { deliveryResults.removeFirst() }
         return taken.filter { it.term == term }
@@ -123,13 +123,13 @@
     private companion object {
         val log = LoggerFactory.getLogger("cleathitch.peers")
 
-        /** Workers wait 4 s for an answer; the rest of that is for the network between worker and this controller. */
+        /** Workers wait 4 s for an answer; the remaining 1 s is for the network between the worker and this controller. */
         const val HEARTBEAT_TIMEOUT_MS = 3000L
 
-        /** Users wait 2 s for a poll's answer. */
+        /** Users wait 2 s for an answer to a poll; the remaining 200 ms are for the network. */
         const val POLL_TIMEOUT_MS = 1800L
 
-        /** A batch's other limits are those of its heartbeats; polls and results are small. */
+        /** Polls and results are small, so their number is bounded, but not their size; for heartbeats see [HeartbeatQueue]. */
         const val MAX_POLLS_PER_BATCH = 400
         const val MAX_DELIVERY_RESULTS_PER_BATCH = 40
         const val MAX_DELIVERY_RESULTS = 2000
--- a/src/main/kotlin/cleathitch/peers/PeerClient.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerClient.kt
@@ -11,14 +11,14 @@
 import kotlinx.serialization.SerializationException
 import org.slf4j.LoggerFactory
 
-/** Sends requests to other controllers. Every failure is a value. Confined to the event loop of its `vertx`. */
+/** Sends requests to other controllers. Failures are returned, not thrown. Confined to the event loop of its `vertx`. */
 class PeerClient(vertx: Vertx, meters: MeterRegistry) {
     private val client = PooledHttpClient(vertx, "peers", maxConnections = CONNECTIONS, meters, connectTimeoutMs = CONNECT_TIMEOUT_MS)
 
-    /** Sends [request] and waits for the answer, [timeoutMs] at most. */
+    /** Sends [request] and waits for the answer, for at most [timeoutMs]. */
     suspend fun ask(peer: Address, request: PeerRequest, timeoutMs: Long): PeerResult = ask(peer, PeerCodec.encode(request), timeoutMs)
 
-    /** Sends an encoded request, so that one that goes to several peers is encoded once. */
+    /** Sends a request that is already encoded, so that one for several peers is encoded only once. */
     suspend fun ask(peer: Address, encoded: ByteArray, timeoutMs: Long): PeerResult =
         when (val result = client.call(peer, HttpMethod.POST, PATH, encoded, timeoutMs)) {
             is CallResult.Answered -> if (result.status == OK) decode(peer, result) else PeerResult.Unreachable
@@ -36,13 +36,13 @@
     }
 
     companion object {
-        /** The path at which every controller takes requests of its peers. */
+        /** The path at which every controller accepts requests of its peers. */
         const val PATH = "/peer"
 
-        /** In bytes. A batch is far smaller: each of its parts is bounded, or holds one message of at most a body's size. */
+        /** In bytes. Batches are far smaller: each of their parts is bounded, or is a single message of at most [MessageCodec.MAX_BODY]. */
         const val MAX_BODY = 4 * MessageCodec.MAX_BODY
 
-        /** The most to each peer. Each carries one request at a time, and an answer takes a few milliseconds. */
+        /** The maximum per peer. Each connection handles one request at a time, which takes a few milliseconds. */
         const val CONNECTIONS = 16
         private const val CONNECT_TIMEOUT_MS = 500
         private const val OK = 200
--- a/src/main/kotlin/cleathitch/peers/PeerCodec.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerCodec.kt
@@ -6,8 +6,8 @@
 import kotlinx.serialization.cbor.Cbor
 
 /**
- * The CBOR form of messages between controllers. Decoding ignores unknown fields, and throws [SerializationException] for a
- * malformed message.
+ * Encodes and decodes the messages between controllers as CBOR. Decoding ignores unknown fields, and throws
+ * [SerializationException] for a malformed message.
  */
 @OptIn(ExperimentalSerializationApi::class)
 object PeerCodec {
@@ -16,25 +16,25 @@
         alwaysUseByteString = true
     }
 
-    /** The bytes of [request]. */
+    /** Encodes [request]. */
     fun encode(request: PeerRequest): ByteArray = cbor.encodeToByteArray(PeerRequest.serializer(), request)
 
-    /** The request in [bytes]. */
+    /** Decodes a request. */
     fun decodeRequest(bytes: ByteArray): PeerRequest = decode(bytes, PeerRequest.serializer())
 
-    /** The bytes of [reply]. */
+    /** Encodes [reply]. */
     fun encode(reply: PeerReply): ByteArray = cbor.encodeToByteArray(PeerReply.serializer(), reply)
 
-    /** The reply in [bytes]. */
+    /** Decodes a reply. */
     fun decodeReply(bytes: ByteArray): PeerReply = decode(bytes, PeerReply.serializer())
 
-    // For some malformed messages the library throws exceptions of other kinds, as for an index out of range.
+    // For some malformed messages the library throws other exceptions, such as IndexOutOfBoundsException.
     @Suppress("TooGenericExceptionCaught")
     private fun <T> decode(bytes: ByteArray, deserializer: DeserializationStrategy<T>): T = try {
         cbor.decodeFromByteArray(deserializer, bytes)
     } catch (e: SerializationException) {
         throw e
     } catch (e: RuntimeException) {
-        throw SerializationException("the message is malformed", e)
+        throw SerializationException("malformed peer message of ${bytes.size} bytes", e)
     }
 }
--- a/src/main/kotlin/cleathitch/peers/PeerReply.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerReply.kt
@@ -3,8 +3,8 @@
 import kotlinx.serialization.Serializable
 
 /**
- * A controller's answer to a [PeerRequest]. [status] is that of HTTP; [body] and [retryAfterS] answer a forwarded user request.
- * [leader] and [term] are the leader that the answering controller knows. Property names are the bytes of the message.
+ * A controller's answer to a [PeerRequest]. [status] is an HTTP status code; [body] and [retryAfterS] answer a forwarded user
+ * request. [leader] and [term] are those that the answering controller knows. Property names are part of the message format.
  */
 @Serializable
 @Suppress("ArrayInDataClass") // never compared
--- a/src/main/kotlin/cleathitch/peers/PeerRequest.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerRequest.kt
@@ -9,12 +9,12 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
 
-/** A request of one controller to another. Serial names are the bytes of the message, and never change. */
+/** A request of one controller to another. Serial names are part of the message format, and never change. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 @Suppress("ArrayInDataClass") // never compared
 sealed interface PeerRequest {
-    /** The leader and the term that the sender [from] knows; also shows that the sender is running. */
+    /** Announces the leader and the term that the sender [from] knows; also shows that the sender is running. */
     @Serializable
     @SerialName("leads")
     data class AnnounceLeader(val from: String, val leader: String?, val term: Long) : PeerRequest
@@ -24,7 +24,7 @@
     @SerialName("user")
     data class ForwardUserRequest(val method: String, val path: String, val body: ByteArray) : PeerRequest
 
-    /** Which machines have which images in their caches; machines refer to [images] and [sizesGb] by index. */
+    /** The images that each machine has in its cache, as indexes into [images] and [sizesGb]. */
     @Serializable
     @SerialName("images")
     data class ImageCacheHints(
@@ -38,17 +38,17 @@
         @CborArray
         data class MachineCache(val machine: MachineId, val incarnation: Long, val images: List<Int>)
 
-        /** The caches by machine, without images whose index is out of range. */
+        /** The caches by machine; images whose index is out of range are left out. */
         fun toImageCaches(): Map<MachineId, ImageCache> = caches.associate { it.machine to ImageCache(it.incarnation, sizesOf(it.images)) }
 
         private fun sizesOf(indexes: List<Int>): Map<String, Double> =
             indexes.filter { it in images.indices && it in sizesGb.indices }.associate { images[it] to sizesGb[it] }
 
         companion object {
-            /** Keeps a message well below [PeerClient.MAX_BODY], and its encoding short on the event loop. */
+            /** Keeps a message well below [PeerClient.MAX_BODY], and limits how long its encoding blocks the event loop. */
             private const val MACHINES_PER_MESSAGE = 200
 
-            /** The messages that together carry [caches]. */
+            /** The messages that together contain [caches]. */
             fun of(caches: Map<MachineId, ImageCache>): List<ImageCacheHints> {
                 val sizes = LinkedHashMap<String, Double>()
                 caches.values.forEach { sizes.putAll(it.sizesGb) }
@@ -59,7 +59,7 @@
         }
     }
 
-    /** What the follower [from] forwards for the leader of [term] to decide: heartbeats, polls, and results of deliveries. */
+    /** Heartbeats, polls and delivery results that the follower [from] forwards to the leader of [term]. */
     @Serializable
     @SerialName("batch")
     data class FollowerBatch(
@@ -78,7 +78,7 @@
             fullHeartbeats.map { ForwardedHeartbeat.Full(it.toHeartbeat()) } + unchangedHeartbeats.map { it.toHeartbeat() }
 
         companion object {
-            /** The batch holds the full heartbeats first, so the leader's decisions come in the order of the batch. */
+            /** The message for [batch]. Full heartbeats come first in both, so the leader's decisions are in the order of the batch. */
             fun of(from: String, batch: OutgoingBatch): FollowerBatch {
                 val heartbeats = batch.heartbeats.heartbeats
                 return FollowerBatch(
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Commands of the leader of [term], which the follower delivers to workers; their results come in its batches. */
+    /** Commands of the leader of [term] that a follower is to deliver to workers; it returns the results in its batches. */
     @Serializable
     @SerialName("deliver")
     data class DeliverCommands(val from: String, val term: Long, val commands: List<DeliveryMessage>) : PeerRequest
--- a/src/main/kotlin/cleathitch/peers/PeerResult.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerResult.kt
@@ -2,15 +2,15 @@
 
 /** The result of a request to another controller. */
 sealed interface PeerResult {
-    /** The controller's answer, whatever its status. */
+    /** The controller's answer, with any status. */
     class Answered(val reply: PeerReply) : PeerResult
 
-    /** The connection failed, or the answer isn't one of a controller. The controller may have handled the request. */
+    /** The connection failed, or the answer isn't a valid peer reply. The controller may have handled the request. */
     data object Unreachable : PeerResult
 
-    /** A connection was there, but no answer came in time. The controller may have handled the request. */
+    /** The connection succeeded, but there was no answer in time. The controller may have handled the request. */
     data object TimedOut : PeerResult
 }
 
-/** The answer, if there is one. */
+/** The reply; null if there was none. */
 val PeerResult.reply get() = (this as? PeerResult.Answered)?.reply
--- a/src/main/kotlin/cleathitch/peers/PollOutcome.kt
+++ b/src/main/kotlin/cleathitch/peers/PollOutcome.kt
@@ -2,27 +2,27 @@
 
 import cleathitch.scheduler.api.UserReply
 
-/** What a follower learned from the leader about one poll. */
+/** The outcome of a poll that a follower forwarded to the leader. */
 sealed interface PollOutcome {
-    /** The leader's reply, in time. */
+    /** The leader's reply, received in time. */
     data class Answered(val reply: UserReply) : PollOutcome
 
-    /** There is no answer that may be passed on. */
+    /** There is no answer, or none that may be returned to the user. */
     data class Unanswered(val reason: Reason) : PollOutcome
 
-    /** Why there is no answer. */
+    /** Why a poll is unanswered. */
     enum class Reason {
         /** No leader is known. */
         NO_LEADER,
 
-        /** The leader gave no usable answer to the poll's batch. */
+        /** The poll's batch failed, or the leader's answer to it was unusable. */
         NO_ANSWER,
 
-        /** The answer came after the user gave up. */
+        /** The answer arrived after the poll had timed out. */
         TOO_LATE,
     }
 
-    /** The reply, for callers that handle every failure alike. */
+    /** The reply; null whatever the reason for its absence. */
     fun replyOrNull(): UserReply? = when (this) {
         is Answered -> reply
         is Unanswered -> null
--- a/src/main/kotlin/cleathitch/peers/PollQueue.kt
+++ b/src/main/kotlin/cleathitch/peers/PollQueue.kt
@@ -4,8 +4,8 @@
 import cleathitch.scheduler.model.JobId
 
 /**
- * The polls of users that a follower has received and that wait for the leader's answer. Polls for the same job that wait
- * together share an answer. The queue has no clock and does no I/O; it is confined to the event loop of its [LeaderBatcher].
+ * Users' polls that a follower has received and that are to be answered by the leader. Polls for the same job that wait at the
+ * same time share an answer. The queue has no clock and does no I/O. Confined to the event loop of its [LeaderBatcher].
  */
 class PollQueue(private val answerTimeoutMs: Long) {
     private class PendingPoll(val arrivedMs: Long, val complete: (PollOutcome) -> Unit)
@@ -13,27 +13,27 @@
     private val waiting = LinkedHashMap<JobId, MutableList<PendingPoll>>()
 
     /**
-     * Polls that are on their way to the leader. A poll that arrives meanwhile waits for the next answer: the present one may
-     * be older than what its user has learned since.
+     * Polls that have been sent to the leader. A poll for the same job that arrives later isn't added to these: their answer may
+     * be older than a state that its user has already seen.
      */
     private val inFlight = HashMap<JobId, List<PendingPoll>>()
 
-    /** No poll waits to be sent; some may be in flight. */
+    /** Whether no poll is waiting to be sent; some may be in flight. */
     val isEmpty get() = waiting.isEmpty()
 
-    /** Adds a poll; [complete] is called once, with its outcome. */
+    /** Queues a poll; [complete] is called exactly once, with the outcome. */
     fun add(job: JobId, nowMs: Long, complete: (PollOutcome) -> Unit) {
         waiting.getOrPut(job) { ArrayList() } += PendingPoll(nowMs, complete)
     }
 
-    /** Moves the oldest waiting polls to those in flight, and returns their jobs, [limit] at most. */
+    /** Marks the polls of the jobs that have waited longest, at most [limit] jobs, as in flight, and returns these jobs. */
     fun take(limit: Int): List<JobId> {
         val jobs = waiting.keys.take(limit)
         jobs.forEach { inFlight[it] = waiting.remove(it).orEmpty() }
         return jobs
     }
 
-    /** Completes the polls of [jobs] with the leader's answers, in the same order. With another number of answers, none counts. */
+    /** Completes the polls of [jobs] with the leader's answers, in the same order; as unanswered if the numbers differ. */
     fun completeAnswered(jobs: List<JobId>, statuses: List<UserReply>, nowMs: Long) {
         if (statuses.size != jobs.size) return completeUnanswered(jobs)
         for ((job, status) in jobs.zip(statuses)) {
@@ -46,10 +46,10 @@
         return if (isInTime) PollOutcome.Answered(status) else PollOutcome.Unanswered(PollOutcome.Reason.TOO_LATE)
     }
 
-    /** Completes the polls of [jobs], which are in flight, without an answer. */
+    /** Completes the polls in flight for [jobs] as unanswered. */
     fun completeUnanswered(jobs: List<JobId>) = complete(jobs, PollOutcome.Reason.NO_ANSWER)
 
-    /** Completes every waiting poll without an answer, since there is no leader to ask. */
+    /** Completes all waiting polls as unanswered, because no leader is known. */
     fun completeAllWithoutLeader() = complete(take(waiting.size), PollOutcome.Reason.NO_LEADER)
 
     private fun complete(jobs: List<JobId>, reason: PollOutcome.Reason) {
--- a/src/main/kotlin/cleathitch/peers/TaskStatusMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/TaskStatusMessage.kt
@@ -22,11 +22,11 @@
     val exitReason: ExitReason?,
     val saved: Boolean,
 ) {
-    /** The status that this message carries. */
+    /** The status that this message contains. */
     fun toTaskStatus() = TaskStatus(AttemptId(TaskId(job, index), attempt), state, exitReason, saved)
 
     companion object {
-        /** The message that carries the status of [task]. */
+        /** The message that contains the status of [task]. */
         fun of(task: TaskStatus) = TaskStatusMessage(
             task.attempt.task.job,
             task.attempt.task.index,
--- a/src/main/kotlin/cleathitch/peers/UnchangedHeartbeatMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/UnchangedHeartbeatMessage.kt
@@ -7,7 +7,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
 
-/** A heartbeat that repeats an acknowledged one; see [ForwardedHeartbeat.Unchanged]. */
+/** A heartbeat with the same content as an acknowledged one; see [ForwardedHeartbeat.Unchanged]. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 @CborArray
@@ -19,12 +19,12 @@
     val preemptionNoticeS: Double?,
     val baseSequenceNumber: Long,
 ) {
-    /** The heartbeat that this message carries. */
+    /** The heartbeat that this message contains. */
     fun toHeartbeat() =
         ForwardedHeartbeat.Unchanged(machine, incarnation, sequenceNumber, FencingToken(token), preemptionNoticeS, baseSequenceNumber)
 
     companion object {
-        /** The message that carries [heartbeat]. */
+        /** The message that contains [heartbeat]. */
         fun of(heartbeat: ForwardedHeartbeat.Unchanged) = UnchangedHeartbeatMessage(
             heartbeat.machine,
             heartbeat.incarnation,
--- a/src/main/kotlin/cleathitch/peers/WorkerCommandMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/WorkerCommandMessage.kt
@@ -10,14 +10,14 @@
 import kotlinx.serialization.cbor.CborArray
 
 /**
- * One command to a worker, in a decision about its heartbeat or in a delivery. [graceS], in seconds, has a meaning in
- * [Kind.STOP] alone.
+ * One command to a worker, in a decision about its heartbeat or in a delivery. [graceS] is in seconds and only used with
+ * [Kind.STOP].
  */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 @CborArray
 data class WorkerCommandMessage(val kind: Kind, val job: JobId, val index: Int, val attempt: Long, val graceS: Double) {
-    /** The serial names are the bytes of the message. */
+    /** The serial names are part of the message format. */
     @Serializable
     enum class Kind {
         @SerialName("start")
@@ -30,7 +30,7 @@
         FORGET,
     }
 
-    /** The command that this message carries. */
+    /** The command that this message contains. */
     fun toWorkerCommand(): WorkerCommand {
         val id = AttemptId(TaskId(job, index), attempt)
         return when (kind) {
@@ -41,7 +41,7 @@
     }
 
     companion object {
-        /** The message that carries [command]. */
+        /** The message that contains [command]. */
         fun of(command: WorkerCommand): WorkerCommandMessage {
             val kind = when (command) {
                 is WorkerCommand.Start -> Kind.START
--- a/src/main/kotlin/cleathitch/peers/WorkerCommandRoutes.kt
+++ b/src/main/kotlin/cleathitch/peers/WorkerCommandRoutes.kt
@@ -5,17 +5,17 @@
 import cleathitch.scheduler.model.Heartbeat
 import cleathitch.scheduler.model.MachineId
 
-/** The routes on which the leader's commands can reach workers. */
+/** The routes by which the leader's commands can reach workers: its followers, and a direct connection. */
 interface WorkerCommandRoutes {
-    /** Followers from which the leader has had a sign of life lately. */
+    /** The followers with which the leader had contact recently. */
     fun reachableFollowers(): List<String>
 
-    /** The follower that forwards the machine's heartbeats; null if none does. */
+    /** The follower that forwards the machine's heartbeats; null if none is known. */
     fun followerOf(machine: MachineId): String?
 
-    /** Hands [commands] to [follower]; true if it has taken them and will deliver them. */
-    suspend fun toFollower(follower: String, commands: List<DeliveryMessage>): Boolean
+    /** Sends [commands] to [follower]; true if it accepted them for delivery. */
+    suspend fun sendToFollower(follower: String, commands: List<DeliveryMessage>): Boolean
 
-    /** Calls the worker directly; the result is the heartbeat with which it answers. */
-    suspend fun toWorker(command: Effect.ToWorker): ServiceResult<Heartbeat>
+    /** Sends [command] to the worker directly; the result is the heartbeat with which it answers. */
+    suspend fun sendToWorker(command: Effect.ToWorker): ServiceResult<Heartbeat>
 }
--- a/src/main/kotlin/cleathitch/workers/HeartbeatQueue.kt
+++ b/src/main/kotlin/cleathitch/workers/HeartbeatQueue.kt
@@ -6,47 +6,48 @@
 import cleathitch.scheduler.model.MachineId
 
 /**
- * The heartbeats that a follower has received and that wait for the leader's decision.
+ * The heartbeats that a follower has received and that are to be decided by the leader.
  *
- * At most one heartbeat of each machine waits: a worker has one in flight, so the sender of an older one has given up. A
- * heartbeat that repeats what the leader acknowledged in its present term is forwarded as [ForwardedHeartbeat.Unchanged]. The
- * queue has no clock and does no I/O, and it decides nothing about a worker's lease. Confined to the event loop of its owner.
+ * At most one heartbeat per machine is queued: a worker has only one request in flight, so an older one has timed out at the
+ * worker. A heartbeat with the same content as one that the leader acknowledged in its current term is forwarded as
+ * [ForwardedHeartbeat.Unchanged]. The queue has no clock, does no I/O, and never renews a worker's lease on its own. Confined to
+ * the event loop of its owner.
  */
 class HeartbeatQueue(private val answerTimeoutMs: Long) {
     internal class PendingHeartbeat(val heartbeat: Heartbeat, val arrivedMs: Long, val complete: (ForwardOutcome) -> Unit)
 
-    /** Heartbeats on their way to the leader of [term], the full ones before the unchanged ones. */
+    /** Heartbeats to send to the leader of [term] in one request, full ones before unchanged ones. */
     class Batch internal constructor(
         val term: Long,
         val heartbeats: List<ForwardedHeartbeat>,
         internal val entries: List<PendingHeartbeat>,
     ) {
-        internal val oldestMs get() = entries.minOfOrNull { it.arrivedMs }
+        internal val oldestArrivalMs get() = entries.minOfOrNull { it.arrivedMs }
         val isEmpty get() = entries.isEmpty()
     }
 
     private val waiting = LinkedHashMap<MachineId, PendingHeartbeat>()
     private var term = 0L
 
-    /** The last heartbeat of each machine that the leader of [term] answered through this controller. */
+    /** For each machine, the last heartbeat that this controller forwarded and the leader of [term] answered. */
     private val acknowledged = HashMap<MachineId, Heartbeat>()
 
-    /** No heartbeat waits to be sent. */
+    /** Whether no heartbeat is waiting to be sent. */
     val isEmpty get() = waiting.isEmpty()
 
-    /** A whole batch waits, so the next one need not wait for more. */
+    /** Whether enough heartbeats are waiting for a full batch, which can be sent without waiting for more. */
     val isFull get() = waiting.size >= MAX_HEARTBEATS_PER_BATCH
 
-    /** Adds a heartbeat; [complete] is called once, with the outcome. */
+    /** Queues a heartbeat; [complete] is called exactly once, with the outcome. */
     fun add(heartbeat: Heartbeat, nowMs: Long, complete: (ForwardOutcome) -> Unit) {
         val replaced = waiting.put(heartbeat.machine, PendingHeartbeat(heartbeat, nowMs, complete))
         replaced?.complete?.invoke(ForwardOutcome.Unanswered)
     }
 
-    /** The next batch for the leader of [leaderTerm], empty if nothing waits. */
+    /** Removes and returns the next batch for the leader of [leaderTerm]; empty if no heartbeat is waiting. */
     fun nextBatch(leaderTerm: Long, nowMs: Long): Batch {
         dropExpired(nowMs)
-        forgetAcknowledged(leaderTerm)
+        evictAcknowledged(leaderTerm)
         val chosen = takeForBatch()
         val fullFirst = chosen.sortedBy { it.forwarded is ForwardedHeartbeat.Unchanged }
         return Batch(leaderTerm, fullFirst.map { it.forwarded }, fullFirst.map { it.entry })
@@ -54,12 +55,12 @@
 
     private class BatchEntry(val forwarded: ForwardedHeartbeat, val entry: PendingHeartbeat)
 
-    /** Removes the oldest waiting heartbeats, as many as fit into a batch, and at least one if any waits. */
+    /** Removes the oldest waiting heartbeats: as many as fit into a batch, but at least one if any is waiting. */
     private fun takeForBatch(): List<BatchEntry> {
         val chosen = ArrayList<BatchEntry>()
         var bytes = 0
         for (entry in waiting.values) {
-            val forwarded = forwarded(entry.heartbeat)
+            val forwarded = toForwarded(entry.heartbeat)
             bytes += estimatedBytes(forwarded)
             val isFull = chosen.size == MAX_HEARTBEATS_PER_BATCH || bytes > MAX_BATCH_BYTES
             if (isFull && chosen.isNotEmpty()) break
@@ -69,21 +70,21 @@
         return chosen
     }
 
-    private fun forgetAcknowledged(leaderTerm: Long) {
+    private fun evictAcknowledged(leaderTerm: Long) {
         if (leaderTerm != term) {
-            // Another leader has received no heartbeat of these machines from us, and may have received none at all.
+            // A new leader hasn't received these heartbeats from this controller, and perhaps from no other either.
             acknowledged.clear()
             term = leaderTerm
         }
         if (acknowledged.size > MAX_ACKNOWLEDGED) acknowledged.clear()
     }
 
-    /** Milliseconds until the leader's decisions about [batch] come too late for its oldest heartbeat. */
-    fun timeLeftMs(batch: Batch, nowMs: Long) = (batch.oldestMs ?: nowMs) + answerTimeoutMs - nowMs
+    /** Milliseconds until the oldest heartbeat of [batch] times out. */
+    fun timeLeftMs(batch: Batch, nowMs: Long) = (batch.oldestArrivalMs ?: nowMs) + answerTimeoutMs - nowMs
 
     /**
-     * Completes [batch] with the leader's [decisions], in the same order. They count only if [currentTerm], that of the leader
-     * known by now, is still the batch's: a later leader may have decided otherwise.
+     * Completes [batch] with the leader's [decisions], in the same order. The decisions are discarded if the known leader's
+     * [currentTerm] is no longer the batch's term, since a newer leader may have decided differently.
      */
     fun completeDecided(batch: Batch, decisions: List<HeartbeatDecision>, currentTerm: Long?, nowMs: Long) {
         if (currentTerm != batch.term || decisions.size != batch.entries.size) return completeUnanswered(batch)
@@ -104,17 +105,17 @@
 
     private fun requeueAsFull(entry: PendingHeartbeat) {
         acknowledged.remove(entry.heartbeat.machine)
-        // A newer heartbeat of the machine may have come meanwhile; then the sender of this one has given up.
+        // If a newer heartbeat of the machine has arrived meanwhile, this one has timed out at the worker.
         val newer = waiting.putIfAbsent(entry.heartbeat.machine, entry)
         if (newer != null) entry.complete(ForwardOutcome.Unanswered)
     }
 
-    /** Completes [batch] without decisions: none came, or none that may be used. */
+    /** Completes [batch] as unanswered: there were no decisions, or they had to be discarded. */
     fun completeUnanswered(batch: Batch) {
         batch.entries.forEach { it.complete(ForwardOutcome.Unanswered) }
     }
 
-    /** Completes every waiting heartbeat without a decision, since there is no leader to forward it to. */
+    /** Completes all waiting heartbeats as unanswered, because no leader is known. */
     fun completeAllUnanswered() {
         val unanswered = waiting.values.toList()
         waiting.clear()
@@ -127,9 +128,9 @@
         expired.forEach { it.complete(ForwardOutcome.Unanswered) }
     }
 
-    private fun forwarded(heartbeat: Heartbeat): ForwardedHeartbeat {
+    private fun toForwarded(heartbeat: Heartbeat): ForwardedHeartbeat {
         val base = acknowledged[heartbeat.machine]
-        if (base == null || !repeats(heartbeat, base)) return ForwardedHeartbeat.Full(heartbeat)
+        if (base == null || !isUnchanged(heartbeat, base)) return ForwardedHeartbeat.Full(heartbeat)
         return ForwardedHeartbeat.Unchanged(
             heartbeat.machine,
             heartbeat.incarnation,
@@ -140,7 +141,7 @@
         )
     }
 
-    private fun repeats(heartbeat: Heartbeat, base: Heartbeat) =
+    private fun isUnchanged(heartbeat: Heartbeat, base: Heartbeat) =
         heartbeat.copy(sequenceNumber = base.sequenceNumber, token = base.token, preemptionNoticeS = base.preemptionNoticeS) == base
 
     private fun estimatedBytes(forwarded: ForwardedHeartbeat): Int = when (forwarded) {
@@ -153,13 +154,13 @@
     }
 
     companion object {
-        /** With [MAX_BATCH_BYTES] as a second bound, for batches of large heartbeats. */
+        /** Batches of large heartbeats are further limited by [MAX_BATCH_BYTES]. */
         const val MAX_HEARTBEATS_PER_BATCH = 400
 
-        /** Half of a body, since sizes are estimates. A larger heartbeat is a batch of its own, which fits into a peer's body. */
+        /** Half the maximum body size, because sizes are estimates. A larger heartbeat is sent alone, and fits into a peer request. */
         private const val MAX_BATCH_BYTES = 32 * 1024
 
-        /** Bounds the entries of terminated machines. Clearing all at once costs each present machine one full heartbeat. */
+        /** Bounds the entries of terminated machines. Clearing the map costs one full heartbeat per existing machine. */
         private const val MAX_ACKNOWLEDGED = 10_000
 
         private const val UNCHANGED_HEARTBEAT_BYTES = 48
--- a/src/main/kotlin/cleathitch/workers/WorkerClient.kt
+++ b/src/main/kotlin/cleathitch/workers/WorkerClient.kt
@@ -18,12 +18,12 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Sends commands to workers where waiting for the next heartbeat would cost time, and probes machines whose heartbeats are
- * overdue. Confined to the event loop of its `vertx`.
+ * Sends commands to workers without waiting for their next heartbeat, and probes machines whose heartbeats are overdue.
+ * Confined to the event loop of its `vertx`.
  *
- * Connections aren't kept alive, and at most [maxConcurrentCalls] are open: with a connection to each machine of a large fleet,
- * beside the one on which each machine sends its heartbeats, the process runs out of sockets, and can't renew its lease. A
- * command that waits too long for its turn is in the answer to the machine's next heartbeat anyway.
+ * Connections aren't kept alive, and at most [maxConcurrentCalls] are open at once. In a large fleet, one open connection per
+ * machine, in addition to the one on which it sends its heartbeats, would exhaust the sockets of the process, which then couldn't
+ * renew its lease. A command that is delayed by this limit is also part of the answer to the machine's next heartbeat.
  */
 class WorkerClient(
     vertx: Vertx,
@@ -35,7 +35,7 @@
     private val client = PooledHttpClient(vertx, "workers", maxConnections = 2, meters, keepAlive = false, logsOutages = false)
     private val permits = Semaphore(maxConcurrentCalls)
 
-    /** Sends [command]; the result is the heartbeat with which the worker answers, whether it carried the command out or not. */
+    /** Sends [command]; the result is the worker's heartbeat, which it returns whether or not it executed the command. */
     suspend fun send(command: Effect.ToWorker): ServiceResult<Heartbeat> {
         val text = addressOf(command)
         val address = Address.parse(text) ?: return ServiceResult.Failure(ServiceError.InvalidAddress(text))
@@ -54,7 +54,7 @@
 
     private suspend fun sendCommands(address: Address, command: Effect.SendCommands): ServiceResult<Heartbeat> {
         val body = WorkerProtocol.directCommands(command.token, command.incarnation, command.commands)
-        // A worker that rejects the token or the incarnation answers with its heartbeat too.
+        // A worker that rejects the token or the incarnation also answers with its heartbeat, with status 409.
         return call(address, HttpMethod.POST, "/do", body, commandTimeoutMs).decodeAnswer(OK, CONFLICT, decode = WorkerProtocol::heartbeat)
     }
 
--- a/src/test/kotlin/cleathitch/controller/ControllerRoleTest.kt
+++ b/src/test/kotlin/cleathitch/controller/ControllerRoleTest.kt
@@ -11,18 +11,18 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A controller that follows: whom it follows, and whether it is ready. */
+/** A follower's known leader, and its readiness. */
 class ControllerRoleTest {
     private val leaderLeaseMs = 1000L
     private var nowMs = 5000L
     private val role = ControllerRole("n0", { nowMs }, CoroutineScope(Dispatchers.Unconfined), SimpleMeterRegistry()) { _, _ ->
-        throw AssertionError("a follower has no term")
+        throw AssertionError("a term was created on a follower")
     }
     private val contacts = FollowerContacts({ nowMs }, leaderLeaseMs)
     private val readiness = Readiness(role, contacts, peerCount = 2, leaderLeaseMs, { nowMs })
 
     @Test
-    fun `the holder of the leader's key is followed, and its term known`() {
+    fun `the holder of the leader key is the known leader`() {
         assertEquals(null, role.knownLeader())
         role.onLeaderObserved("n1", 7)
         assertEquals(KnownLeader("n1", 7), role.knownLeader())
@@ -32,7 +32,7 @@
     }
 
     @Test
-    fun `an announcement of a newer term changes the leader, one of an older term doesn't`() {
+    fun `an announcement of a newer term changes the known leader, one of an older term doesn't`() {
         role.onLeaderAnnouncement("n1", 7)
         role.onLeaderAnnouncement("n2", 8)
         role.onLeaderAnnouncement("n1", 7)
@@ -40,19 +40,19 @@
     }
 
     @Test
-    fun `a controller doesn't forward to itself after it has led`() {
+    fun `a controller is never its own known leader`() {
         role.onLeaderObserved("n0", 7)
         assertEquals(null, role.knownLeader())
     }
 
     @Test
-    fun `the wait for a leader ends with the first holder of the key`() = runBlocking {
+    fun `awaitLeader returns when the first holder of the leader key is observed`() = runBlocking {
         role.onLeaderObserved("n1", 7)
         withTimeout(10_000) { role.awaitLeader(timeoutMs = Long.MAX_VALUE) }
     }
 
     @Test
-    fun `a follower is ready until its leader has been silent for three leases`() {
+    fun `a follower is ready until it has had no contact with the leader for three leases`() {
         assertFalse(readiness.isReady())
         role.onLeaderAnnouncement("n1", 7)
         nowMs += 3 * leaderLeaseMs - 1
@@ -64,7 +64,7 @@
     }
 
     @Test
-    fun `a new holder of the key counts as alive, the same holder seen again doesn't`() {
+    fun `a new holder of the leader key counts as leader contact, the same holder observed again doesn't`() {
         role.onLeaderObserved("n1", 7)
         nowMs += 3 * leaderLeaseMs
         role.onLeaderObserved("n1", 7)
--- a/src/test/kotlin/cleathitch/controller/FollowerContactsTest.kt
+++ b/src/test/kotlin/cleathitch/controller/FollowerContactsTest.kt
@@ -11,7 +11,7 @@
     private val contacts = FollowerContacts(steadyMs = { nowMs }, reachableMs = 100)
 
     @Test
-    fun `a follower is reachable for a while after its last contact`() {
+    fun `a follower is reachable for reachableMs after its last contact`() {
         contacts.recordContact("n1")
         nowMs += 99
         contacts.recordContact("n2")
@@ -21,16 +21,16 @@
     }
 
     @Test
-    fun `a contact is recent within the given time, and a follower never met has none`() {
+    fun `a contact counts within the given time, and an unknown follower had none`() {
         contacts.recordContact("n1")
         nowMs += 10
-        assertTrue(contacts.isRecent("n1", withinMs = 11))
-        assertFalse(contacts.isRecent("n1", withinMs = 10))
-        assertFalse(contacts.isRecent("n2", withinMs = Long.MAX_VALUE))
+        assertTrue(contacts.hadContact("n1", withinMs = 11))
+        assertFalse(contacts.hadContact("n1", withinMs = 10))
+        assertFalse(contacts.hadContact("n2", withinMs = Long.MAX_VALUE))
     }
 
     @Test
-    fun `a machine's follower is the one of its last heartbeat`() {
+    fun `a machine's follower is the one that forwarded its last heartbeat`() {
         val machine = MachineId("vm-000001")
         assertEquals(null, contacts.followerOf(machine))
         contacts.recordHeartbeats("n1", listOf(machine))
--- a/src/test/kotlin/cleathitch/controller/UserRequestTest.kt
+++ b/src/test/kotlin/cleathitch/controller/UserRequestTest.kt
@@ -13,7 +13,7 @@
     private fun parse(method: String, path: String) = UserRequest.parse(method, path, MessageCodec.encode(MessageCodec.newMap()))
 
     @Test
-    fun `method and path say what is asked of the leader`() {
+    fun `requests for the leader are parsed from method and path`() {
         assertEquals(UserRequest.Poll(job), parse("GET", "/submissions/j-000412"))
         assertEquals(UserRequest.Cancel(job), parse("POST", "/submissions/j-000412/abort"))
         assertEquals(UserRequest.UnknownJob, parse("GET", "/submissions/412"))
@@ -21,13 +21,13 @@
     }
 
     @Test
-    fun `a submission that can't be parsed says why`() {
+    fun `a malformed submission gives the reason`() {
         val request = parse("POST", "/submissions")
         assertTrue(request is UserRequest.Malformed && "nameId" in request.reason) { "$request" }
     }
 
     @Test
-    fun `a wrong method of a right path is distinguished from a wrong path`() {
+    fun `an unsupported method on a valid path is distinguished from an unknown path`() {
         for (path in listOf("/submissions", "/submissions/j-000412", "/submissions/j-000412/", "/submissions/j-000412/abort")) {
             assertEquals(UserRequest.MethodNotAllowed, parse("PUT", path), path)
         }
@@ -36,7 +36,7 @@
     }
 
     @Test
-    fun `paths for users are those of submissions`() {
+    fun `only paths of submissions are user paths`() {
         assertTrue(UserRequest.isUserPath("/submissions") && UserRequest.isUserPath("/submissions/j-000412"))
         assertFalse(UserRequest.isUserPath("/submissionsx") || UserRequest.isUserPath("/ready"))
     }
--- a/src/test/kotlin/cleathitch/peers/LeaderBatcherTest.kt
+++ b/src/test/kotlin/cleathitch/peers/LeaderBatcherTest.kt
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Every caller that waits for a follower's batch gets an outcome, whatever becomes of the batch. */
+/** Every caller that waits for a batch gets an outcome, even if the batch fails. */
 class LeaderBatcherTest {
     private val job = JobId("j-000001")
     private val done = UserReply.Status(job, JobState.DONE, 1, 0)
@@ -31,14 +31,14 @@
 
     private fun answered(batch: OutgoingBatch) = BatchResult.Answered(emptyList(), batch.polls.map { done })
 
-    private fun whileRunning(test: suspend () -> Unit) = runBlocking {
+    private fun withRunningBatcher(test: suspend () -> Unit) = runBlocking {
         val running = launch { batcher.run() }
-        withTimeout(PATIENCE_MS) { test() }
+        withTimeout(TIMEOUT_MS) { test() }
         running.cancelAndJoin()
     }
 
     @Test
-    fun `a batch that fails is unanswered, and the next one is sent`() = whileRunning {
+    fun `callers of a failed batch are unanswered, and the next batch is sent`() = withRunningBatcher {
         send = { throw IllegalArgumentException("malformed") }
         coroutineScope {
             val status = async { batcher.forwardPoll(job) }
@@ -51,17 +51,17 @@
     }
 
     @Test
-    fun `without a leader everything that waits is refused at once`() = whileRunning {
+    fun `without a leader all waiting callers are unanswered at once`() = withRunningBatcher {
         leader = null
         assertEquals(PollOutcome.Unanswered(PollOutcome.Reason.NO_LEADER), batcher.forwardPoll(job))
         assertEquals(ForwardOutcome.Unanswered, batcher.forwardHeartbeat(heartbeat))
     }
 
-    /** One batch is under way at a time, so those who ask meanwhile neither take nor lose the place of those who asked before. */
+    /** Only one batch is in flight at a time. Polls that arrive meanwhile must neither replace the polls in flight nor get lost. */
     @Test
-    fun `polls for one job that come before and while a batch is under way all get an answer`() = whileRunning {
+    fun `polls for one job that arrive before and while a batch is in flight all get an answer`() = withRunningBatcher {
         send = {
-            delay(BATCH_MS)
+            delay(BATCH_DURATION_MS)
             answered(it)
         }
         coroutineScope {
@@ -75,16 +75,16 @@
         }
     }
 
-    /** Users who give up cancel their polls. */
+    /** Polls for one job share an entry in the queue. Cancelling some of the callers must not affect the others. */
     @Test
-    fun `polls that are cancelled take no answer from others`() = whileRunning {
+    fun `cancelled polls don't affect the answers to others`() = withRunningBatcher {
         send = {
-            delay(BATCH_MS)
+            delay(BATCH_DURATION_MS)
             answered(it)
         }
         coroutineScope {
             val polls = List(POLLS) { async { batcher.forwardPoll(job) } }
-            delay(BATCH_MS / 2)
+            delay(BATCH_DURATION_MS / 2)
             polls.filterIndexed { number, _ -> number % 2 == 0 }.forEach { it.cancel() }
             polls.filterIndexed { number, _ -> number % 2 == 1 }.forEach { assertEquals(PollOutcome.Answered(done), it.await()) }
         }
@@ -92,8 +92,8 @@
     }
 
     private companion object {
-        const val PATIENCE_MS = 20_000L
-        const val BATCH_MS = 20L
+        const val TIMEOUT_MS = 20_000L
+        const val BATCH_DURATION_MS = 20L
         const val POLLS = 50
     }
 }
--- a/src/test/kotlin/cleathitch/peers/PeerMessagesTest.kt
+++ b/src/test/kotlin/cleathitch/peers/PeerMessagesTest.kt
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Test
 
-/** What nodes say to each other arrives as it was sent, and malformed messages are rejected. */
+/** Messages between controllers survive encoding and decoding, and malformed ones are rejected. */
 class PeerMessagesTest {
     private val attempt = AttemptId(TaskId(JobId("j-000412"), 3), 7)
     private val token = FencingToken.first(9).next()
@@ -54,7 +54,7 @@
     )
 
     @Test
-    fun `a batch arrives as it was sent`() {
+    fun `a batch is unchanged by encoding and decoding`() {
         val received = PeerCodec.decodeRequest(PeerCodec.encode(batch())) as PeerRequest.FollowerBatch
         assertEquals(batch(), received)
         val unchanged = ForwardedHeartbeat.Unchanged(heartbeat.machine, 2, 41, token, preemptionNoticeS = null, baseSequenceNumber = 40)
@@ -63,7 +63,7 @@
     }
 
     @Test
-    fun `decisions and statuses arrive as they were sent`() {
+    fun `decisions and statuses are unchanged by encoding and decoding`() {
         val received = PeerCodec.decodeReply(PeerCodec.encode(reply))
         assertEquals(
             listOf(HeartbeatDecision.Answer(token, commands), HeartbeatDecision.Refuse, HeartbeatDecision.RequestFull),
@@ -75,7 +75,7 @@
     }
 
     @Test
-    fun `commands arrive as they were sent`() {
+    fun `commands are unchanged by encoding and decoding`() {
         val command = Effect.SendCommands(heartbeat.machine, heartbeat.address, 2, token, commands)
         val probe = Effect.Probe(heartbeat.machine, heartbeat.address)
         val sent = PeerRequest.DeliverCommands("n1", 9, listOf(DeliveryMessage.of(1, command), DeliveryMessage.of(2, probe)))
@@ -83,9 +83,9 @@
         assertEquals(listOf(command, probe), received.commands.map { it.toCommand() })
     }
 
-    /** Whatever else is thrown would end the coroutine that forwards heartbeats, and with it a follower's service. */
+    /** Any other exception would end the coroutine that forwards heartbeats, and the follower could serve no more requests. */
     @Test
-    fun `messages that are cut off are rejected, wherever they end`() {
+    fun `truncated messages of any length are rejected`() {
         val request = PeerCodec.encode(batch())
         for (size in request.indices) assertThrows(SerializationException::class.java) { PeerCodec.decodeRequest(request.copyOf(size)) }
         val answer = PeerCodec.encode(reply)
--- a/src/test/kotlin/cleathitch/peers/PollQueueTest.kt
+++ b/src/test/kotlin/cleathitch/peers/PollQueueTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Polls at a follower: completed with the leader's answer, in time, or with the reason why there is none. */
+/** A follower's polls are completed with the leader's answer if it is in time, or else with the reason for its absence. */
 class PollQueueTest {
     private val queue = PollQueue(answerTimeoutMs = 1800)
     private val job = JobId("j-000001")
@@ -18,16 +18,16 @@
     private fun add(job: JobId, atMs: Long = 0) = queue.add(job, atMs) { outcomes += it }
 
     @Test
-    fun `polls for one job that wait together share an answer`() {
+    fun `polls for one job that wait at the same time share an answer`() {
         repeat(3) { add(job) }
         assertEquals(listOf(job), queue.take(limit = 10))
         queue.completeAnswered(listOf(job), listOf(running), nowMs = 10)
         assertEquals(List(3) { PollOutcome.Answered(running) }, outcomes)
     }
 
-    /** The answer on its way was given before this poll was: it could be older than what its user has learned since. */
+    /** The leader may have answered before this poll was made, with a state older than one that the user has already seen. */
     @Test
-    fun `a poll that comes while another for its job is on its way isn't answered by that`() {
+    fun `a poll that arrives while another for its job is in flight isn't completed with that one's answer`() {
         add(job)
         queue.take(limit = 10)
         add(job, atMs = 5)
@@ -37,7 +37,7 @@
     }
 
     @Test
-    fun `an answer that comes too late isn't passed on`() {
+    fun `an answer after the timeout is discarded`() {
         add(job)
         queue.take(limit = 10)
         queue.completeAnswered(listOf(job), listOf(running), nowMs = 1800)
@@ -45,7 +45,7 @@
     }
 
     @Test
-    fun `without answers, or with too few, each poll gets the reason`() {
+    fun `polls with no answer, or too few answers, are unanswered with the reason`() {
         add(job)
         add(other)
         queue.completeAnswered(queue.take(limit = 10), listOf(running), nowMs = 0)
@@ -59,7 +59,7 @@
     }
 
     @Test
-    fun `a batch is bounded, the oldest first`() {
+    fun `a batch is bounded and takes the oldest polls first`() {
         repeat(5) { add(JobId("j-$it")) }
         assertEquals(listOf("j-0", "j-1", "j-2"), queue.take(limit = 3).map { it.text })
         assertEquals(listOf("j-3", "j-4"), queue.take(limit = 3).map { it.text })
--- a/src/test/kotlin/cleathitch/peers/WorkerCommandDeliveryTest.kt
+++ b/src/test/kotlin/cleathitch/peers/WorkerCommandDeliveryTest.kt
@@ -17,15 +17,15 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** How commands reach workers, and which answers count. */
+/** The routes that commands take to workers, and the answers that are accepted. */
 class WorkerCommandDeliveryTest {
-    private val posted = ArrayList<Input>()
+    private val enqueued = ArrayList<Input>()
     private var nowMs = 0L
 
-    /** What went to each follower, and to workers directly. */
-    private val throughFollowers = ArrayList<Pair<String, List<DeliveryMessage>>>()
-    private val direct = ArrayList<MachineId>()
-    private var followersTakeCommands = true
+    /** The messages sent to each follower, and the machines called directly. */
+    private val sentToFollowers = ArrayList<Pair<String, List<DeliveryMessage>>>()
+    private val sentDirectly = ArrayList<MachineId>()
+    private var followersAcceptCommands = true
     private var workersAnswer = true
 
     private val routes = object : WorkerCommandRoutes {
@@ -37,18 +37,18 @@
             else -> null
         }
 
-        override suspend fun toFollower(follower: String, commands: List<DeliveryMessage>): Boolean {
-            throughFollowers += follower to commands
-            return followersTakeCommands
+        override suspend fun sendToFollower(follower: String, commands: List<DeliveryMessage>): Boolean {
+            sentToFollowers += follower to commands
+            return followersAcceptCommands
         }
 
-        override suspend fun toWorker(command: Effect.ToWorker): ServiceResult<Heartbeat> {
-            direct += command.machine
+        override suspend fun sendToWorker(command: Effect.ToWorker): ServiceResult<Heartbeat> {
+            sentDirectly += command.machine
             if (!workersAnswer) return ServiceResult.Failure(ServiceError.NoAnswer(CallFailure.NO_ANSWER_IN_TIME))
             return ServiceResult.Success(heartbeat(command.machine))
         }
     }
-    private val delivery = WorkerCommandDelivery(routes, resultTimeoutMs = 6000, { nowMs }, { posted += it })
+    private val delivery = WorkerCommandDelivery(routes, resultTimeoutMs = 6000, { nowMs }, { enqueued += it })
 
     private fun heartbeat(machine: MachineId) =
         Heartbeat(machine, "10.0.0.1:9000", "m4", "a", false, 1, 7, FencingToken.first(9), null, emptyList())
@@ -66,57 +66,57 @@
     private fun result(id: Long, machine: Int) = DeliveryResultMessage(id, FullHeartbeatMessage.of(heartbeat(MachineId("vm-$machine"))))
 
     @Test
-    fun `commands go through the followers to which the workers report, in one request each`() {
+    fun `commands go through the followers that forward the workers' heartbeats, in one request each`() {
         deliver(commandTo(1), commandTo(2), commandTo(3))
-        assertEquals(mapOf("n1" to 2, "n2" to 1), throughFollowers.associate { it.first to it.second.size })
-        assertEquals(emptyList<MachineId>(), direct)
+        assertEquals(mapOf("n1" to 2, "n2" to 1), sentToFollowers.associate { it.first to it.second.size })
+        assertEquals(emptyList<MachineId>(), sentDirectly)
     }
 
     @Test
-    fun `commands go directly where no reachable follower is known`() {
+    fun `commands go directly to workers without a reachable follower`() {
         deliver(commandTo(4), commandTo(5))
-        assertEquals(setOf("vm-4", "vm-5"), direct.map { it.text }.toSet())
-        assertEquals(2, posted.count { it is Input.ProbeAnswered })
+        assertEquals(setOf("vm-4", "vm-5"), sentDirectly.map { it.text }.toSet())
+        assertEquals(2, enqueued.count { it is Input.ProbeAnswered })
     }
 
     @Test
-    fun `commands that a follower doesn't take go directly`() {
-        followersTakeCommands = false
+    fun `commands that a follower doesn't accept go directly`() {
+        followersAcceptCommands = false
         deliver(commandTo(1), commandTo(2))
-        assertEquals(listOf("vm-1", "vm-2"), direct.map { it.text })
+        assertEquals(listOf("vm-1", "vm-2"), sentDirectly.map { it.text })
     }
 
     @Test
-    fun `a worker that gives no answer is reported as unanswered`() {
+    fun `a direct call without an answer is reported as unanswered`() {
         workersAnswer = false
         deliver(commandTo(5))
-        assertEquals(listOf<Input>(Input.DirectCallUnanswered(MachineId("vm-5"))), posted)
+        assertEquals(listOf<Input>(Input.DirectCallUnanswered(MachineId("vm-5"))), enqueued)
     }
 
     @Test
-    fun `an answer through a follower counts once, and only from the machine that was asked`() {
+    fun `an answer through a follower is accepted once, and only from the machine that was called`() {
         deliver(commandTo(1), commandTo(3))
-        val (first, second) = throughFollowers.flatMap { it.second }.map { it.id }
+        val (first, second) = sentToFollowers.flatMap { it.second }.map { it.id }
         delivery.onDeliveryResults(listOf(result(first, machine = 1), result(first, machine = 1), result(second, machine = 1)))
-        assertEquals(listOf<Input>(Input.ProbeAnswered(heartbeat(MachineId("vm-1")))), posted)
+        assertEquals(listOf<Input>(Input.ProbeAnswered(heartbeat(MachineId("vm-1")))), enqueued)
     }
 
-    /** By then the machine may be gone: a batch that was held up on its way shows nothing about it. */
+    /** A delayed batch doesn't show that the machine is still alive. */
     @Test
-    fun `an answer that comes late doesn't count`() {
+    fun `an answer after the timeout is ignored`() {
         deliver(commandTo(1))
-        val id = throughFollowers.single().second.single().id
+        val id = sentToFollowers.single().second.single().id
         nowMs = 6000
         delivery.onDeliveryResults(listOf(result(id, machine = 1)))
-        assertEquals(emptyList<Input>(), posted)
+        assertEquals(emptyList<Input>(), enqueued)
     }
 
-    /** A machine whose heartbeats are overdue may have lost its follower: it is probed on more than one route. */
+    /** A machine whose heartbeats are overdue may have lost the connection to its follower, so probes don't depend on one route. */
     @Test
-    fun `probes take turns between the followers and this node`() {
+    fun `probes rotate among the followers and the direct route`() {
         repeat(3) { deliver(Effect.Probe(MachineId("vm-1"), "10.0.0.1:9000")) }
-        assertEquals(setOf("n1", "n2"), throughFollowers.map { it.first }.toSet())
-        assertEquals(1, direct.size)
-        assertTrue(throughFollowers.all { (_, commands) -> commands.single().toCommand() is Effect.Probe })
+        assertEquals(setOf("n1", "n2"), sentToFollowers.map { it.first }.toSet())
+        assertEquals(1, sentDirectly.size)
+        assertTrue(sentToFollowers.all { (_, commands) -> commands.single().toCommand() is Effect.Probe })
     }
 }
--- a/src/test/kotlin/cleathitch/workers/HeartbeatQueueTest.kt
+++ b/src/test/kotlin/cleathitch/workers/HeartbeatQueueTest.kt
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** What a follower answers workers, and when: nothing but what the present leader has just decided. */
+/** A follower answers workers only with decisions of the current leader that arrive before the timeout. */
 class HeartbeatQueueTest {
     private val queue = HeartbeatQueue(answerTimeoutMs = 3000)
     private val answer = HeartbeatDecision.Answer(FencingToken.first(9).next(), emptyList())
@@ -37,8 +37,8 @@
 
     private fun message(batch: HeartbeatQueue.Batch) = PeerRequest.FollowerBatch.of("n1", OutgoingBatch(batch, emptyList(), emptyList()))
 
-    /** The leader of term 9 has acknowledged this heartbeat. */
-    private fun acknowledged(heartbeat: Heartbeat) {
+    /** Sets up the queue so that the leader of term 9 has acknowledged [heartbeat]. */
+    private fun addAcknowledged(heartbeat: Heartbeat) {
         add(heartbeat)
         queue.completeDecided(batch(), listOf(answer), currentTerm = 9, nowMs = 0)
         outcomes.clear()
@@ -53,7 +53,7 @@
 
     @Test
     fun `a heartbeat that repeats an acknowledged one is forwarded as unchanged`() {
-        acknowledged(heartbeat(sequenceNumber = 1))
+        addAcknowledged(heartbeat(sequenceNumber = 1))
         add(heartbeat(sequenceNumber = 2))
         val forwarded = batch().heartbeats.single() as ForwardedHeartbeat.Unchanged
         assertEquals(2, forwarded.sequenceNumber)
@@ -61,8 +61,8 @@
     }
 
     @Test
-    fun `other tasks, another incarnation and another leader need the full heartbeat`() {
-        acknowledged(heartbeat(sequenceNumber = 1))
+    fun `a heartbeat is forwarded in full if its tasks, its incarnation or the leader has changed`() {
+        addAcknowledged(heartbeat(sequenceNumber = 1))
         add(heartbeat(sequenceNumber = 2, tasks = 2))
         assertTrue(batch().heartbeats.single() is ForwardedHeartbeat.Full)
         add(heartbeat(sequenceNumber = 1, incarnation = 2))
@@ -72,7 +72,7 @@
     }
 
     @Test
-    fun `what was refused or not decided is no base`() {
+    fun `a refused or undecided heartbeat is no base for unchanged ones`() {
         add(heartbeat(sequenceNumber = 1))
         queue.completeDecided(batch(), listOf(HeartbeatDecision.Refuse), currentTerm = 9, nowMs = 0)
         add(heartbeat(sequenceNumber = 2))
@@ -85,8 +85,8 @@
     }
 
     @Test
-    fun `a heartbeat goes again, in full, when the leader lacks its base`() {
-        acknowledged(heartbeat(sequenceNumber = 1))
+    fun `a heartbeat is forwarded again, in full, if the leader lacks its base`() {
+        addAcknowledged(heartbeat(sequenceNumber = 1))
         add(heartbeat(sequenceNumber = 2))
         queue.completeDecided(batch(), listOf(HeartbeatDecision.RequestFull), currentTerm = 9, nowMs = 0)
         val again = batch()
@@ -95,33 +95,33 @@
         assertEquals(1, outcomes.size)
     }
 
-    /** Between decision and answer another leader may have confirmed what the old one didn't know of. */
+    /** A newer leader may have committed changes that the former leader didn't know of when it decided. */
     @Test
-    fun `decisions of a leader that was followed by another are not passed on`() {
+    fun `decisions of a former leader are discarded`() {
         add(heartbeat())
         queue.completeDecided(batch(), listOf(answer), currentTerm = 10, nowMs = 0)
         assertEquals(listOf<ForwardOutcome>(ForwardOutcome.Unanswered), outcomes)
     }
 
-    /** As when the follower stood still between the leader's answer and its own. */
+    /** For example, if the follower's process was paused between the leader's answer and its own. */
     @Test
-    fun `decisions that come too late are not passed on`() {
+    fun `decisions after the timeout are discarded`() {
         add(heartbeat(), atMs = 0)
         queue.completeDecided(batch(), listOf(answer), currentTerm = 9, nowMs = 3000)
         assertEquals(listOf<ForwardOutcome>(ForwardOutcome.Unanswered), outcomes)
     }
 
     @Test
-    fun `heartbeats that waited too long are not sent`() {
+    fun `heartbeats that timed out in the queue are not sent`() {
         add(heartbeat(machine = 1), atMs = 0)
         add(heartbeat(machine = 2), atMs = 2900)
         assertEquals(listOf(heartbeat(machine = 2).machine), batch(atMs = 3000).heartbeats.map { it.machine })
         assertEquals(listOf<ForwardOutcome>(ForwardOutcome.Unanswered), outcomes)
     }
 
-    /** A worker has one heartbeat in flight: whoever sent the older one has given it up. */
+    /** A worker has only one request in flight, so it no longer waits for the answer to the older one. */
     @Test
-    fun `a newer heartbeat of the same machine takes the place of the older one`() {
+    fun `a newer heartbeat of the same machine replaces the older one`() {
         add(heartbeat(sequenceNumber = 1))
         add(heartbeat(sequenceNumber = 2))
         assertEquals(listOf<ForwardOutcome>(ForwardOutcome.Unanswered), outcomes)
@@ -130,16 +130,16 @@
     }
 
     @Test
-    fun `an answer with too few decisions is none`() {
+    fun `an answer with too few decisions is discarded`() {
         add(heartbeat(machine = 1))
         add(heartbeat(machine = 2))
         queue.completeDecided(batch(), listOf(answer), currentTerm = 9, nowMs = 0)
         assertEquals(List(2) { ForwardOutcome.Unanswered }, outcomes)
     }
 
-    /** Half as many machines again as the largest deployment has, all at once and full of tasks. */
+    /** One and a half times the machines of the largest deployment, all at once and each with many tasks. */
     @Test
-    fun `batches of a large fleet fit into a body, and every heartbeat is in one`() {
+    fun `batches of a large fleet fit into a request body, and together contain every heartbeat`() {
         val machines = 2200
         repeat(machines) { add(heartbeat(machine = it, tasks = 8)) }
         add(heartbeat(machine = machines, tasks = 900))
@@ -155,8 +155,8 @@
     }
 
     @Test
-    fun `unchanged and full heartbeats of a batch get their own decisions`() {
-        acknowledged(heartbeat(machine = 1, sequenceNumber = 1))
+    fun `unchanged and full heartbeats in one batch each get their own decision`() {
+        addAcknowledged(heartbeat(machine = 1, sequenceNumber = 1))
         val perMachine = HashMap<Int, ForwardOutcome>()
         queue.add(heartbeat(machine = 1, sequenceNumber = 2), 0) { perMachine[1] = it }
         queue.add(heartbeat(machine = 2, sequenceNumber = 1), 0) { perMachine[2] = it }
--- a/src/test/kotlin/cleathitch/workers/WorkerDistributionTest.kt
+++ b/src/test/kotlin/cleathitch/workers/WorkerDistributionTest.kt
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Workers that send heartbeats to the leader, every 6 s. */
+/** Redirects of workers that send a heartbeat to the leader every 6 s. */
 class WorkerDistributionTest {
-    private val distribution = WorkerDistribution(heartbeatMs = 6000)
+    private val distribution = WorkerDistribution(heartbeatPeriodMs = 6000)
     private val followers = listOf("n1", "n2", "n3")
     private fun machine(number: Int) = MachineId("vm-%06d".format(number))
 
@@ -19,9 +19,9 @@
         assertEquals(mapOf("n1" to 100, "n2" to 100, "n3" to 100), counts)
     }
 
-    /** A follower that has just started can't serve a whole fleet at once: most workers would time out and return to the leader. */
+    /** A follower that has just started can't serve all workers at once: most heartbeats would time out and return to the leader. */
     @Test
-    fun `a follower gets new workers at a bounded pace, and the leader serves the rest`() {
+    fun `redirects to a follower are rate-limited, and the leader serves the other workers`() {
         val atOnce = (1..1000).mapNotNull { distribution.followerFor(machine(it), followers, nowMs = 0) }
         assertEquals(followers, atOnce.sorted())
         val inOnePeriod = (1..1000).mapNotNull { distribution.followerFor(machine(it), followers, nowMs = 6000L + it * 6) }
@@ -29,7 +29,7 @@
     }
 
     @Test
-    fun `a worker that comes back is served, and later sent to another follower`() {
+    fun `a worker that returns is served by the leader, and later redirected to another follower`() {
         val first = distribution.followerFor(machine(1), followers, nowMs = 0)
         assertNull(distribution.followerFor(machine(1), followers, nowMs = 5_000))
         assertNull(distribution.followerFor(machine(1), followers, nowMs = 29_999))
@@ -37,12 +37,12 @@
     }
 
     @Test
-    fun `a leader without followers serves everyone`() {
+    fun `a leader without followers serves all workers`() {
         assertNull(distribution.followerFor(machine(1), emptyList(), nowMs = 0))
     }
 
     @Test
-    fun `with a single follower the leader keeps a part`() {
+    fun `with only one follower the leader keeps some of the workers`() {
         val kept = (1..300).count { distribution.followerFor(machine(it), listOf("n1"), nowMs = it * 100L) == null }
         assertTrue(kept in 50..150) { "$kept" }
     }
