--- a/src/test/kotlin/cleathitch/scheduler/CancellationFaultsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/CancellationFaultsTest.kt
@@ -12,29 +12,33 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Cancellations together with failovers, outages of the key-value store, lost commands and ends of tasks. */
+/** Cancellations combined with failovers, outages of the key-value store, lost commands and completing tasks. */
 class CancellationFaultsTest : CombinedFaultsHarness() {
     /**
-     * The old leader's grace begins where its lease ends, which is before its successor confirms anything, and the last
-     * heartbeat that it answers renews a worker's lease. Only then does a cancelled task surely stop.
+     * An old leader's grace period begins when its lease ends, which is before its successor confirms any cancellation. The last
+     * heartbeat that it answers in that period renews a worker's lease, and only when this lease has expired is a cancelled task
+     * certain to have stopped.
      */
     @Test
-    fun `grace, worker's lease and margin end before the cancellation deadline at every heartbeat interval`() {
+    fun `grace period, worker lease and margin end before the cancellation deadline at every heartbeat interval`() {
         for (reportS in listOf(1.0, 3.0, 6.0, 10.0)) {
             for (cancelS in listOf(deployment.leaseS + 12, 64.0, 120.0)) {
                 val timings = SchedulerTimings.of(deployment.copy(reportS = reportS, cancelS = cancelS))
                 val stoppedByMs = timings.graceMs + deployment.leaseS * 1000 + timings.leaseMarginMs
-                assertTrue(stoppedByMs < cancelS * 1000) { "$stoppedByMs ms of $cancelS s with heartbeats every $reportS s" }
+                assertTrue(stoppedByMs < cancelS * 1000) { "tasks stop after $stoppedByMs ms with report_s=$reportS cancel_s=$cancelS" }
             }
         }
     }
 
-    /** In an outage that follows at once nobody may answer the machine; without the direct call only its lease would end the task. */
+    /**
+     * In an outage of the key-value store right after the commit, no controller may answer the machine's heartbeats. Without the
+     * direct call the task would run until the worker's lease expires.
+     */
     @Test
-    fun `a committed cancellation goes to the machine before its next heartbeat`() {
-        lead()
+    fun `a committed cancellation is sent to the machine before its next heartbeat`() {
+        becomeLeaderWithFleet()
         val (attempt) = startJob(1)
-        isStoreOut = true
+        isStoreUnavailable = true
         val uncommitted = cancel(1)
         assertEquals(emptyList<Effect>(), uncommitted.filter { it is Effect.Answer || it is Effect.SendCommands })
 
@@ -44,10 +48,10 @@
         assertEquals(listOf(attempt), committed.stoppedAttempts())
     }
 
-    /** The machine's incarnation isn't known yet, and a command without it would be refused. */
+    /** The new leader doesn't know the machine's incarnation yet, and the worker would reject a command without it. */
     @Test
-    fun `a new leader probes a machine without a heartbeat yet, then sends it the cancellation`() {
-        lead()
+    fun `a new leader probes a machine that hasn't sent a heartbeat yet, then sends it the cancellation`() {
+        becomeLeaderWithFleet()
         val (attempt) = startJob(1)
         failOver()
         step(Input.MachinesListed(listOf(listedMachine(0))))
@@ -59,10 +63,10 @@
         assertEquals(listOf(attempt), machine.answerProbe().stoppedAttempts())
     }
 
-    /** The stop command is lost, or the answer to it: the answer to the next heartbeat repeats it. */
+    /** If the stop command or the response to it is lost, the answer to the next heartbeat repeats the command. */
     @Test
-    fun `a lost stop command is repeated until the task is shown as exited`() {
-        lead()
+    fun `a lost stop command is repeated until a heartbeat reports the task as exited`() {
+        becomeLeaderWithFleet()
         val (attempt) = startJob(1)
 
         cancel(1)
@@ -72,39 +76,39 @@
         assertEquals(emptyList<AttemptId>(), machine.sendHeartbeat().stoppedAttempts())
     }
 
-    /** The fencing token of the stop command shuts the delayed start out. */
+    /** The worker rejects the delayed start command, as its fencing token is older than that of the stop command. */
     @Test
-    fun `a start command delayed beyond its job's cancellation starts nothing`() {
-        lead()
-        val delayed = (submit(1) + runRounds(2)).directCalls().single()
+    fun `a start command that arrives after its job's cancellation starts nothing`() {
+        becomeLeaderWithFleet()
+        val delayedCall = (submit(1) + runRounds(2)).directCalls().single()
         cancel(1)
         machine.sendHeartbeat()
 
-        deliver(listOf(delayed))
+        deliver(listOf(delayedCall))
 
         assertEquals(emptySet<AttemptId>(), machine.attempts)
     }
 
-    /** All at once they would occupy the leader's connections. */
+    /** Sent all at once, the stop commands would occupy the leader's connections to workers. */
     @Test
-    fun `the stop commands of a large job are spread over rounds, and none is left out`() {
+    fun `the stop commands of a large job are spread over rounds, and all are sent`() {
         val fleet = fleet(150)
-        lead(fleet)
+        becomeLeaderWithFleet(fleet)
         val started = submit(1, tasks = 300) { copy(kind = JobKind.SERVICE) } + runRounds(2)
         deliver(started.directCalls(), fleet)
 
-        val atOnce = cancel(1).directCalls().size
+        val sentAtOnce = cancel(1).directCalls().size
 
-        assertTrue(atOnce in 1..50) { "$atOnce at once" }
-        assertEquals(150, atOnce + runRounds(8).directCalls().size)
+        assertTrue(sentAtOnce in 1..50) { "expected 1 to 50 stop commands at once, got $sentAtOnce" }
+        assertEquals(150, sentAtOnce + runRounds(8).directCalls().size)
     }
 
     @Test
-    fun `a cancellation, a poll and a repeated submission that meet the end of the last task show one final state, once committed`() {
-        lead()
+    fun `a cancellation, a poll and a repeated submission during the last task's completion report one final state, once committed`() {
+        becomeLeaderWithFleet()
         startJob(1)
         machine.completeTasks()
-        isStoreOut = true
+        isStoreUnavailable = true
         val spec = SimulatedCluster.job(1, tasks = 1)
 
         val uncommitted = step(
@@ -114,7 +118,9 @@
             Input.Submit(request(), spec),
         ).userReplies()
 
-        assertTrue(uncommitted.none { it is UserReply.Cancelled || it is UserReply.Status && it.state == JobState.DONE }) { "$uncommitted" }
+        assertTrue(uncommitted.none { it is UserReply.Cancelled || it is UserReply.Status && it.state == JobState.DONE }) {
+            "replies before the commit: $uncommitted"
+        }
         assertEquals(JobState.DONE, (endStoreOutage().userReplies().single() as UserReply.Cancelled).state)
         failOver()
         assertEquals(JobState.DONE, statusOf(1).state)
@@ -122,10 +128,10 @@
     }
 
     @Test
-    fun `a result that arrives after the cancellation leaves the job cancelled, also for the next leader`() {
-        lead()
+    fun `a result that arrives after the cancellation leaves the job cancelled, also under the next leader`() {
+        becomeLeaderWithFleet()
         startJob(1)
-        isStoreOut = true
+        isStoreUnavailable = true
         cancel(1)
         machine.completeTasks()
         machine.sendHeartbeat()
@@ -138,13 +144,13 @@
         assertTrue(confirmsCancellation(cancel(1)))
     }
 
-    /** Otherwise the next leader, which knows nothing of it, would deny an answer that was given. */
+    /** Otherwise the next leader, which doesn't recover the uncommitted record, would contradict a reply that was sent. */
     @Test
-    fun `an end or a cancellation that isn't committed is answered by no leader`() {
-        lead()
+    fun `no leader reports a completion or a cancellation that isn't committed`() {
+        becomeLeaderWithFleet()
         startJob(1, tasks = 2)
         machine.completeTasks()
-        isStoreOut = true
+        isStoreUnavailable = true
 
         val uncommitted = machine.sendHeartbeat() + cancel(1)
 
--- a/src/test/kotlin/cleathitch/scheduler/CommitVisibilityTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/CommitVisibilityTest.kt
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** What a commit records is visible to nobody before it is carried out, as its leader may end before that. */
+/** State that a commit records isn't visible to users or followers before the commit succeeds, as the leader may fail before that. */
 class CommitVisibilityTest : CombinedFaultsHarness() {
-    private val job get() = taskOf(1).job
+    private val job get() = taskId(1).job
 
-    /** All the ways in which a user or a follower learns of a job's state. */
+    /** All requests through which a user or a follower learns a job's state. */
     private val queries = mapOf<String, () -> Input>(
         "a poll" to { Input.Poll(request(), job) },
         "a repeated submission" to { Input.Submit(request(), SimulatedCluster.job(1, tasks = 1)) },
@@ -23,19 +23,21 @@
         "a follower's batch of polls" to { Input.FollowerBatchReceived(request(), emptyList(), listOf(job)) },
     )
 
-    /** Reported as done by this leader, the job would be queued again under the next. */
+    /** If this leader reported the job as done and failed before the commit, the next leader would report it as queued. */
     @Test
-    fun `an end that is archived by its own commit isn't reported before it is committed`() {
+    fun `a final state that is recorded and archived by one commit isn't reported before the commit`() {
         completeJobWithArchiveUncommitted()
 
-        for ((name, query) in queries) assertFalse(JobState.DONE in reportedStates(step(query())), name)
+        for ((name, query) in queries) {
+            assertFalse(JobState.DONE in reportedStates(step(query()))) { "DONE before the commit in reply to $name" }
+        }
 
         failOver()
-        assertEquals(JobState.QUEUED, stateIn(poll(1)))
+        assertEquals(JobState.QUEUED, jobStateIn(poll(1)))
     }
 
     @Test
-    fun `an end that is archived by its own commit is reported once committed, and by the next leader`() {
+    fun `a final state that is recorded and archived by one commit is reported after the commit, and by the next leader`() {
         completeJobWithArchiveUncommitted()
         val cancellation = step(Input.Cancel(request(), job))
         assertEquals(emptyList<JobState?>(), reportedStates(cancellation))
@@ -43,19 +45,19 @@
         val committed = endStoreOutage()
 
         assertEquals(listOf(JobState.DONE), reportedStates(committed))
-        assertEquals(JobState.DONE, stateIn(poll(1)))
+        assertEquals(JobState.DONE, jobStateIn(poll(1)))
         failOver()
         for ((name, query) in queries) assertEquals(listOf(JobState.DONE), reportedStates(step(query())), name)
     }
 
-    /** The same for a cancelled job, whose last attempt ends as a compaction is due. */
+    /** The last attempt of a cancelled job ends when a compaction is due, so that one commit records its end and archives the job. */
     @Test
-    fun `a cancelled job that is being archived stays cancelled whether or not that is committed`() {
-        lead()
+    fun `a cancelled job that is being archived stays cancelled whether or not the commit succeeds`() {
+        becomeLeaderWithFleet()
         startJob(1)
         machine.sendHeartbeat()
         assertTrue(confirmsCancellation(cancel(1)))
-        isStoreOut = true
+        isStoreUnavailable = true
         advanceTo(nowMs + timings.compactionMs)
 
         machine.sendHeartbeat()
@@ -63,26 +65,26 @@
 
         assertEquals(listOf(JobState.CANCELLED), reportedStates(step(Input.Poll(request(), job))))
         failOver()
-        assertEquals(JobState.CANCELLED, stateIn(poll(1)))
+        assertEquals(JobState.CANCELLED, jobStateIn(poll(1)))
     }
 
-    /** The last task's result arrives just as a compaction is due, so that one commit records and archives the job's end. */
+    /** The last task's result arrives when a compaction is due, so that one commit records and archives the job's final state. */
     private fun completeJobWithArchiveUncommitted() {
-        lead()
+        becomeLeaderWithFleet()
         startJob(1)
         machine.sendHeartbeat()
         runRounds(2)
-        isStoreOut = true
+        isStoreUnavailable = true
         advanceTo(nowMs + timings.compactionMs)
         machine.completeTasks()
-        val archives = machine.sendHeartbeat().commits().single().changes.filter { it.key.startsWith(LogKeys.FINISHED_JOBS_PREFIX) }
-        assertEquals(1, archives.size) { "the commit doesn't archive, so this test shows nothing" }
+        val archiveChanges = machine.sendHeartbeat().commits().single().changes.filter { it.key.startsWith(LogKeys.FINISHED_JOBS_PREFIX) }
+        assertEquals(1, archiveChanges.size) { "changes under ${LogKeys.FINISHED_JOBS_PREFIX} in the commit" }
     }
 
     private fun reportedStates(effects: List<Effect>) =
-        effects.userReplies().map(::stateIn) + effects.followerAnswers().flatMap { answer -> answer.statuses.map(::stateIn) }
+        effects.userReplies().map(::jobStateIn) + effects.followerAnswers().flatMap { answer -> answer.statuses.map(::jobStateIn) }
 
-    private fun stateIn(reply: UserReply): JobState? = when (reply) {
+    private fun jobStateIn(reply: UserReply): JobState? = when (reply) {
         is UserReply.Status -> reply.state
         is UserReply.Accepted -> reply.state
         is UserReply.Cancelled -> reply.state
--- a/src/test/kotlin/cleathitch/scheduler/DirectStart.kt
+++ b/src/test/kotlin/cleathitch/scheduler/DirectStart.kt
@@ -3,5 +3,5 @@
 import cleathitch.scheduler.model.AttemptId
 import cleathitch.scheduler.model.MachineId
 
-/** A start command that a direct call carries to a machine. */
+/** A start command sent to a machine in a direct call. */
 data class DirectStart(val machine: MachineId, val attempt: AttemptId)
--- a/src/test/kotlin/cleathitch/scheduler/EffectQueries.kt
+++ b/src/test/kotlin/cleathitch/scheduler/EffectQueries.kt
@@ -14,7 +14,7 @@
 
 fun List<Effect>.heartbeatAnswers() = filterIsInstance<Effect.AnswerHeartbeat>()
 
-/** All commands to workers, by direct calls and in answers to heartbeats. */
+/** All commands to workers, both in direct calls and in answers to heartbeats. */
 fun List<Effect>.workerCommands() = directCalls().flatMap { it.commands } + heartbeatAnswers().flatMap { it.commands }
 
 fun List<Effect>.startedAttempts(): List<AttemptId> = workerCommands().filterIsInstance<WorkerCommand.Start>().map { it.attempt }
--- a/src/test/kotlin/cleathitch/scheduler/FailoverFaultsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FailoverFaultsTest.kt
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Failovers together with ends of tasks, late heartbeats, lost machines and lost replies. */
+/** Failovers combined with completing tasks, late heartbeats, lost machines and lost replies. */
 class FailoverFaultsTest : CombinedFaultsHarness() {
-    /** The first task's result is committed and forgotten by its machine; the second ends under the next leader. */
+    /** The first task's result is committed, and its machine no longer reports it; the second task completes under the next leader. */
     @Test
-    fun `a job of two tasks that end before and after a failover is done once both are`() {
-        lead()
+    fun `a job whose two tasks complete before and after a failover is done once both are`() {
+        becomeLeaderWithFleet()
         val (first, second) = startJob(1, tasks = 2)
         machine.exit(first, ExitReason.DONE)
         machine.sendHeartbeat()
@@ -33,10 +33,10 @@
         assertEquals(JobState.DONE, statusOf(1).state)
     }
 
-    /** The stored records still show the other attempt as live. */
+    /** The stored records still list the other attempt as live. */
     @Test
     fun `a task completed by another attempt isn't started again after a failover`() {
-        lead()
+        becomeLeaderWithFleet()
         val (attempt) = startJob(1, tasks = 2)
         machine.exit(AttemptId(attempt.task, 77), ExitReason.DONE)
         sendHeartbeat(machine.heartbeat())
@@ -49,8 +49,8 @@
     }
 
     @Test
-    fun `after all controllers were down for longer than a worker's lease, an attempt is started again on its machine, once`() {
-        lead()
+    fun `after all controllers were down for longer than a worker's lease, an attempt is restarted on its machine, once`() {
+        becomeLeaderWithFleet()
         val (attempt) = startJob(1)
         advanceTo(nowMs + (deployment.leaseS * 1500).toLong())
         machine.expireLease()
@@ -61,60 +61,62 @@
         assertEquals(emptyList<AttemptId>(), (machine.sendHeartbeat() + runRounds(4)).startedAttempts())
     }
 
-    /** The heartbeat was sent before the start, and the new leader receives it first. */
+    /** The new leader's first heartbeat from the machine was sent before the task started, so it doesn't list the attempt. */
     @Test
-    fun `a heartbeat held until after a failover isn't taken to lack what was started since`() {
-        lead()
-        val held = machine.heartbeat()
+    fun `a heartbeat sent before a start and received after a failover doesn't cause a second attempt`() {
+        becomeLeaderWithFleet()
+        val delayedHeartbeat = machine.heartbeat()
         val (attempt) = startJob(1)
         failOver()
 
-        sendHeartbeat(held)
+        sendHeartbeat(delayedHeartbeat)
         val effects = runIntervals(2, listOf(fakeMachine(2)))
 
         assertEquals(emptyList<AttemptId>(), effects.startedAttempts().filter { it.task == attempt.task && it != attempt })
         assertTrue(machine.sendHeartbeat().any { it is Effect.AnswerHeartbeat })
     }
 
-    /** Each leader takes over leases that outlast its own term, so only the cloud's confirmation frees the tasks. */
+    /** Each leader inherits worker leases that outlast its term, so only the cloud's confirmation allows the task to be restarted. */
     @Test
-    fun `leaders that lead for a dozen seconds each restart the task of a machine that ended`() {
-        lead()
+    fun `the task of a terminated machine is restarted although each term lasts only a dozen seconds`() {
+        becomeLeaderWithFleet()
         val (attempt) = startJob(1)
         val other = fakeMachine(2)
 
         val effects = (1..4).flatMap {
             failOver()
             step(Input.MachinesListed(listOf(listedMachine(0), listedMachine(2))))
-            val inTerm = runIntervals(4, listOf(other))
-            val terminated = inTerm.terminatedMachines().toList()
-            inTerm + if (terminated.isEmpty()) emptyList() else step(Input.MachinesTerminated(terminated)) + runRounds(2)
+            val termEffects = runIntervals(4, listOf(other))
+            val terminated = termEffects.terminatedMachines().toList()
+            termEffects + if (terminated.isEmpty()) emptyList() else step(Input.MachinesTerminated(terminated)) + runRounds(2)
         }
 
         assertEquals(attempt.task, effects.startedAttempts().firstOrNull()?.task)
     }
 
-    /** A task may run there until the old leader's last answer has surely expired, so it is started nowhere else. */
+    /** The task may run there until the lease that the old leader renewed has certainly expired, so it isn't started elsewhere. */
     @Test
-    fun `tasks on machines that miss the new leader's replies are left alone while they run`() {
-        lead()
+    fun `a task on a machine that misses the new leader's replies isn't started elsewhere while it runs`() {
+        becomeLeaderWithFleet()
         val (attempt) = startJob(1)
         failOver()
         val other = fakeMachine(2)
 
-        val effects = (1..intervalsPerLease * 2).flatMap { machine.sendHeartbeat(missesReplies = true) + runIntervals(1, listOf(other)) }
+        val effects = (1..intervalsUntilLeaseExpiry * 2).flatMap {
+            machine.sendHeartbeat(missesReplies = true) + runIntervals(1, listOf(other))
+        }
 
         assertEquals(emptyList<AttemptId>(), effects.startedAttempts().filter { it.task == attempt.task && it != attempt })
     }
 
-    /** Counted as starting, it would keep others from being rented. */
+    /** If the machine kept counting as starting, its capacity would prevent other machines from being rented. */
     @Test
     fun `a machine that is listed after a failover and never sends a heartbeat is terminated`() {
-        lead()
+        becomeLeaderWithFleet()
         failOver()
         step(Input.MachinesListed(listOf(listedMachine(4))))
 
-        val effects = runIntervals(intervalsPerLease + 6)
+        val effects = runIntervals(intervalsUntilLeaseExpiry + 6)
 
         assertTrue(MachineId("vm-000004") in effects.terminatedMachines())
     }
--- a/src/test/kotlin/cleathitch/scheduler/FailoverTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FailoverTest.kt
@@ -19,52 +19,53 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A new leader, in term 9, recovers a log in which a task was started on machine 1, from which it has no heartbeat yet. */
+/** A new leader in term 9 recovers a log in which a task was started on machine 1, which has sent it no heartbeat yet. */
 class FailoverTest : SchedulerHarness(term = 9, recovered = recoveredState()) {
-    /** The old leader may have answered that machine until its grace was over, and the worker's lease runs from there. */
+    /** The old leader may have renewed the worker's lease until the end of its grace period. */
     @Test
-    fun `a silent machine keeps its task until grace, lease and margin are over`() {
+    fun `a silent machine keeps its task until grace period, worker lease and margin are over`() {
         becomeLeader()
-        val endMs = timings.graceMs + workerLeaseMs + timings.leaseMarginMs
+        val inheritedLeaseEndMs = timings.graceMs + workerLeaseMs + timings.leaseMarginMs
 
-        val beforeEnd = runWithHeartbeats(endMs - 4000)
+        val beforeEnd = runWithHeartbeats(inheritedLeaseEndMs - 4000)
         val aroundEnd = runWithHeartbeats(8000)
 
         assertEquals(emptyList<Any>(), beforeEnd.directStarts())
-        assertEquals(DirectStart(MachineId("vm-000002"), AttemptId(STARTED.task, 2)), aroundEnd.directStarts().single())
+        assertEquals(DirectStart(MachineId("vm-000002"), AttemptId(STARTED_ATTEMPT.task, 2)), aroundEnd.directStarts().single())
     }
 
     /**
-     * The old leader's process may be back within a fraction of a second with its command still on the way: the same attempt
-     * goes to the same machine, under a fencing token that shuts the older command out.
+     * A restarted controller may lead again within a fraction of a second, while its earlier start command is still in flight.
+     * The same attempt is therefore sent to the same machine, under a fencing token that makes the worker reject the earlier command.
      */
     @Test
-    fun `a start that the machine doesn't show is sent to it again, as the same attempt under the new term's fencing token`() {
+    fun `a start that the machine doesn't report is sent again, as the same attempt under the new term's fencing token`() {
         becomeLeader()
 
         val answer = sendHeartbeat(heartbeat(1, sequenceNumber = 4, FencingToken.first(7))).heartbeatAnswers().single()
 
-        assertEquals(listOf<WorkerCommand>(WorkerCommand.Start(STARTED)), answer.commands)
+        assertEquals(listOf<WorkerCommand>(WorkerCommand.Start(STARTED_ATTEMPT)), answer.commands)
         assertTrue(answer.token > FencingToken.first(9))
     }
 
-    /** It shows less than was already known of the machine. */
+    /** The late heartbeat was sent before a heartbeat that already reported the task as running. */
     @Test
-    fun `a late copy of a heartbeat that lacks the task ends nothing`() {
+    fun `a late heartbeat that doesn't list the task is refused and doesn't cause a second attempt`() {
         becomeLeader()
-        val running = heartbeat(1, sequenceNumber = 4, FencingToken.first(7)).copy(tasks = listOf(TaskStatus(STARTED, TaskState.RUNNING)))
+        val running = heartbeat(1, sequenceNumber = 4, FencingToken.first(7))
+            .copy(tasks = listOf(TaskStatus(STARTED_ATTEMPT, TaskState.RUNNING)))
         sendHeartbeat(running)
 
-        val late = sendHeartbeat(heartbeat(1, sequenceNumber = 3, FencingToken.first(7)))
+        val staleEffects = sendHeartbeat(heartbeat(1, sequenceNumber = 3, FencingToken.first(7)))
         sendHeartbeat(heartbeat(2))
 
-        assertTrue(late.any { it is Effect.RefuseHeartbeat })
+        assertTrue(staleEffects.any { it is Effect.RefuseHeartbeat })
         assertEquals(emptyList<Any>(), runRounds(20).directStarts())
     }
 
     private var sequenceNumber = 0L
 
-    /** Lets [durationMs] pass with heartbeats of machine 2, which has room. */
+    /** Advances the clock by [durationMs] with heartbeats of machine 2, which has free capacity. */
     private fun runWithHeartbeats(durationMs: Long) = buildList {
         val endMs = nowMs + durationMs
         while (nowMs < endMs) {
@@ -74,7 +75,7 @@
     }
 
     private companion object {
-        val STARTED = AttemptId(TaskId(JobId("j-000001"), 0), 1)
+        val STARTED_ATTEMPT = AttemptId(TaskId(JobId("j-000001"), 0), 1)
 
         fun recoveredState(): RecoveredState {
             val job = JobSnapshot(
@@ -83,8 +84,8 @@
                 acceptedAtWallMs = 0,
                 isCancelled = false,
                 completedTasks = byteArrayOf(),
-                liveAttempts = listOf(LiveAttempt(STARTED.task.index, STARTED.number, MachineId("vm-000001"))),
-                lastAttemptNumber = STARTED.number,
+                liveAttempts = listOf(LiveAttempt(STARTED_ATTEMPT.task.index, STARTED_ATTEMPT.number, MachineId("vm-000001"))),
+                lastAttemptNumber = STARTED_ATTEMPT.number,
             )
             return RecoveredState.EMPTY.copy(head = LogIndex(5), jobs = listOf(StoredJob(job, parts = 1)))
         }
--- a/src/test/kotlin/cleathitch/scheduler/FailureDetectorTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FailureDetectorTest.kt
@@ -13,27 +13,27 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Many machines fall silent together: whether the machines, a zone, the network or the leader is at fault decides what follows. */
+/** Many machines become silent at once: the reaction depends on whether the machines, a zone, the network or the leader has failed. */
 class FailureDetectorTest : SchedulerHarness() {
     private var sequenceNumber = 1L
 
-    /** The newest fencing token that each machine received through a follower, and shows in its next heartbeat. */
+    /** The newest fencing token that each machine received through a follower, and reports in its next heartbeat. */
     private val receivedTokens = HashMap<Int, FencingToken>()
 
-    /** Judged one by one as each becomes overdue, a silent fleet would be terminated piece by piece. */
+    /** If each machine were judged alone once it is overdue, a silent fleet would be terminated machine by machine. */
     @Test
-    fun `when no heartbeat arrives any more, no machine is terminated before its lease has expired`() {
-        leadBusyFleet()
+    fun `when all heartbeats stop arriving, no machine is terminated before its lease has expired`() {
+        becomeLeaderWithBusyFleet()
 
         val effects = (1..(deployment.leaseS / deployment.reportS).toInt()).flatMap { runInterval(emptyList()) }
 
         assertEquals(emptySet<MachineId>(), effects.terminatedMachines())
     }
 
-    /** The machines get answers through followers, while the leader's own calls are lost. */
+    /** Heartbeats are answered through followers, while the leader's direct calls are lost: its own network path has failed. */
     @Test
     fun `a leader whose direct calls are lost transfers leadership`() {
-        leadBusyFleet()
+        becomeLeaderWithBusyFleet()
         runInterval(FLEET, throughFollower = true)
         loseDirectCalls(4)
 
@@ -42,10 +42,10 @@
         assertTrue(stepDown.transferLeadership)
     }
 
-    /** Two lost calls don't show a fault of the leader's network. */
+    /** Two lost calls aren't sufficient evidence of a failure of the leader's network. */
     @Test
-    fun `a leader stays when all heartbeats come through followers and two direct calls are lost`() {
-        leadBusyFleet()
+    fun `a leader doesn't step down when all heartbeats arrive through followers and two direct calls are lost`() {
+        becomeLeaderWithBusyFleet()
         loseDirectCalls(2)
 
         val effects = (1..8).flatMap { runInterval(FLEET, throughFollower = true) }
@@ -53,10 +53,10 @@
         assertEquals(emptyList<Effect>(), effects.stepDowns())
     }
 
-    /** Those machines have stopped, or miss all replies: another leader would reach them no better. */
+    /** Those machines have stopped or miss all replies, so another leader couldn't reach them either. */
     @Test
-    fun `a leader stays when the lost direct calls went to machines that don't show its fencing tokens`() {
-        leadBusyFleet()
+    fun `a leader doesn't step down when direct calls are lost to machines that don't report its fencing tokens`() {
+        becomeLeaderWithBusyFleet()
         loseDirectCalls(10)
         val old = FencingToken.first(revision)
 
@@ -67,10 +67,10 @@
         assertEquals(emptyList<Effect>(), effects.stepDowns())
     }
 
-    /** One answered call shows that the leader's network works. */
+    /** One answered call proves that the leader's network works. */
     @Test
-    fun `a leader stays when another direct call is answered`() {
-        leadBusyFleet()
+    fun `a leader doesn't step down when another direct call is answered`() {
+        becomeLeaderWithBusyFleet()
         loseDirectCalls(4)
         step(Input.ProbeAnswered(heartbeat(20, sequenceNumber = 1000)))
 
@@ -79,10 +79,10 @@
         assertEquals(emptyList<Effect>(), effects.stepDowns())
     }
 
-    /** Its machines run their tasks for a lease, and jobs that spread over zones can't run elsewhere anyway. */
+    /** The machines run their tasks until their leases expire, and jobs that spread over zones can't run elsewhere anyway. */
     @Test
-    fun `a partitioned zone keeps its machines, and new ones are rented in the other`() {
-        leadBusyFleet()
+    fun `the machines of a partitioned zone aren't terminated, and new ones are rented in the other zone`() {
+        becomeLeaderWithBusyFleet()
         val zoneB = FLEET.filter { it % 2 == 1 }
         runInterval(zoneB)
 
@@ -94,10 +94,10 @@
         assertEquals(setOf("b"), effects.filterIsInstance<Effect.Rent>().map { it.rental.offer.zone }.toSet())
     }
 
-    /** As when answers take longer than workers wait for them. Judged one by one, all would be terminated. */
+    /** This happens when answers take longer than the workers' timeout. Judged machine by machine, all would be terminated. */
     @Test
     fun `when all machines miss the leader's replies, none is terminated`() {
-        leadBusyFleet()
+        becomeLeaderWithBusyFleet()
         val old = FencingToken.first(7)
 
         val effects = (1..8).flatMap { runInterval(FLEET, token = old) }
@@ -105,10 +105,10 @@
         assertEquals(emptySet<MachineId>(), effects.terminatedMachines())
     }
 
-    /** Its machines have ended, so their tasks needn't wait for leases. */
+    /** A rack is a minority of the fleet: its machines count as failed, and their tasks needn't wait for the leases to expire. */
     @Test
-    fun `a rack that falls silent is terminated`() {
-        leadBusyFleet()
+    fun `all machines of a rack that becomes silent are terminated`() {
+        becomeLeaderWithBusyFleet()
         val rack = (0 until 12).mapTo(HashSet()) { machineId(it) }
 
         val effects = (1..5).flatMap { runInterval(12 until 40) }
@@ -116,24 +116,24 @@
         assertEquals(rack, effects.terminatedMachines())
     }
 
-    /** Leads [FLEET] with tasks of a service on each machine, so that none is idle. */
-    private fun leadBusyFleet() {
-        becomeLeaderOf(FLEET.count())
+    /** Becomes leader of [FLEET] with tasks of a service on each machine, so that none is idle. */
+    private fun becomeLeaderWithBusyFleet() {
+        becomeLeaderWithFleet(FLEET.count())
         val request = request()
         step(Input.Submit(request, SimulatedCluster.job(request.number.toInt(), JobKind.SERVICE, tasks = 2 * FLEET.count())))
         repeat(3) { runInterval(FLEET) }
     }
 
-    /** Direct calls to the first [count] machines get no answer. */
+    /** Reports a direct call to each of the first [count] machines as unanswered. */
     private fun loseDirectCalls(count: Int) = repeat(count) { step(Input.DirectCallUnanswered(machineId(it))) }
 
-    /** Lets a heartbeat interval pass in which the heartbeats of [machines] arrive, spread over its rounds. */
+    /** Advances the clock by a heartbeat interval in which the heartbeats of [machines] arrive, spread over its rounds. */
     private fun runInterval(machines: Iterable<Int>, token: FencingToken? = null, throughFollower: Boolean = false): List<Effect> {
         sequenceNumber++
         return (0 until roundsPerHeartbeat).flatMap { round ->
             machines.filter { it % roundsPerHeartbeat == round }.flatMap { machine ->
-                val shownToken = token ?: receivedTokens[machine] ?: FencingToken.first(revision)
-                val heartbeat = heartbeat(machine, sequenceNumber, shownToken)
+                val reportedToken = token ?: receivedTokens[machine] ?: FencingToken.first(revision)
+                val heartbeat = heartbeat(machine, sequenceNumber, reportedToken)
                 if (throughFollower) forward(machine, heartbeat) else sendHeartbeat(heartbeat)
             } + runRounds(1)
         }
--- a/src/test/kotlin/cleathitch/scheduler/FakeMachine.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FakeMachine.kt
@@ -9,7 +9,10 @@
 import cleathitch.scheduler.model.TaskStatus
 import cleathitch.scheduler.model.WorkerCommand
 
-/** What a worker keeps between its heartbeats: its incarnation, the newest fencing token, and its tasks. Starts with [template]. */
+/**
+ * A worker on a machine: keeps its incarnation, the newest fencing token received and its tasks between heartbeats. Its
+ * heartbeats are copies of [template] with the current state.
+ */
 class FakeMachine(private val template: Heartbeat) {
     private var incarnation = template.incarnation
     private var sequenceNumber = 1L
@@ -19,11 +22,11 @@
     val id = template.machine
     val attempts: Set<AttemptId> get() = tasks.keys
 
-    /** Its next heartbeat. */
+    /** Creates the next heartbeat, with an incremented sequence number. */
     fun heartbeat() =
         template.copy(incarnation = incarnation, sequenceNumber = ++sequenceNumber, token = token, tasks = tasks.values.toList())
 
-    /** Executes a direct call, unless a newer token or incarnation shuts it out. */
+    /** Executes a direct call, unless it names another incarnation or an older fencing token than the newest received. */
     fun receive(call: Effect.SendCommands) {
         if (call.incarnation == incarnation) execute(call.token, call.commands)
     }
@@ -38,7 +41,7 @@
 
     fun dropTasks() = tasks.clear()
 
-    /** Its lease expires: its tasks are killed, and a new incarnation begins. */
+    /** Expires the worker's lease: kills its tasks and begins a new incarnation. */
     fun expireLease() {
         dropTasks()
         incarnation++
--- a/src/test/kotlin/cleathitch/scheduler/ForwardedHeartbeatsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/ForwardedHeartbeatsTest.kt
@@ -16,12 +16,12 @@
 import org.junit.jupiter.api.Test
 
 /**
- * The leader decides about a heartbeat that a follower forwards exactly as about one that it receives itself. An unchanged
- * heartbeat stands for the full one that it is based on.
+ * The leader handles a heartbeat that a follower forwards exactly like one that it receives directly. An unchanged heartbeat
+ * is an abbreviation of the full one that it is based on.
  */
 class ForwardedHeartbeatsTest : SchedulerHarness() {
     @Test
-    fun `an unchanged heartbeat renews what its base showed`() {
+    fun `an unchanged heartbeat counts as a repetition of its base`() {
         startOneTask()
 
         val effects = (1L..20).flatMap { interval ->
@@ -36,10 +36,10 @@
         assertEquals(emptyList<DirectStart>(), effects.directStarts())
     }
 
-    /** A heartbeat that reached the leader by another way changed what the follower takes for known. */
+    /** A heartbeat that reached the leader by another path replaced the base that the follower relies on. */
     @Test
     fun `an unchanged heartbeat whose base isn't the last one received is answered with a request for the full one`() {
-        becomeLeaderOf(machines = 1)
+        becomeLeaderWithFleet(machines = 1)
         forward(full(heartbeat(0, sequenceNumber = 2)))
         sendHeartbeat(heartbeat(0, sequenceNumber = 3))
 
@@ -50,23 +50,23 @@
 
     @Test
     fun `an unchanged heartbeat of another incarnation, unknown machine or earlier term is answered with a request for the full one`() {
-        becomeLeaderOf(machines = 1)
+        becomeLeaderWithFleet(machines = 1)
         forward(full(heartbeat(0, sequenceNumber = 2)))
 
-        val ofOtherIncarnation = forward(unchanged(0, sequenceNumber = 3, baseSequenceNumber = 2, incarnation = 2)).single()
-        val ofUnknownMachine = forward(unchanged(5, sequenceNumber = 3, baseSequenceNumber = 2)).single()
+        val otherIncarnationDecision = forward(unchanged(0, sequenceNumber = 3, baseSequenceNumber = 2, incarnation = 2)).single()
+        val unknownMachineDecision = forward(unchanged(5, sequenceNumber = 3, baseSequenceNumber = 2)).single()
         failOver()
-        val ofEarlierTerm = forward(unchanged(0, sequenceNumber = 3, baseSequenceNumber = 2)).single()
+        val earlierTermDecision = forward(unchanged(0, sequenceNumber = 3, baseSequenceNumber = 2)).single()
 
-        assertEquals(HeartbeatDecision.RequestFull, ofOtherIncarnation)
-        assertEquals(HeartbeatDecision.RequestFull, ofUnknownMachine)
-        assertEquals(HeartbeatDecision.RequestFull, ofEarlierTerm)
+        assertEquals(HeartbeatDecision.RequestFull, otherIncarnationDecision)
+        assertEquals(HeartbeatDecision.RequestFull, unknownMachineDecision)
+        assertEquals(HeartbeatDecision.RequestFull, earlierTermDecision)
     }
 
-    /** As when a batch is delivered twice, or a copy of a heartbeat reaches a second follower. */
+    /** This happens when a batch is delivered twice, or when a copy of a heartbeat reaches a second follower. */
     @Test
-    fun `a repeated heartbeat isn't answered again, and the rest of its batch is`() {
-        becomeLeaderOf(machines = 2)
+    fun `a repeated heartbeat is refused, and the rest of its batch is answered`() {
+        becomeLeaderWithFleet(machines = 2)
 
         val first = forward(full(heartbeat(0, sequenceNumber = 2)), full(heartbeat(1, sequenceNumber = 2)))
         val second = forward(full(heartbeat(0, sequenceNumber = 2)), full(heartbeat(1, sequenceNumber = 3)))
@@ -76,9 +76,9 @@
         assertTrue(second[1] is HeartbeatDecision.Answer)
     }
 
-    /** The worker's lease runs from when it sent the heartbeat, which is earlier; the leader must count from the arrival. */
+    /** The worker's lease runs from when it sent the heartbeat; the leader knows only the later arrival, and must count from that. */
     @Test
-    fun `a delayed heartbeat keeps its machine's tasks for a lease from its arrival`() {
+    fun `tasks of a machine aren't started elsewhere within a lease from the arrival of its delayed heartbeat`() {
         startOneTask()
         advanceTo(nowMs + workerLeaseMs / 2)
         forward(unchanged(0, sequenceNumber = 3, baseSequenceNumber = 2))
@@ -91,13 +91,15 @@
             if (runRounds(1).directStarts().isNotEmpty()) startsMs += nowMs
         }
 
-        assertTrue(startsMs.isNotEmpty() && startsMs.first() >= leaseEndMs) { "$startsMs, the lease may run until $leaseEndMs" }
+        assertTrue(startsMs.isNotEmpty() && startsMs.first() >= leaseEndMs) {
+            "starts at $startsMs ms, expected the first at $leaseEndMs ms or later"
+        }
     }
 
-    /** Without a lease of its own a leader answers for a bounded time, through followers too. */
+    /** A leader without a valid lease answers heartbeats only for a bounded time, also those forwarded by followers. */
     @Test
-    fun `forwarded heartbeats are refused once the leader's grace is over`() {
-        becomeLeaderOf(machines = 1, leaseUntilMs = 1000)
+    fun `forwarded heartbeats are refused once the leader's grace period is over`() {
+        becomeLeaderWithFleet(machines = 1, leaseUntilMs = 1000)
 
         advanceTo(1000 + timings.graceMs - 1)
         assertTrue(forward(full(heartbeat(0, sequenceNumber = 2))).single() is HeartbeatDecision.Answer)
@@ -107,10 +109,10 @@
         assertEquals(HeartbeatDecision.Refuse, forward(unchanged(0, sequenceNumber = 4, baseSequenceNumber = 3)).single())
     }
 
-    /** A machine that shows a higher token was answered by a newer leader; nothing after it in the batch is answered either. */
+    /** A newer leader has answered a machine that reports a higher token, so the heartbeats after it in the batch are refused too. */
     @Test
-    fun `a higher fencing token in a batch ends the term and refuses the whole batch`() {
-        becomeLeaderOf(machines = 2)
+    fun `a leader that finds a higher fencing token in a batch steps down and refuses the whole batch`() {
+        becomeLeaderWithFleet(machines = 2)
         val newer = heartbeat(0, sequenceNumber = 2, token = FencingToken.first(revision + 1000))
 
         val effects = step(Input.FollowerBatchReceived(request(), listOf(full(newer), full(heartbeat(1, sequenceNumber = 2)))))
@@ -120,8 +122,8 @@
     }
 
     @Test
-    fun `a terminated machine gets no answer through a follower`() {
-        becomeLeaderOf(machines = 1)
+    fun `forwarded heartbeats of a terminated machine are refused`() {
+        becomeLeaderWithFleet(machines = 1)
         step(Input.MachinesListed(listOf(listedMachine(0, ListedState.FAILED))))
         runRounds(40)
         step(Input.MachinesTerminated(listOf(machineId(0))))
@@ -145,9 +147,9 @@
             baseSequenceNumber,
         )
 
-    /** One machine with the only task there is, which a follower's heartbeat shows as running. */
+    /** Becomes leader of one machine and starts one task, which a forwarded heartbeat reports as running. */
     private fun startOneTask(): AttemptId {
-        becomeLeaderOf(machines = 1)
+        becomeLeaderWithFleet(machines = 1)
         submitJobs(1, tasks = 1)
         val call = runRounds(3).directCalls().first { call -> call.commands.any { it is WorkerCommand.Start } }
         val attempt = call.commands.single().attempt
--- a/src/test/kotlin/cleathitch/scheduler/IsolatedLeaderTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/IsolatedLeaderTest.kt
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A leader that still reaches its workers but neither the key-value store nor other controllers. */
+/** A leader that still reaches its workers, but neither the key-value store nor other controllers. */
 class IsolatedLeaderTest : SchedulerHarness() {
-    /** Without a bound its machines would run on for good, and no successor could ever start their tasks elsewhere. */
+    /** Without a bound, its workers' leases would be renewed forever, and no successor could start their tasks elsewhere. */
     @Test
-    fun `a leader without a lease answers heartbeats for its grace, decides nothing, and refuses users`() {
-        becomeLeaderOf(machines = 2, leaseUntilMs = 1000)
+    fun `a leader without a lease answers heartbeats for its grace period, decides nothing and refuses user requests`() {
+        becomeLeaderWithFleet(machines = 2, leaseUntilMs = 1000)
         submitJobs(1, tasks = 2)
         advanceTo(1000 + timings.graceMs - 1)
 
--- a/src/test/kotlin/cleathitch/scheduler/LargeFleetTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/LargeFleetTest.kt
@@ -14,38 +14,38 @@
 import org.junit.jupiter.api.Test
 
 /**
- * What grows with the fleet between an election and the first answers, counted at 4,000 machines under the limits of a small
- * key-value store. Times and memory are printed and not checked: `mvn -Dtest=LargeFleetTest test`.
+ * Checks the work between an election and the first answers that grows with the fleet, at 4,000 machines under the limits of a
+ * small key-value store. Times and memory are printed but not checked: `mvn -Dtest=LargeFleetTest test`.
  */
 class LargeFleetTest : SchedulerHarness() {
     @Test
-    fun `a failover at 4,000 machines reads few pages and accepts the heartbeat of every machine`() {
+    fun `a failover at 4,000 machines reads few pages, and every machine's heartbeat is answered`() {
         val heapBeforeMb = usedHeapMb()
-        val heartbeats = startTasksOnAllMachines()
+        val heartbeats = startTasks()
         val heapWithSchedulerMb = usedHeapMb()
         val stored = storedEntries()
         val bytes = stored.sumOf { MessageCodec.encode(it.value).size.toLong() + it.key.length }
-        val pages = pagesOf(stored, bytes)
+        val pages = pageCount(stored, bytes)
 
         val startNs = System.nanoTime()
         failOver()
         val replayMs = (System.nanoTime() - startNs) / 1_000_000
-        val probed = probesInAnInterval()
+        val probed = probedInFirstInterval()
         println(
-            "$MACHINES machines, as many tasks: ${stored.size} entries, ${bytes / 1000} kB, $pages pages, replay $replayMs ms; " +
+            "$MACHINES machines, $MACHINES tasks: ${stored.size} entries, ${bytes / 1000} kB, $pages pages, replay $replayMs ms; " +
                 "${probed.size} machines probed in a heartbeat interval of $heartbeatIntervalMs ms; " +
                 "heap $heapBeforeMb MB before, $heapWithSchedulerMb MB with the scheduler, ${usedHeapMb()} MB after its successor's replay",
         )
         val answered = heartbeats.count { heartbeat -> sendHeartbeat(heartbeat.next()).any { it is Effect.AnswerHeartbeat } }
 
-        assertTrue(pages <= MAX_PAGES) { "$pages pages, $bytes bytes, ${stored.size} entries" }
+        assertTrue(pages <= MAX_PAGES) { "$pages pages, expected at most $MAX_PAGES; $bytes bytes, ${stored.size} entries" }
         assertEquals(MACHINES, answered)
     }
 
-    /** Compaction keeps up, so that the time of a replay doesn't grow with all that was ever done. */
+    /** If compaction fell behind, the time of a replay would grow with the whole history. */
     @Test
-    fun `what is stored at 4,000 machines stays bounded while jobs come and go`() {
-        val heartbeats = startTasksOnAllMachines()
+    fun `the number of stored entries at 4,000 machines stays bounded as jobs complete`() {
+        val heartbeats = startTasks()
         val entriesBefore = storedEntries().size
 
         heartbeats.forEach { heartbeat ->
@@ -53,29 +53,31 @@
             sendHeartbeat(heartbeat.next().copy(tasks = exited))
         }
         var rounds = 0
-        while (storedEntries().size > MAX_ENTRIES_LEFT && rounds++ < MAX_ROUNDS) runRounds(1)
+        while (storedEntries().size > MAX_ENTRIES_AFTER_COMPACTION && rounds++ < MAX_ROUNDS) runRounds(1)
 
         println(
             "$MACHINES exited tasks: $entriesBefore entries before, ${storedEntries().size} after $rounds rounds of ${timings.roundMs} ms",
         )
-        assertTrue(storedEntries().size <= MAX_ENTRIES_LEFT) { "${storedEntries().size} entries are left" }
+        assertTrue(storedEntries().size <= MAX_ENTRIES_AFTER_COMPACTION) {
+            "${storedEntries().size} entries stored after $rounds rounds, expected at most $MAX_ENTRIES_AFTER_COMPACTION"
+        }
     }
 
-    /** Half of the machines run two tasks each. The result is each machine's newest heartbeat. */
-    private fun startTasksOnAllMachines(): List<Heartbeat> {
-        becomeLeaderOf(MACHINES)
+    /** Starts [MACHINES] tasks; half of the machines run two each. Returns each machine's newest heartbeat. */
+    private fun startTasks(): List<Heartbeat> {
+        becomeLeaderWithFleet(MACHINES)
         submitJobs(MACHINES / TASKS_PER_JOB, tasks = TASKS_PER_JOB)
         val tasks = HashMap<MachineId, MutableSet<TaskStatus>>()
         var rounds = 0
         while (tasks.values.sumOf { it.size } < MACHINES && rounds++ < MAX_ROUNDS) {
-            // A start that no heartbeat has shown yet may be sent again.
+            // A start that no heartbeat has reported yet may be sent again.
             runRounds(1).directStarts().forEach { start ->
                 tasks.getOrPut(start.machine) { LinkedHashSet() } += TaskStatus(start.attempt, TaskState.RUNNING)
             }
-            // Without heartbeats the machines would count as silent.
+            // Without heartbeats the machines would be detected as silent.
             if (rounds % ROUNDS_PER_HEARTBEAT == 0) sendHeartbeats(tasks, rounds + 1L)
         }
-        assertEquals(MACHINES, tasks.values.sumOf { it.size }, "tasks that were started in $rounds rounds")
+        assertEquals(MACHINES, tasks.values.sumOf { it.size }, "tasks started in $rounds rounds")
         return sendHeartbeats(tasks, MAX_ROUNDS + 2L)
     }
 
@@ -89,17 +91,17 @@
 
     private fun Heartbeat.next() = copy(sequenceNumber = sequenceNumber + 1)
 
-    /** The machines that a new leader probes in its first heartbeat interval. */
-    private fun probesInAnInterval(): Set<MachineId> {
+    /** Returns the machines that a new leader probes in its first heartbeat interval. */
+    private fun probedInFirstInterval(): Set<MachineId> {
         step(Input.MachinesListed(List(MACHINES) { listedMachine(it) }))
-        val beginMs = nowMs
+        val startMs = nowMs
         val probed = HashSet<MachineId>()
-        while (nowMs - beginMs < heartbeatIntervalMs) probed += runRounds(1).probedMachines()
+        while (nowMs - startMs < heartbeatIntervalMs) probed += runRounds(1).probedMachines()
         return probed
     }
 
-    private fun pagesOf(entries: List<KeyValueStoreProtocol.Entry>, bytes: Long) =
-        maxOf((entries.size + PAGE_ENTRIES - 1) / PAGE_ENTRIES, (bytes / PAGE_BYTES + 1).toInt())
+    private fun pageCount(entries: List<KeyValueStoreProtocol.Entry>, bytes: Long) =
+        maxOf((entries.size + MAX_ENTRIES_PER_PAGE - 1) / MAX_ENTRIES_PER_PAGE, (bytes / MAX_PAGE_BYTES + 1).toInt())
 
     private fun usedHeapMb(): Long {
         repeat(2) { System.gc() }
@@ -112,14 +114,17 @@
         const val MAX_ROUNDS = 3000
         const val ROUNDS_PER_HEARTBEAT = 8
 
-        /** The key-value store's limits on one answer. */
-        const val PAGE_ENTRIES = 1000
-        const val PAGE_BYTES = 512 * 1024L
+        /** The key-value store's limits on the entries and bytes of one response. */
+        const val MAX_ENTRIES_PER_PAGE = 1000
+        const val MAX_PAGE_BYTES = 512 * 1024L
 
-        /** At a few milliseconds a page, now and then some hundred, a replay stays well below the watchdog's four leases. */
+        /**
+         * A page takes a few milliseconds, occasionally some hundred, so a replay takes far less than the four lease times after
+         * which a leader without progress is deposed.
+         */
         const val MAX_PAGES = 8
 
-        /** Head, inventory, two chunks of finished jobs, and the last records. */
-        const val MAX_ENTRIES_LEFT = 8
+        /** The log's head, the inventory, two chunks of finished jobs, and the last records. */
+        const val MAX_ENTRIES_AFTER_COMPACTION = 8
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/QuotaFaultsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/QuotaFaultsTest.kt
@@ -6,12 +6,12 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A team's limit, of two tasks, together with failovers and lost replies: a task counts until it surely doesn't run any more. */
+/** A team's limit of two tasks combined with failovers and lost replies: a task counts until it certainly isn't running any more. */
 class QuotaFaultsTest : CombinedFaultsHarness(maxCpus = 4.0) {
-    /** The machine of the cancelled tasks sends no heartbeat after the failover, so only time frees the team's quota. */
+    /** The machine of the cancelled tasks sends no heartbeat after the failover, so only the passage of time frees the team's quota. */
     @Test
-    fun `a team at its limit waits for cancelled tasks on a silent machine until grace, lease and margin are over, and no longer`() {
-        lead()
+    fun `cancelled tasks on a silent machine count against the limit until grace period, lease and margin are over, and no longer`() {
+        becomeLeaderWithFleet()
         startJob(1, tasks = 2)
         failOver()
         assertTrue(confirmsCancellation(cancel(1)))
@@ -23,13 +23,13 @@
         val afterBound = runIntervals(6, listOf(other))
 
         assertEquals(emptyList<AttemptId>(), withinBound.startedAttempts())
-        assertEquals(listOf(taskOf(2)), afterBound.startedTasks())
+        assertEquals(listOf(taskId(2)), afterBound.startedTasks())
     }
 
-    /** The start commands may still arrive until the machine shows a higher fencing token than theirs. */
+    /** The machine may still execute the start commands until it reports a higher fencing token than theirs. */
     @Test
-    fun `cancelled starts that no heartbeat shows count until a higher fencing token shuts them out`() {
-        lead()
+    fun `cancelled starts that no heartbeat reports count against the limit until the machine reports a higher fencing token`() {
+        becomeLeaderWithFleet()
         submit(1, tasks = 2)
         runRounds(2)
         cancel(1)
@@ -39,28 +39,31 @@
         machine.sendHeartbeat()
         val afterToken = runIntervals(2)
 
-        assertStartsNothingOf(2, beforeToken)
-        assertEquals(listOf(taskOf(2)), afterToken.startedTasks())
+        assertNoStartsOf(2, beforeToken)
+        assertEquals(listOf(taskId(2)), afterToken.startedTasks())
     }
 
-    /** It shows no token of this term as it misses all replies, but its new incarnation shuts out all that was sent before. */
+    /**
+     * The machine misses all replies and so never reports a newer fencing token, but in its new incarnation it rejects all commands
+     * that were sent before.
+     */
     @Test
-    fun `a cancelled task on a machine that misses replies counts until its incarnation ends`() {
-        lead()
+    fun `a cancelled task on a machine that misses replies counts against the limit until its incarnation ends`() {
+        becomeLeaderWithFleet()
         startJob(1, tasks = 2)
         cancel(1)
         submit(2)
 
-        repeat(2) { assertStartsNothingOf(2, machine.sendHeartbeat(missesReplies = true) + runRounds(2)) }
+        repeat(2) { assertNoStartsOf(2, machine.sendHeartbeat(missesReplies = true) + runRounds(2)) }
         machine.expireLease()
         machine.sendHeartbeat(missesReplies = true)
-        val afterIncarnation = runIntervals(2, listOf(fakeMachine(2)))
+        val afterNewIncarnation = runIntervals(2, listOf(fakeMachine(2)))
 
-        assertEquals(listOf(taskOf(2)), afterIncarnation.startedTasks())
+        assertEquals(listOf(taskId(2)), afterNewIncarnation.startedTasks())
     }
 
     private fun List<Effect>.startedTasks() = startedAttempts().map { it.task }.distinct()
 
-    private fun assertStartsNothingOf(job: Int, effects: List<Effect>) =
-        assertEquals(emptyList<AttemptId>(), effects.startedAttempts().filter { it.task == taskOf(job) })
+    private fun assertNoStartsOf(job: Int, effects: List<Effect>) =
+        assertEquals(emptyList<AttemptId>(), effects.startedAttempts().filter { it.task == taskId(job) })
 }
--- a/src/test/kotlin/cleathitch/scheduler/ScalabilityTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/ScalabilityTest.kt
@@ -12,20 +12,20 @@
 import org.junit.jupiter.api.Test
 
 /**
- * A scheduler with a fleet and a queue of the size of large deployments. Candidates and bytes are counted, not seconds, so that
- * the result is the same on every machine.
+ * A scheduler with the fleet and the queue of a large deployment. Costs are counted in candidates and bytes instead of seconds,
+ * so that the result is the same on every computer.
  */
 class ScalabilityTest : SchedulerHarness() {
     @Test
-    fun `a round evaluates each machine once for a placement class, however many jobs wait`() {
+    fun `a round evaluates each machine once per placement class, however many jobs are queued`() {
         assertEquals(candidatesEvaluated(machines = 1000, jobs = 10), candidatesEvaluated(machines = 1000, jobs = 400))
         assertEquals(2 * candidatesEvaluated(machines = 700, jobs = 100), candidatesEvaluated(machines = 1400, jobs = 100))
     }
 
-    /** The store refuses a commit that exceeds a limit, each time that it is repeated, and so all that come after it. */
+    /** The store rejects an oversized commit at every retry, which blocks all later commits too. */
     @Test
     fun `no commit exceeds the key-value store's limits, with a thousand starts in a round and a job of 100,000 tasks`() {
-        becomeLeaderOf(machines = 1400)
+        becomeLeaderWithFleet(machines = 1400)
 
         submitJobs(300, tasks = 4)
         submitJobs(1, tasks = 100_000)
@@ -36,24 +36,26 @@
     }
 
     @Test
-    fun `changes are paced by the key-value store's budget, and an intake with budget left is written at once`() {
-        becomeLeaderOf(machines = 10)
-        val begin = commits.size
+    fun `changes are limited to the write budget, and a submission within the budget is written at once`() {
+        becomeLeaderWithFleet(machines = 10)
+        val commitsBefore = commits.size
         submitJobs(1, tasks = 1)
-        assertEquals(begin + 1, commits.size, "an intake with budget left is written at once")
+        assertEquals(commitsBefore + 1, commits.size, "a submission within the budget is written at once")
 
-        val written = commits.size
+        val commitsBeforeBurst = commits.size
         val startMs = nowMs
         submitJobs(300, tasks = 1)
         runRounds(40)
 
-        val changes = commits.drop(written).sumOf { it.changes.size }
-        assertTrue(changes <= deployment.stateWriteRps * (nowMs - startMs + 1000) / 1000) { "$changes changes" }
+        val changes = commits.drop(commitsBeforeBurst).sumOf { it.changes.size }
+        assertTrue(changes <= deployment.stateWriteRps * (nowMs - startMs + 1000) / 1000) {
+            "$changes changes in ${nowMs - startMs} ms, limit ${deployment.stateWriteRps} per second"
+        }
     }
 
-    /** The first heartbeat that a new leader receives from a machine may be a late copy from a machine that is long gone. */
+    /** The first heartbeat that a new leader receives from a machine may be a late copy, while the machine was terminated long ago. */
     @Test
-    fun `a machine gets tasks once it shows a fencing token of this term, not before`() {
+    fun `a machine gets tasks once it reports a fencing token of this term, not before`() {
         becomeLeader()
         sendHeartbeat(heartbeat(1, sequenceNumber = 1, FencingToken.first(3)))
         submitJobs(1, tasks = 1)
@@ -64,23 +66,23 @@
         assertEquals(1, runRounds(2).count { it is Effect.SendCommands })
     }
 
-    /** The last answered heartbeat of every machine is then older than its lease; the outage doesn't count as silence. */
+    /** After the outage every machine's last answered heartbeat is older than its lease; that time doesn't count as silence. */
     @Test
-    fun `after a long outage of the key-value store no machine is terminated for its silence`() {
-        becomeLeaderOf(machines = 20, leaseUntilMs = 1000)
+    fun `after a long outage of the key-value store no machine is terminated as silent`() {
+        becomeLeaderWithFleet(machines = 20, leaseUntilMs = 1000)
         submitJobs(20, tasks = 2)
         assertTrue(runRounds(3).any { it is Effect.SendCommands })
         runRounds(4 * 60)
 
-        val afterOutage = step(Input.LeaseRenewed(FOREVER_MS)) + runRounds(2)
+        val afterOutage = step(Input.LeaseRenewed(NO_EXPIRY_MS)) + runRounds(2)
 
         assertEquals(emptyList<Effect>(), afterOutage.filter { it is Effect.Log && "event=termination_requested" in it.text })
         assertEquals(emptySet<MachineId>(), afterOutage.terminatedMachines())
     }
 
-    /** Otherwise its free room, and starts that its old leader didn't deliver, wait for its next heartbeat. */
+    /** Otherwise its free capacity and the starts that the old leader didn't deliver would have to wait for its next heartbeat. */
     @Test
-    fun `after a failover a machine that the cloud lists is probed, and its answer is enough to place tasks there`() {
+    fun `after a failover a machine that the cloud lists is probed, and its answer suffices to place tasks there`() {
         becomeLeader()
         val heartbeat = heartbeat(1, sequenceNumber = 5, FencingToken.first(3))
         step(Input.MachinesListed(listOf(listedMachine(1).copy(ageS = 100.0))))
@@ -92,25 +94,25 @@
         assertEquals(1, runRounds(2).count { it is Effect.SendCommands })
     }
 
-    /** What is placed there would never run, and would be found missing only when the machine counts as silent. */
+    /** Tasks placed there would never run, which would be noticed only when the machine is detected as silent. */
     @Test
     fun `a late copy of a heartbeat doesn't revive a terminated machine`() {
-        becomeLeaderOf(machines = 1)
+        becomeLeaderWithFleet(machines = 1)
         val terminated = runRounds(4 * 70).filterIsInstance<Effect.TerminateMachines>().first().machines
         step(Input.MachinesTerminated(terminated))
 
         val request = request()
-        val late = step(Input.HeartbeatReceived(request, heartbeat(0, sequenceNumber = 9)))
+        val staleEffects = step(Input.HeartbeatReceived(request, heartbeat(0, sequenceNumber = 9)))
         submitJobs(1, tasks = 1)
 
-        assertTrue(Effect.RefuseHeartbeat(request) in late)
+        assertTrue(Effect.RefuseHeartbeat(request) in staleEffects)
         assertTrue(runRounds(4).none { it is Effect.SendCommands })
     }
 
-    /** Its heartbeats would keep it in the inventory for good, and what is placed there would never run. */
+    /** Its heartbeats would keep it in the inventory forever, and tasks placed there would never run. */
     @Test
-    fun `a machine that never shows the fencing tokens sent to it is terminated`() {
-        becomeLeaderOf(machines = 20)
+    fun `a machine that never reports the fencing tokens sent to it is terminated`() {
+        becomeLeaderWithFleet(machines = 20)
         val terminated = LinkedHashSet<MachineId>()
 
         for (sequenceNumber in 2L..7L) {
@@ -125,29 +127,33 @@
         assertEquals(setOf(MachineId("vm-000000")), terminated)
     }
 
-    /** How many machines the first round that places anything looks at. */
+    /** Returns how many candidates the first round that places any task evaluates. */
     private fun candidatesEvaluated(machines: Int, jobs: Int): Long {
-        val fresh = ScalabilityTest()
-        fresh.becomeLeaderOf(machines)
-        fresh.submitJobs(jobs, tasks = 2)
-        val before = fresh.scheduler.candidatesEvaluated
-        // The first round waits until the intakes are written, which the budget of changes spreads.
-        repeat(200) { if (fresh.scheduler.candidatesEvaluated == before) fresh.runRounds(1) }
-        return fresh.scheduler.candidatesEvaluated - before
+        val harness = ScalabilityTest()
+        harness.becomeLeaderWithFleet(machines)
+        harness.submitJobs(jobs, tasks = 2)
+        val before = harness.scheduler.candidatesEvaluated
+        // The first placement waits until the submissions are written, which the write budget spreads over several rounds.
+        repeat(200) { if (harness.scheduler.candidatesEvaluated == before) harness.runRounds(1) }
+        return harness.scheduler.candidatesEvaluated - before
     }
 
     private fun assertWithinLimits(commit: Commit) {
         val values = commit.changes.filterIsInstance<Mutation.Put>().flatMap { LogCodec.encode(it.value, it.parts) }
         val operations = values.size + commit.changes.count { it is Mutation.Delete }
-        assertTrue(operations <= deployment.stateTxnOps) { "$operations operations" }
-        values.forEach { assertTrue(it.toString().length <= deployment.stateValueBytes) { "a value of ${it.toString().length}" } }
-        val bytes = values.sumOf { it.toString().length + KEY_BYTES }
-        assertTrue(bytes <= MAX_COMMIT_BYTES) { "$bytes bytes" }
+        assertTrue(operations <= deployment.stateTxnOps) { "commit of $operations operations, limit ${deployment.stateTxnOps}" }
+        values.forEach {
+            assertTrue(it.toString().length <= deployment.stateValueBytes) {
+                "value of ${it.toString().length} characters, limit ${deployment.stateValueBytes}"
+            }
+        }
+        val bytes = values.sumOf { it.toString().length + MAX_KEY_BYTES }
+        assertTrue(bytes <= MAX_COMMIT_BYTES) { "commit of $bytes bytes, limit $MAX_COMMIT_BYTES" }
     }
 
     private companion object {
-        /** An upper bound on a key and what surrounds it in a request. */
-        const val KEY_BYTES = 80
+        /** An upper bound on the size of a key and its encoding overhead in a request. */
+        const val MAX_KEY_BYTES = 80
         const val MAX_COMMIT_BYTES = 65_536
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/SchedulerHarness.kt
+++ b/src/test/kotlin/cleathitch/scheduler/SchedulerHarness.kt
@@ -22,8 +22,8 @@
 import cleathitch.storage.StoredSizeEstimator
 
 /**
- * A scheduler that leads, time that passes when a test says so, and a key-value store that carries out commits at once unless
- * [isStoreOut]. Machines with even numbers are in zone a, those with odd numbers in zone b.
+ * Runs a leader's scheduler under a manual clock with a key-value store that applies commits at once, unless
+ * [isStoreUnavailable] is set. Machines with even numbers are in zone a, those with odd numbers in zone b.
  */
 abstract class SchedulerHarness(private var term: Long = 7, recovered: RecoveredState = RecoveredState.EMPTY, maxCpus: Double? = null) {
     protected val type = machineType()
@@ -38,47 +38,47 @@
     protected var nowMs = 0L
         private set
 
-    /** Of the key-value store's last change. */
+    /** The revision of the key-value store's last change. */
     protected var revision = term
         private set
 
     private var requests = 0L
-    private val stored = StoredEntries()
-    private val heldCommits = ArrayList<Commit>()
+    private val store = StoredEntries()
+    private val pendingCommits = ArrayList<Commit>()
 
-    /** All that were carried out. */
+    /** All commits that the key-value store has applied. */
     protected val commits = ArrayList<Commit>()
 
-    /** While set, commits are held: see [endStoreOutage]. */
-    protected var isStoreOut = false
+    /** While set, commits stay pending until [endStoreOutage] applies them or [failOver] discards them. */
+    protected var isStoreUnavailable = false
 
     protected fun request() = RequestId(++requests)
 
-    /** Hands [inputs] to the scheduler as one batch; the result includes the effects that its commits lead to. */
+    /** Passes [inputs] to the scheduler as one batch; the result includes the effects that follow from its commits. */
     protected fun step(vararg inputs: Input): List<Effect> {
         val effects = scheduler.handle(inputs.toList(), ClockReading(nowMs, nowMs)).toMutableList()
         effects.commits().forEach { commit ->
-            if (isStoreOut) heldCommits += commit else effects += carryOut(commit)
+            if (isStoreUnavailable) pendingCommits += commit else effects += applyCommit(commit)
         }
         return effects
     }
 
-    private fun carryOut(commit: Commit): List<Effect> {
+    private fun applyCommit(commit: Commit): List<Effect> {
         commits += commit
-        stored.apply(commit.changes)
+        store.apply(commit.changes)
         return step(Input.CommitSucceeded(commit.index, ++revision))
     }
 
-    /** The key-value store is back and carries out the commits held. */
+    /** Makes the key-value store available again and applies the pending commits. */
     protected fun endStoreOutage(): List<Effect> {
-        isStoreOut = false
-        return heldCommits.toList().also { heldCommits.clear() }.flatMap(::carryOut)
+        isStoreUnavailable = false
+        return pendingCommits.toList().also { pendingCommits.clear() }.flatMap(::applyCommit)
     }
 
-    /** The leader ends, with the commits held; its successor knows what is stored, and nothing else. */
+    /** Replaces the leader by a successor that recovers only what is stored; pending commits are discarded. */
     protected fun failOver(): List<Effect> {
-        isStoreOut = false
-        heldCommits.clear()
+        isStoreUnavailable = false
+        pendingCommits.clear()
         term = ++revision
         scheduler =
             Scheduler(
@@ -92,13 +92,13 @@
         return becomeLeader()
     }
 
-    /** What is stored, as a new leader reads it. */
-    protected fun storedEntries(): List<KeyValueStoreProtocol.Entry> = stored.entries(revision)
+    /** The stored entries as a new leader reads them. */
+    protected fun storedEntries(): List<KeyValueStoreProtocol.Entry> = store.entries(revision)
 
-    protected fun becomeLeader(leaseUntilMs: Long = FOREVER_MS) =
+    protected fun becomeLeader(leaseUntilMs: Long = NO_EXPIRY_MS) =
         step(Input.LeaseRenewed(leaseUntilMs), Input.MachineTypesListed(listOf(type)))
 
-    protected fun becomeLeaderOf(machines: Int, leaseUntilMs: Long = FOREVER_MS) {
+    protected fun becomeLeaderWithFleet(machines: Int, leaseUntilMs: Long = NO_EXPIRY_MS) {
         becomeLeader(leaseUntilMs)
         repeat(machines) { sendHeartbeat(heartbeat(it)) }
     }
@@ -107,7 +107,7 @@
         nowMs = ms
     }
 
-    /** Lets [count] scheduling rounds pass. */
+    /** Advances the clock by [count] scheduling rounds and runs each. */
     protected fun runRounds(count: Int) = List(count) {
         nowMs += timings.roundMs
         step(Input.Tick)
@@ -140,8 +140,8 @@
     }
 
     protected companion object {
-        /** A lease that no test outlives. */
-        const val FOREVER_MS = Long.MAX_VALUE / 2
+        /** A lease expiry that no test reaches. */
+        const val NO_EXPIRY_MS = Long.MAX_VALUE / 2
         private const val ADDRESS = "10.0.0.9:1"
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/SchedulerTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/SchedulerTest.kt
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A scheduler step by step, where each test decides when a commit succeeds. */
+/** Basic behaviour of a scheduler, where each test decides when a commit succeeds. */
 class SchedulerTest {
     private val scheduler = Scheduler(
         SimulatedCluster.standard,
@@ -34,9 +34,9 @@
     private var nowMs = 0L
     private var revision = 7L
 
-    /** Its free room would be paid for and never used. */
+    /** If such a machine were ignored, its free capacity would be paid for and never used. */
     @Test
-    fun `a machine whose heartbeat arrives before the machine types are listed is used`() {
+    fun `a machine whose first heartbeat arrives before the machine types are listed gets tasks`() {
         renewLease()
         step(Input.HeartbeatReceived(RequestId(1), heartbeat(1)))
         step(Input.MachineTypesListed(listOf(machineType())))
@@ -51,12 +51,12 @@
     }
 
     @Test
-    fun `an intake is answered once its record is committed, and not before`() {
+    fun `a submission is answered once its record is committed, and not before`() {
         renewLease()
         step(Input.MachineTypesListed(listOf(machineType())))
 
         val first = step(Input.Submit(RequestId(1), SimulatedCluster.job(1)))
-        // Intakes that arrive while a commit is in flight share the next record.
+        // Submissions that arrive while a commit is in flight share the next record.
         val others = step(Input.Submit(RequestId(2), SimulatedCluster.job(2)), Input.Submit(RequestId(3), SimulatedCluster.job(3)))
         val firstCommitted = commit(first)
         val othersCommitted = commit(firstCommitted)
@@ -68,7 +68,7 @@
     }
 
     @Test
-    fun `a stale heartbeat changes nothing and isn't answered`() {
+    fun `a stale heartbeat is refused and has no other effect`() {
         renewLease()
         step(Input.HeartbeatReceived(RequestId(1), heartbeat(5)))
 
@@ -78,7 +78,7 @@
     }
 
     @Test
-    fun `a heartbeat with a higher fencing token than the leader's own ends the term`() {
+    fun `a leader steps down when a heartbeat reports a fencing token higher than its own`() {
         renewLease()
 
         val effects = step(Input.HeartbeatReceived(RequestId(1), heartbeat(1, FencingToken.first(8))))
@@ -87,14 +87,14 @@
     }
 
     @Test
-    fun `without a lease users are refused at once`() {
+    fun `without a lease a poll is answered as unavailable at once`() {
         val reply = step(Input.Poll(RequestId(1), JobId("j-000001"))).userReplies().single()
 
         assertTrue(reply is UserReply.Unavailable)
     }
 
     @Test
-    fun `fencing tokens order by term, cursor and count, and stay below 2 to the 63`() {
+    fun `fencing tokens are ordered by term, cursor and count, and stay below 2 to the 63`() {
         val old = FencingToken.first(41)
 
         assertTrue(old.next() > old)
@@ -106,7 +106,7 @@
 
     private fun renewLease() = step(Input.LeaseRenewed(Long.MAX_VALUE / 2))
 
-    /** The commits among [effects] succeed. */
+    /** Confirms the commits among [effects] as successful. */
     private fun commit(effects: List<Effect>): List<Effect> =
         effects.commits().flatMap { step(Input.CommitSucceeded(it.index, ++revision)) }
 
--- a/src/test/kotlin/cleathitch/scheduler/StoreOutageTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/StoreOutageTest.kt
@@ -8,18 +8,18 @@
 
 /** Outages of the key-value store that outlast workers' leases. */
 class StoreOutageTest : CombinedFaultsHarness() {
-    /** Their tasks ended with the leases and start again there; until then the machines only look idle. */
+    /** The tasks ended when the leases expired and are restarted on the same machines; until then the machines only appear idle. */
     @Test
-    fun `machines whose leases expired in an outage aren't terminated as idle when it ends`() {
+    fun `machines whose leases expired in an outage aren't terminated as idle when the outage ends`() {
         val fleet = fleet(6)
-        lead(fleet, leaseUntilMs = 20_000)
+        becomeLeaderWithFleet(fleet, leaseUntilMs = 20_000)
         val started = submit(1, tasks = 12) { copy(kind = JobKind.SERVICE) } + runRounds(2)
         deliver(started.directCalls(), fleet)
-        isStoreOut = true
+        isStoreUnavailable = true
         runIntervals((deployment.cancelS / deployment.reportS).toInt() + 10, fleet)
         fleet.forEach { it.expireLease() }
 
-        val effects = step(Input.LeaseRenewed(FOREVER_MS)) + endStoreOutage() + runIntervals(3, fleet)
+        val effects = step(Input.LeaseRenewed(NO_EXPIRY_MS)) + endStoreOutage() + runIntervals(3, fleet)
 
         assertEquals(emptySet<MachineId>(), effects.terminatedMachines())
         assertEquals(12, effects.startedAttempts().mapTo(HashSet()) { it.task }.size)
--- a/src/test/kotlin/cleathitch/scheduler/UnreachableMachinesTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/UnreachableMachinesTest.kt
@@ -8,12 +8,12 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Machines whose heartbeats reach no controller while they answer direct calls, and zones that lose their machines. */
+/** Machines that answer direct calls while their heartbeats reach no controller, and zones that lose their machines. */
 class UnreachableMachinesTest : CombinedFaultsHarness() {
-    /** Direct calls don't renew leases, so what is started there would end with the machine's lease. */
+    /** Direct calls don't renew leases, so tasks started there would be killed when the machine's lease expires. */
     @Test
-    fun `a machine whose heartbeats are lost gets no new tasks, though it answers probes`() {
-        lead()
+    fun `a machine whose heartbeats are lost gets no new tasks, although it answers probes`() {
+        becomeLeaderWithFleet()
         runIntervalsWithProbes(listOf(machine), count = 4)
 
         val effects = submit(1) + runIntervalsWithProbes(listOf(machine), count = 2)
@@ -21,13 +21,13 @@
         assertEquals(emptyList<AttemptId>(), effects.startedAttempts())
     }
 
-    /** When all heartbeats are lost the fault lies elsewhere, as when no machine answers at all. */
+    /** When the heartbeats of all machines are lost, the fault lies elsewhere, just as when no machine answers at all. */
     @Test
     fun `a fleet whose heartbeats are lost isn't terminated when its leases expire`() {
         val fleet = fleet(12)
-        leadBusy(fleet)
+        becomeLeaderWithBusyFleet(fleet)
 
-        val effects = runIntervalsWithProbes(fleet, count = intervalsPerLease + 3)
+        val effects = runIntervalsWithProbes(fleet, count = intervalsUntilLeaseExpiry + 3)
 
         assertEquals(emptySet<MachineId>(), effects.terminatedMachines())
     }
@@ -35,20 +35,20 @@
     @Test
     fun `a single machine whose heartbeats are lost is terminated once its lease has expired`() {
         val fleet = fleet(12)
-        leadBusy(fleet)
+        becomeLeaderWithBusyFleet(fleet)
 
-        val effects = (1..intervalsPerLease + 3).flatMap { fleet[0].answerProbe() + runIntervals(1, fleet.drop(1)) }
+        val effects = (1..intervalsUntilLeaseExpiry + 3).flatMap { fleet[0].answerProbe() + runIntervals(1, fleet.drop(1)) }
 
         assertEquals(setOf(fleet[0].id), effects.terminatedMachines())
     }
 
     /**
-     * The machine has room for two of three tasks. As long as one may run there, the third must join it, though another zone
-     * has room; once the last machine is terminated the job may go to any zone.
+     * The machine has capacity for two of the three tasks. While one of them may still run there, the third must be placed in the
+     * same zone although another zone has free capacity. Once the machine is terminated, the job may run in any zone.
      */
     @Test
-    fun `an array bound to one zone goes to another once nothing of it is left there`() {
-        lead()
+    fun `a single-zone array job is restarted in another zone once none of its tasks may run in the first`() {
+        becomeLeaderWithFleet()
         val other = fakeMachine(1)
         runIntervals(2, listOf(machine, other))
         val started = submit(1, tasks = 3) { copy(oneZone = true) } + runRounds(2)
@@ -64,14 +64,14 @@
         assertEquals(2, afterTermination.startedAttempts().mapTo(HashSet()) { it.task }.size)
     }
 
-    /** Leads [fleet] with two tasks of a service on each machine. */
-    private fun leadBusy(fleet: List<FakeMachine>) {
-        lead(fleet)
+    /** Becomes leader of [fleet] with two tasks of a service on each machine. */
+    private fun becomeLeaderWithBusyFleet(fleet: List<FakeMachine>) {
+        becomeLeaderWithFleet(fleet)
         submit(1, tasks = 2 * fleet.size) { copy(kind = JobKind.SERVICE) }
         deliver(runRounds(2).directCalls(), fleet)
     }
 
-    /** Lets [count] heartbeat intervals pass in which [machines] answer probes and none of their heartbeats arrives. */
+    /** Advances the clock by [count] heartbeat intervals in which [machines] answer probes and none of their heartbeats arrives. */
     private fun runIntervalsWithProbes(machines: List<FakeMachine>, count: Int): List<Effect> = (1..count).flatMap {
         machines.flatMap { it.answerProbe() } + runRounds(roundsPerHeartbeat)
     }
