--- a/src/test/kotlin/cleathitch/scheduler/simulation/EventQueue.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/EventQueue.kt
@@ -1,24 +1,23 @@
 package cleathitch.scheduler.simulation
 
-import cleathitch.scheduler.log.Event
 import java.util.PriorityQueue
 
-/** Virtual time: events run in the order of their times, and events of the same time in the order in which they were scheduled. */
+/** Event queue of the discrete-event simulation. Events run in order of virtual time; ties run in the order of scheduling. */
 class EventQueue {
-    private class Event(val atMs: Long, val order: Long, val action: () -> Unit)
+    private class ScheduledEvent(val atMs: Long, val sequenceNumber: Long, val action: () -> Unit)
 
-    private val events = PriorityQueue<Event>(compareBy<Event>({ it.atMs }, { it.order }))
-    private var scheduledEvents = 0L
+    private val events = PriorityQueue<ScheduledEvent>(compareBy<ScheduledEvent>({ it.atMs }, { it.sequenceNumber }))
+    private var nextSequenceNumber = 0L
 
     var nowMs = 0L
         private set
 
-    /** Runs [action] once [delayMs] have passed. */
-    fun after(delayMs: Long, action: () -> Unit) {
-        events += Event(nowMs + delayMs, scheduledEvents++, action)
+    /** Schedules [action] to run [delayMs] after the current virtual time. */
+    fun schedule(delayMs: Long, action: () -> Unit) {
+        events += ScheduledEvent(nowMs + delayMs, nextSequenceNumber++, action)
     }
 
-    /** Runs the events of the next [durationMs], each followed by [afterEach], for as long as [mayContinue]. */
+    /** Runs the events of the next [durationMs] and calls [afterEach] after each. Stops early when [mayContinue] returns false. */
     fun run(durationMs: Long, mayContinue: () -> Boolean, afterEach: () -> Unit) {
         val endMs = nowMs + durationMs
         while (events.isNotEmpty() && events.peek().atMs <= endMs && mayContinue()) {
--- a/src/test/kotlin/cleathitch/scheduler/simulation/FairnessTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/FairnessTest.kt
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A simulated cluster to which more work is submitted than it can do: every class, team and size of job gets a share. */
+/** Simulates a cluster under overload: every job class, team and job size must get a share of the capacity. */
 class FairnessTest {
     private class Submission(val spec: JobSpec, val atMs: Long)
 
@@ -19,63 +19,64 @@
     private val submissions = ArrayList<Submission>()
 
     /**
-     * The protocol's pages require that half of each class, of each team and of a class's largest jobs is served, and that the
-     * largest begin within four minutes. With shortest-first alone the largest wait for as long as smaller ones come.
+     * The protocol documentation requires that half of the jobs of each class, of each team and of the largest jobs of a class
+     * complete, and that the largest jobs start within four minutes. Guards against pure shortest-job-first scheduling, under
+     * which the largest jobs starve for as long as smaller ones arrive.
      */
     @Test
-    fun `overload is shared by classes, teams and sizes`() {
-        repeat(OVERLOAD_S) { second -> submitAt(second) }
+    fun `under overload every class, team and job size completes more than half of its jobs`() {
+        repeat(OVERLOAD_PHASE_S) { second -> scheduleSubmission(second) }
         cluster.start()
 
-        cluster.run(OVERLOAD_S * 1000L + AFTER_MS)
+        cluster.run(OVERLOAD_PHASE_S * 1000L + DRAIN_PHASE_MS)
 
-        cluster.assertNoRuleViolated()
+        cluster.assertInvariantsHold()
         assertOverloaded()
         teams.forEach { team -> assertHalfServed("team $team") { it.spec.team == team } }
         classes.forEach { name -> assertHalfServed("class $name") { it.spec.className == name } }
-        assertHalfServed("largest") { it.spec.tasks == LARGE && it.atMs < OVERLOAD_S * 1000L / 2 }
-        assertLargestBeganInTime()
+        assertHalfServed("large jobs of the first half") { it.spec.tasks == LARGE_JOB_TASKS && it.atMs < OVERLOAD_PHASE_S * 1000L / 2 }
+        assertLargeJobsStartedInTime()
     }
 
-    /** A job each second, by turns of each class and team; now and then a large one. */
-    private fun submitAt(second: Int) {
-        val tasks = if (second % LARGE_EVERY_S == 0) LARGE else SMALL
+    /** Schedules the job of [second], with class and team by round-robin; every [LARGE_JOB_INTERVAL_S]th job is large. */
+    private fun scheduleSubmission(second: Int) {
+        val tasks = if (second % LARGE_JOB_INTERVAL_S == 0) LARGE_JOB_TASKS else SMALL_JOB_TASKS
         val spec = SimulatedCluster.job(second, tasks = tasks, team = teams[second % teams.size])
             .copy(className = classes[second % classes.size])
         val submission = Submission(spec, second * 1000L)
         submissions += submission
-        cluster.events.after(submission.atMs) { cluster.users.submit(spec) }
+        cluster.events.schedule(submission.atMs) { cluster.users.submit(spec) }
     }
 
     private fun isDone(submission: Submission) = cluster.users.submitted.getValue(submission.spec.id).isReportedDone
 
-    /** Otherwise the test shows nothing. */
+    /** Checks the precondition of the test: without overload even an unfair scheduler completes all jobs. */
     private fun assertOverloaded() {
         val waiting = submissions.count { !isDone(it) }
-        assertTrue(waiting > submissions.size / 10) { "only $waiting jobs are left: no overload" }
+        assertTrue(waiting > submissions.size / 10) { "no overload: only $waiting of ${submissions.size} jobs are not done" }
     }
 
     private fun assertHalfServed(group: String, isInGroup: (Submission) -> Boolean) {
         val members = submissions.filter(isInGroup)
-        assertTrue(members.size >= 5) { "$group: ${members.size} jobs are too few to judge by" }
+        assertTrue(members.size >= 5) { "$group has ${members.size} jobs, at least 5 are needed" }
         val servedShare = members.count(::isDone).toDouble() / members.size
-        assertTrue(servedShare > 0.5) { "$group: $servedShare" }
+        assertTrue(servedShare > 0.5) { "$group: share of completed jobs is $servedShare, must be more than 0.5" }
     }
 
-    private fun assertLargestBeganInTime() {
+    private fun assertLargeJobsStartedInTime() {
         val late = submissions.filter {
-            it.spec.tasks == LARGE && (cluster.users.firstStartMs[it.spec.id] ?: Long.MAX_VALUE) - it.atMs > MAX_WAIT_MS
+            it.spec.tasks == LARGE_JOB_TASKS && (cluster.users.firstStartMs[it.spec.id] ?: Long.MAX_VALUE) - it.atMs > MAX_WAIT_MS
         }
-        assertTrue(late.isEmpty()) { "began late: ${late.map { it.spec.id }}" }
+        assertTrue(late.isEmpty()) { "large jobs that did not start within $MAX_WAIT_MS ms: ${late.map { it.spec.id }}" }
     }
 
     private companion object {
-        /** About one and a half times what 24 machines do in the time. */
-        const val OVERLOAD_S = 400
-        const val LARGE_EVERY_S = 16
-        const val SMALL = 5
-        const val LARGE = 40
-        const val AFTER_MS = 120_000L
+        /** In this time about one and a half times as much work is submitted as 24 machines complete. */
+        const val OVERLOAD_PHASE_S = 400
+        const val LARGE_JOB_INTERVAL_S = 16
+        const val SMALL_JOB_TASKS = 5
+        const val LARGE_JOB_TASKS = 40
+        const val DRAIN_PHASE_MS = 120_000L
         const val MAX_WAIT_MS = 240_000L
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/FaultInjector.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/FaultInjector.kt
@@ -3,36 +3,46 @@
 import cleathitch.scheduler.model.MachineId
 import kotlin.random.Random
 
-/** Injects the faults of a [FaultSchedule] for as long as the cluster isn't calm. */
+/** Injects the faults of the cluster's [FaultSchedule] until [SimulatedCluster.endFaults] is called. */
 class FaultInjector(private val cluster: SimulatedCluster, private val random: Random) {
     private val faults = cluster.faults
     private val events = cluster.events
     private val cloud = cluster.cloud
     private val store = cluster.store
 
-    /** The order of these lines is part of a seed's meaning: it decides which of two events of the same time comes first. */
+    /**
+     * Schedules all faults. The order of the calls is part of what a seed reproduces: it determines which of two events at the same
+     * time runs first.
+     */
     fun start() {
-        every(faults.leaderKillEveryS) { cluster.leader?.kill() }
-        every(faults.leaderIsolationEveryS) { cluster.leader?.isolateFromStore(random.nextLong(1000, 30_000)) }
-        every(faults.machineLossEveryS) { cloud.machines.keys.randomOrNull(random)?.let(cloud::terminate) }
-        every(faults.missedRepliesEveryS) { randomWorker()?.loseReplies(SimulatedWorker.FOREVER) }
-        every(faults.machineRestartEveryS) { randomWorker()?.restart() }
-        every(faults.rackFailureEveryS) { stopRack() }
-        every(faults.zonePartitionEveryS) {
-            cluster.network.partitionZone(cluster.deployment.zones.random(random), forMs = random.nextLong(5_000, 60_000))
+        injectPeriodically(faults.leaderKillEveryS) { cluster.leader?.kill() }
+        injectPeriodically(faults.leaderIsolationEveryS) { cluster.leader?.isolateFromStore(random.nextLong(1000, 30_000)) }
+        injectPeriodically(faults.machineLossEveryS) { cloud.machines.keys.randomOrNull(random)?.let(cloud::terminate) }
+        injectPeriodically(faults.permanentReplyLossEveryS) { randomWorker()?.loseReplies(SimulatedWorker.FOREVER) }
+        injectPeriodically(faults.machineRestartEveryS) { randomWorker()?.restart() }
+        injectPeriodically(faults.rackFailureEveryS) { terminateRack() }
+        injectPeriodically(faults.zonePartitionEveryS) {
+            cluster.network.partitionZone(cluster.deployment.zones.random(random), durationMs = random.nextLong(5_000, 60_000))
         }
-        every(faults.controllerPauseEveryS) { pauseController() }
-        every(faults.storeOutageEveryS) { store.outage(random.nextLong(500, sometimes(50_000, otherwise = 8000))) }
-        every(faults.lostHeartbeatsEveryS) { randomThird().forEach { it.loseHeartbeats(untilMs = upToAMinuteFromNow()) } }
-        every(faults.fleetMissesRepliesEveryS) { randomThird().forEach { it.loseReplies(untilMs = upToAMinuteFromNow()) } }
-        every(faults.massCancellationEveryS) { cluster.users.cancelRunningJobs(hang = true) }
-        every(faults.unusualRequestsEveryS) { cluster.users.sendUnusualRequests() }
-        every(faults.allControllersDownEveryS) { killAllControllers() }
-        if (faults.failoverThenOutageAtS > 0) events.after((faults.failoverThenOutageAtS * 1000).toLong(), ::failoverThenOutage)
-        every(faults.machineHangEveryS) { randomWorker()?.hang() }
+        injectPeriodically(faults.controllerPauseEveryS) { pauseController() }
+        injectPeriodically(faults.storeOutageEveryS) { store.startOutage(random.nextLong(500, oneInFour(50_000, otherwise = 8000))) }
+        injectPeriodically(faults.massHeartbeatLossEveryS) {
+            randomThirdOfWorkers().forEach { it.loseHeartbeats(untilMs = randomTimeWithinAMinute()) }
+        }
+        injectPeriodically(faults.massReplyLossEveryS) {
+            randomThirdOfWorkers().forEach { it.loseReplies(untilMs = randomTimeWithinAMinute()) }
+        }
+        injectPeriodically(faults.massCancellationEveryS) { cluster.users.cancelRunningJobs(hang = true) }
+        injectPeriodically(faults.edgeCaseRequestsEveryS) { cluster.users.sendEdgeCaseRequests() }
+        injectPeriodically(faults.allControllersDownEveryS) { killAllControllers() }
+        if (faults.failoverThenOutageAtS > 0) events.schedule((faults.failoverThenOutageAtS * 1000).toLong(), ::failoverThenOutage)
+        injectPeriodically(faults.machineHangEveryS) { randomWorker()?.hang() }
     }
 
-    /** Ends the faults that last, except machines that have lost their replies for good. */
+    /**
+     * Ends isolations, outages, connection faults and partitions, except a permanent loss of replies. Pauses and hangs end by
+     * themselves.
+     */
     fun stop() {
         cluster.controllers.forEach { it.endIsolation() }
         store.endOutage()
@@ -40,33 +50,33 @@
         cluster.network.healPartitions()
     }
 
-    /** Injects [fault] at random times, [meanS] apart on average; never if that is 0. */
-    private fun every(meanS: Double, fault: () -> Unit) {
+    /** Injects [fault] at random intervals with a mean of [meanS] seconds, or never if [meanS] is 0. */
+    private fun injectPeriodically(meanS: Double, fault: () -> Unit) {
         if (meanS <= 0) return
-        fun next() {
-            if (!cluster.isCalm) fault()
-            events.after((meanS * 1000 * random.nextDouble(0.3, 1.7)).toLong(), ::next)
+        fun injectNext() {
+            if (!cluster.faultsEnded) fault()
+            events.schedule((meanS * 1000 * random.nextDouble(0.3, 1.7)).toLong(), ::injectNext)
         }
-        events.after((meanS * 1000).toLong(), ::next)
+        events.schedule((meanS * 1000).toLong(), ::injectNext)
     }
 
     private fun randomWorker() = cloud.machines.values.randomOrNull(random)
 
-    private fun randomThird() = cloud.machines.values.shuffled(random).take(1 + cloud.machines.size / 3)
+    private fun randomThirdOfWorkers() = cloud.machines.values.shuffled(random).take(1 + cloud.machines.size / 3)
 
-    private fun upToAMinuteFromNow() = events.nowMs + random.nextLong(60_000)
+    private fun randomTimeWithinAMinute() = events.nowMs + random.nextLong(60_000)
 
-    /** [rare] once in four times. */
-    private fun sometimes(rare: Long, otherwise: Long) = if (random.nextInt(4) == 0) rare else otherwise
+    /** Returns [rare] with a probability of 1/4. */
+    private fun oneInFour(rare: Long, otherwise: Long) = if (random.nextInt(4) == 0) rare else otherwise
 
-    private fun stopRack() {
+    private fun terminateRack() {
         val rack: List<MachineId> = cloud.machines.keys.shuffled(random).take(cloud.machines.size / 4)
         rack.forEach(cloud::terminate)
     }
 
     private fun pauseController() {
         val paused = if (random.nextBoolean()) cluster.leader ?: cluster.randomController() else cluster.randomController()
-        paused.pause(random.nextLong(1000, sometimes(50_000, otherwise = 6000)))
+        paused.pause(random.nextLong(1000, oneInFour(50_000, otherwise = 6000)))
     }
 
     private fun killAllControllers() {
@@ -74,24 +84,27 @@
         cluster.controllers.forEach { it.kill(downMs + random.nextLong(2000)) }
     }
 
-    /** The store refuses the leader alone, its successor confirms cancellations, and then the store is out beyond their deadline. */
+    /**
+     * Isolates the leader from the key-value store. Once its successor leads, users cancel jobs, and an outage of the store begins
+     * that outlasts the cancellation deadline.
+     */
     private fun failoverThenOutage() {
-        val deposed = cluster.leader ?: return events.after(POLL_LEADER_EVERY_MS, ::failoverThenOutage)
-        deposed.isolateFromStore(ISOLATION_MS)
-        fun onSuccession() {
+        val isolated = cluster.leader ?: return events.schedule(LEADER_POLL_INTERVAL_MS, ::failoverThenOutage)
+        isolated.isolateFromStore(ISOLATION_MS)
+        fun cancelOnceSuccessorLeads() {
             val successor = store.leader
-            if (cluster.leader == null || successor === deposed || successor?.isLeading != true) {
-                return events.after(POLL_SUCCESSOR_EVERY_MS, ::onSuccession)
+            if (cluster.leader == null || successor === isolated || successor?.isLeading != true) {
+                return events.schedule(SUCCESSOR_POLL_INTERVAL_MS, ::cancelOnceSuccessorLeads)
             }
             cluster.users.cancelRunningJobs(hang = random.nextBoolean())
-            events.after(random.nextLong(100, 1500)) { store.outage((cluster.deployment.cancelS * 1200).toLong()) }
+            events.schedule(random.nextLong(100, 1500)) { store.startOutage((cluster.deployment.cancelS * 1200).toLong()) }
         }
-        onSuccession()
+        cancelOnceSuccessorLeads()
     }
 
     private companion object {
         const val ISOLATION_MS = 14_000L
-        const val POLL_LEADER_EVERY_MS = 200L
-        const val POLL_SUCCESSOR_EVERY_MS = 50L
+        const val LEADER_POLL_INTERVAL_MS = 200L
+        const val SUCCESSOR_POLL_INTERVAL_MS = 50L
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/FaultSchedule.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/FaultSchedule.kt
@@ -1,60 +1,63 @@
 package cleathitch.scheduler.simulation
 
 /**
- * Which faults a simulation injects and how often. Shares are of 1, and `...EveryS` is the mean time in seconds between two
- * faults of a kind, 0 for never.
+ * The faults that a simulation injects, and how often. Shares are between 0 and 1. `...EveryS` is the mean interval in seconds between
+ * two faults of a kind; 0 disables the fault.
  */
 data class FaultSchedule(
-    /** Share of messages that are lost. */
+    /** Share of messages that are dropped. */
     val messageLoss: Double = 0.0,
     /** Share of messages that are delayed by up to a minute. */
     val messageDelay: Double = 0.0,
     /** Share of messages that are delivered twice. */
     val messageDuplication: Double = 0.0,
-    /** The leader's process is killed. */
+    /** Kills the leader's process. */
     val leaderKillEveryS: Double = 0.0,
-    /** The key-value store refuses the leader alone. */
+    /** Makes the key-value store refuse requests of the leader only. */
     val leaderIsolationEveryS: Double = 0.0,
-    /** A machine ends. */
+    /** Terminates a machine. */
     val machineLossEveryS: Double = 0.0,
-    /** A machine hangs for a while. */
+    /** Makes a machine hang for up to 40 s. */
     val machineHangEveryS: Double = 0.0,
-    /** Share of heartbeats of which a copy arrives late, up to twice a worker's lease. */
-    val lateHeartbeatCopies: Double = 0.0,
-    /** A machine loses for good what is sent to it, while its heartbeats arrive. */
-    val missedRepliesEveryS: Double = 0.0,
-    /** A machine restarts at once. */
+    /** Share of heartbeats of which a duplicate arrives late, by up to twice a worker's lease. */
+    val lateHeartbeatDuplicates: Double = 0.0,
+    /** Permanently drops everything sent to a machine, while its heartbeats still arrive. */
+    val permanentReplyLossEveryS: Double = 0.0,
+    /** Restarts a machine without a delay. */
     val machineRestartEveryS: Double = 0.0,
-    /** A quarter of the machines ends. */
+    /** Terminates a quarter of the machines together. */
     val rackFailureEveryS: Double = 0.0,
-    /** All messages from and to a zone are held for up to a minute. */
+    /** Holds all messages from and to a zone for up to a minute. */
     val zonePartitionEveryS: Double = 0.0,
-    /** A controller does nothing for a while, now and then for longer than a worker's lease. */
+    /** Pauses a controller, occasionally for longer than a worker's lease. */
     val controllerPauseEveryS: Double = 0.0,
-    /** Killed controllers are back within a fraction of a second, and may be killed again in the election. */
+    /** Killed controllers restart within 0.4 s, and their successor may be killed within the time to live of the leader's lease. */
     val quickRestarts: Boolean = false,
-    /** Share of compare-and-swaps that get no answer and are carried out 2 to 12 s later. */
+    /** Share of compare-and-swaps that are applied 2 to 12 s late and get no answer. */
     val lateCommits: Double = 0.0,
-    /** The key-value store is out for a few seconds, now and then for longer than a worker's lease. */
+    /** Makes the key-value store unavailable for a few seconds, occasionally for longer than a worker's lease. */
     val storeOutageEveryS: Double = 0.0,
-    /** The heartbeats of a third of the machines reach no controller for a while, while direct calls reach the machines. */
-    val lostHeartbeatsEveryS: Double = 0.0,
-    /** A third of the machines loses for a while what is sent to it. */
-    val fleetMissesRepliesEveryS: Double = 0.0,
-    /** Users cancel several running jobs, whose machines hang at that moment. */
+    /** Drops the heartbeats of a third of the machines for up to a minute, while direct calls still reach these machines. */
+    val massHeartbeatLossEveryS: Double = 0.0,
+    /** Drops everything sent to a third of the machines for up to a minute, while their heartbeats still arrive. */
+    val massReplyLossEveryS: Double = 0.0,
+    /** Users cancel several running jobs, and the machines of these jobs hang from that moment. */
     val massCancellationEveryS: Double = 0.0,
-    /** Share of jobs that are cancelled as their last task ends. */
-    val cancelledAtEnd: Double = 0.0,
-    /** Users repeat a submission, cancel a job that is done, and submit one that can't run. */
-    val unusualRequestsEveryS: Double = 0.0,
-    /** All controllers are down together, for up to longer than a worker's lease. */
+    /** Share of jobs that are cancelled within 0.2 s after their last task completes. */
+    val cancellationsAtCompletion: Double = 0.0,
+    /** Users submit an accepted job again, cancel a job that is done, and submit a job that can never run. */
+    val edgeCaseRequestsEveryS: Double = 0.0,
+    /** Kills all controllers at once. They may stay down for longer than a worker's lease. */
     val allControllersDownEveryS: Double = 0.0,
-    /** When the store refuses the leader alone, its successor confirms cancellations, and then the store is out beyond `cancelS`. */
+    /**
+     * Time in seconds at which the leader is isolated from the key-value store; 0 disables the fault. Once its successor leads, users
+     * cancel jobs, and then the store is unavailable for longer than `cancelS`.
+     */
     val failoverThenOutageAtS: Double = 0.0,
-    /** Share of commits that archive jobs and are never carried out: their leader is killed within a lease. */
-    val killsBeforeArchive: Double = 0.0,
-    /** Seconds between log compactions, if not the usual. */
+    /** Share of commits archiving jobs that are never sent, as the leader is killed within the time to live of its lease. */
+    val leaderKillsBeforeArchival: Double = 0.0,
+    /** Seconds between log compactions; null for the default. */
     val compactionEveryS: Double? = null,
-    /** Tasks end within a heartbeat interval, so that most are first seen when they have exited. */
+    /** Tasks complete within a heartbeat interval, so that most have already exited when a heartbeat first reports them. */
     val shortTasks: Boolean = false,
 )
--- a/src/test/kotlin/cleathitch/scheduler/simulation/FaultSchedules.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/FaultSchedules.kt
@@ -1,6 +1,6 @@
 package cleathitch.scheduler.simulation
 
-/** The fault schedules under which the safety rules are tested, by what they show. */
+/** The fault schedules under which the invariants are tested, by the name that appears in the test reports. */
 object FaultSchedules {
     val byName = mapOf(
         "no faults" to FaultSchedule(),
@@ -11,25 +11,25 @@
         "lost and hanging machines" to
             FaultSchedule(messageDelay = 0.02, machineLossEveryS = 15.0, machineHangEveryS = 10.0),
         "late copies of heartbeats" to
-            FaultSchedule(messageDelay = 0.02, lateHeartbeatCopies = 0.3, leaderKillEveryS = 20.0),
-        "machines that miss replies" to FaultSchedule(lateHeartbeatCopies = 0.05, missedRepliesEveryS = 20.0),
-        "processes and machines that restart at once" to FaultSchedule(
+            FaultSchedule(messageDelay = 0.02, lateHeartbeatDuplicates = 0.3, leaderKillEveryS = 20.0),
+        "machines that lose replies" to FaultSchedule(lateHeartbeatDuplicates = 0.05, permanentReplyLossEveryS = 20.0),
+        "quick restarts of processes and machines" to FaultSchedule(
             messageDelay = 0.02,
-            lateHeartbeatCopies = 0.1,
+            lateHeartbeatDuplicates = 0.1,
             leaderKillEveryS = 10.0,
             machineRestartEveryS = 6.0,
             quickRestarts = true,
         ),
-        "failing racks and partitioned zones" to FaultSchedule(
+        "rack failures and zone partitions" to FaultSchedule(
             messageDelay = 0.02,
             rackFailureEveryS = 40.0,
             zonePartitionEveryS = 40.0,
-            lateHeartbeatCopies = 0.05,
+            lateHeartbeatDuplicates = 0.05,
             leaderKillEveryS = 40.0,
         ),
         "paused controllers" to FaultSchedule(
             messageDelay = 0.02,
-            lateHeartbeatCopies = 0.1,
+            lateHeartbeatDuplicates = 0.1,
             controllerPauseEveryS = 8.0,
             machineHangEveryS = 20.0,
         ),
@@ -49,31 +49,31 @@
             massCancellationEveryS = 30.0,
             quickRestarts = true,
         ),
-        "machines whose heartbeats are lost, or that miss replies" to FaultSchedule(
-            lostHeartbeatsEveryS = 30.0,
-            fleetMissesRepliesEveryS = 40.0,
+        "machines that lose heartbeats or replies" to FaultSchedule(
+            massHeartbeatLossEveryS = 30.0,
+            massReplyLossEveryS = 40.0,
             leaderKillEveryS = 30.0,
             massCancellationEveryS = 40.0,
         ),
-        "cancellations and unusual requests" to FaultSchedule(
-            cancelledAtEnd = 0.5,
-            unusualRequestsEveryS = 2.0,
+        "cancellations and edge-case requests" to FaultSchedule(
+            cancellationsAtCompletion = 0.5,
+            edgeCaseRequestsEveryS = 2.0,
             massCancellationEveryS = 30.0,
             leaderKillEveryS = 20.0,
             machineHangEveryS = 20.0,
         ),
-        "leaders killed before they archive" to
-            FaultSchedule(killsBeforeArchive = 0.3, compactionEveryS = 0.2, shortTasks = true, cancelledAtEnd = 0.2),
+        "leaders killed before they archive jobs" to
+            FaultSchedule(leaderKillsBeforeArchival = 0.3, compactionEveryS = 0.2, shortTasks = true, cancellationsAtCompletion = 0.2),
         "all controllers down" to FaultSchedule(
             messageDelay = 0.02,
-            lateHeartbeatCopies = 0.1,
+            lateHeartbeatDuplicates = 0.1,
             allControllersDownEveryS = 50.0,
             massCancellationEveryS = 40.0,
         ),
         "failover, then an outage of the key-value store" to FaultSchedule(failoverThenOutageAtS = 30.0),
         "failover, then an outage, with delayed messages and hanging machines" to FaultSchedule(
             messageDelay = 0.03,
-            lateHeartbeatCopies = 0.05,
+            lateHeartbeatDuplicates = 0.05,
             machineHangEveryS = 20.0,
             failoverThenOutageAtS = 30.0,
         ),
@@ -85,8 +85,8 @@
             leaderIsolationEveryS = 30.0,
             machineLossEveryS = 20.0,
             machineHangEveryS = 15.0,
-            lateHeartbeatCopies = 0.05,
-            missedRepliesEveryS = 40.0,
+            lateHeartbeatDuplicates = 0.05,
+            permanentReplyLossEveryS = 40.0,
             machineRestartEveryS = 30.0,
             rackFailureEveryS = 60.0,
             zonePartitionEveryS = 60.0,
--- a/src/test/kotlin/cleathitch/scheduler/simulation/PendingRequests.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/PendingRequests.kt
@@ -4,35 +4,35 @@
 import cleathitch.scheduler.api.UserReply
 import cleathitch.scheduler.model.RequestId
 
-/** Requests that a scheduler has received and not answered yet, with what to do with the answer. */
+/** Requests that no scheduler has answered yet, with the callback for each answer. */
 class PendingRequests {
     private var lastNumber = 0L
-    private val users = HashMap<RequestId, (UserReply) -> Unit>()
-    private val heartbeats = HashMap<RequestId, (Effect.AnswerHeartbeat) -> Unit>()
-    private val followerBatches = HashMap<RequestId, (Effect.AnswerFollower) -> Unit>()
+    private val userCallbacks = HashMap<RequestId, (UserReply) -> Unit>()
+    private val heartbeatCallbacks = HashMap<RequestId, (Effect.AnswerHeartbeat) -> Unit>()
+    private val followerBatchCallbacks = HashMap<RequestId, (Effect.AnswerFollower) -> Unit>()
 
-    /** The id of a request whose answer nobody waits for. */
-    fun withoutAnswer() = RequestId(++lastNumber)
+    /** Returns the id of a new request. Without a callback added for it, its answer is dropped. */
+    fun newRequestId() = RequestId(++lastNumber)
 
-    fun ofUser(onReply: (UserReply) -> Unit) = withoutAnswer().also { users[it] = onReply }
+    fun addUserRequest(onReply: (UserReply) -> Unit) = newRequestId().also { userCallbacks[it] = onReply }
 
-    fun ofHeartbeat(onAnswer: (Effect.AnswerHeartbeat) -> Unit) = withoutAnswer().also { heartbeats[it] = onAnswer }
+    fun addHeartbeat(onAnswer: (Effect.AnswerHeartbeat) -> Unit) = newRequestId().also { heartbeatCallbacks[it] = onAnswer }
 
-    fun ofFollowerBatch(onAnswer: (Effect.AnswerFollower) -> Unit) = withoutAnswer().also { followerBatches[it] = onAnswer }
+    fun addFollowerBatch(onAnswer: (Effect.AnswerFollower) -> Unit) = newRequestId().also { followerBatchCallbacks[it] = onAnswer }
 
     fun answer(effect: Effect.Answer) {
-        users.remove(effect.request)?.invoke(effect.reply)
+        userCallbacks.remove(effect.request)?.invoke(effect.reply)
     }
 
     fun answer(effect: Effect.AnswerHeartbeat) {
-        heartbeats.remove(effect.request)?.invoke(effect)
+        heartbeatCallbacks.remove(effect.request)?.invoke(effect)
     }
 
     fun answer(effect: Effect.AnswerFollower) {
-        followerBatches.remove(effect.request)?.invoke(effect)
+        followerBatchCallbacks.remove(effect.request)?.invoke(effect)
     }
 
     fun refuse(effect: Effect.RefuseHeartbeat) {
-        heartbeats.remove(effect.request)
+        heartbeatCallbacks.remove(effect.request)
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SafetyInvariantsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SafetyInvariantsTest.kt
@@ -5,32 +5,38 @@
 import org.junit.jupiter.api.DynamicTest
 import org.junit.jupiter.api.TestFactory
 
-/** Seeded runs of a simulated cluster under each fault schedule: no rule is violated, and all work ends once the faults are over. */
+/**
+ * Simulates a cluster under each fault schedule with several seeds. No invariant may be violated at any time, and all jobs must finish
+ * once faults end.
+ */
 class SafetyInvariantsTest {
     @TestFactory
-    fun `no rule is violated, and all jobs end once faults are over`() = FaultSchedules.byName.flatMap { (name, faults) ->
-        (1L..SEEDS).map { seed -> DynamicTest.dynamicTest("$name, seed $seed") { checkRun(seed, faults) } }
+    fun `no invariant is violated, and all jobs finish once faults end`() = FaultSchedules.byName.flatMap { (name, faults) ->
+        (1L..SEED_COUNT).map { seed -> DynamicTest.dynamicTest("$name, seed $seed") { checkRun(seed, faults) } }
     }
 
     private fun checkRun(seed: Long, faults: FaultSchedule) {
         val cluster = SimulatedCluster(seed, faults)
         cluster.start()
-        repeat(JOBS) { number -> scheduleJob(cluster, number) }
+        repeat(JOB_COUNT) { number -> scheduleJob(cluster, number) }
 
-        cluster.run(FAULTS_MS)
+        cluster.run(FAULT_PHASE_MS)
         cluster.endFaults()
-        cluster.run(CALM_MS)
+        cluster.run(RECOVERY_PHASE_MS)
 
-        cluster.assertNoRuleViolated()
+        cluster.assertInvariantsHold()
         cluster.assertAllJobsEnded()
     }
 
-    /** Jobs come in the first half of the time; services, which never end by themselves, and some others are cancelled in the second. */
+    /**
+     * Submits a job in the first half of the fault phase. Services, which never finish by themselves, and some other jobs are
+     * cancelled in the second half.
+     */
     private fun scheduleJob(cluster: SimulatedCluster, number: Int) {
         val spec = jobSpec(number)
-        cluster.events.after(cluster.random.nextLong(FAULTS_MS / 2)) { cluster.users.submit(spec) }
+        cluster.events.schedule(cluster.random.nextLong(FAULT_PHASE_MS / 2)) { cluster.users.submit(spec) }
         if (spec.kind == JobKind.SERVICE || number % 7 == 0) {
-            cluster.events.after(FAULTS_MS / 2 + cluster.random.nextLong(FAULTS_MS / 2)) { cluster.users.cancel(spec.id) }
+            cluster.events.schedule(FAULT_PHASE_MS / 2 + cluster.random.nextLong(FAULT_PHASE_MS / 2)) { cluster.users.cancel(spec.id) }
         }
     }
 
@@ -45,9 +51,9 @@
     }
 
     private companion object {
-        const val SEEDS = 8L
-        const val JOBS = 24
-        const val FAULTS_MS = 150_000L
-        const val CALM_MS = 240_000L
+        const val SEED_COUNT = 8L
+        const val JOB_COUNT = 24
+        const val FAULT_PHASE_MS = 150_000L
+        const val RECOVERY_PHASE_MS = 240_000L
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCloud.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCloud.kt
@@ -3,13 +3,13 @@
 import cleathitch.scheduler.log.Event
 import cleathitch.scheduler.model.MachineId
 
-/** Rents and terminates machines. A repeated rental request returns the machines of the first. */
+/** Simulated cloud that rents out and terminates machines. Rental requests are idempotent: a retry returns the same machines. */
 class SimulatedCloud(private val cluster: SimulatedCluster, private val maxMachines: Int) {
     private val rentals = HashMap<String, List<MachineId>>()
     private val workers = LinkedHashMap<MachineId, SimulatedWorker>()
     private var machinesRented = 0
 
-    /** The machines that exist, with the worker on each, in the order of their rental. */
+    /** The existing machines and their workers, in the order in which they were rented. */
     val machines: Map<MachineId, SimulatedWorker> get() = workers
 
     fun rent(rental: Event.RentalRequested): List<MachineId> = rentals.getOrPut(rental.request) {
@@ -18,12 +18,12 @@
             val id = MachineId("vm-%06d".format(machinesRented++))
             val worker = SimulatedWorker(cluster, id, rental.offer)
             workers[id] = worker
-            cluster.events.after(cluster.random.nextLong(1000, 5000)) { worker.start() }
+            cluster.events.schedule(cluster.random.nextLong(1000, 5000)) { worker.heartbeatPeriodically() }
             id
         }
     }
 
-    /** The machine is gone, by a controller's request or by a fault, and all that ran on it. */
+    /** Removes the machine and everything that runs on it, on request of a controller or as an injected fault. */
     fun terminate(id: MachineId) {
         workers.remove(id)
     }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
@@ -14,43 +14,44 @@
 import kotlin.random.Random
 
 /**
- * Schedulers with simulated controllers, workers, cloud, key-value store, network and users round them, in virtual time. A
- * [seed] fixes every random draw and so the whole run. After each event [SafetyRules] are checked; the run ends when one is broken.
+ * Deterministic simulation in virtual time of real schedulers with simulated controllers, workers, cloud, key-value store, network
+ * and users. The [seed] determines every random draw and therefore the whole run. [InvariantChecker] checks the invariants after
+ * each event, and the run stops at the first violation.
  */
 class SimulatedCluster(private val seed: Long, val faults: FaultSchedule, val deployment: Deployment = standard, maxMachines: Int = 24) {
     val random = Random(seed)
     val events = EventQueue()
 
-    /** What controllers logged. */
+    /** Log lines of the controllers and of the invariant checker, with their virtual time in seconds. */
     val trace = ArrayList<String>()
 
-    /** True once no more faults are injected. */
-    var isCalm = false
+    /** True once faults are no longer injected. */
+    var faultsEnded = false
         private set
 
-    var calmSinceMs = 0L
+    var faultsEndedAtMs = 0L
         private set
 
     val timings = SchedulerTimings.of(deployment, faults.compactionEveryS)
     val machineType = machineType(deployment.zones)
-    val network = SimulatedNetwork(events, random, faults) { isCalm }
+    val network = SimulatedNetwork(events, random, faults) { faultsEnded }
     val store = SimulatedKeyValueStore<SimulatedController>(LEASE_TTL_MS) { events.nowMs }
     val pendingRequests = PendingRequests()
-    val controllers = List(CONTROLLERS) { SimulatedController(this, "node-$it", clockRate = 1 + (it - 1) * 0.0005) }
+    val controllers = List(CONTROLLER_COUNT) { SimulatedController(this, "node-$it", clockRate = 1 + (it - 1) * 0.0005) }
     val cloud = SimulatedCloud(this, maxMachines)
     val users = SimulatedUsers(this)
-    val rules = SafetyRules(this)
+    val invariants = InvariantChecker(this)
     private val faultInjector = FaultInjector(this, random)
 
-    /** The controller that leads; while a deposed one still takes itself for the leader, the one that holds the leader's key. */
+    /** The leading controller. If a deposed leader has not noticed yet, prefers the controller that holds the leader's key. */
     val leader: SimulatedController? get() = leaders().maxByOrNull { if (it === store.leader) 1 else 0 }
 
-    /** A controller that leads or takes itself for the leader. */
+    /** A controller that considers itself the leader; it may have been deposed. Null if there is none. */
     fun randomLeader() = leaders().randomOrNull(random)
 
     fun randomController() = controllers.random(random)
 
-    /** Draws how long a message to or from the key-value store takes. */
+    /** Draws the latency of a message to or from the key-value store. */
     fun storeDelayMs() = random.nextLong(1, 10)
 
     fun log(text: String) {
@@ -62,31 +63,32 @@
         faultInjector.start()
     }
 
-    fun run(durationMs: Long) = events.run(durationMs, mayContinue = { rules.violations.isEmpty() }, afterEach = rules::checkCluster)
+    fun run(durationMs: Long) =
+        events.run(durationMs, mayContinue = { invariants.violations.isEmpty() }, afterEach = invariants::checkCluster)
 
-    /** Ends all faults: from here on all work must come to its end. */
+    /** Stops the injection of faults. From then on all submitted jobs must finish. */
     fun endFaults() {
-        isCalm = true
-        calmSinceMs = events.nowMs
+        faultsEnded = true
+        faultsEndedAtMs = events.nowMs
         faultInjector.stop()
     }
 
-    fun assertNoRuleViolated() = assertEquals(emptyList<Violation>(), rules.violations) { "rules violated, ${lastEvents()}" }
+    fun assertInvariantsHold() = assertEquals(emptyList<Violation>(), invariants.violations) { "invariants violated, ${lastLogLines()}" }
 
     fun assertAllJobsEnded() {
         val open = users.submitted.values.filter { !it.hasEnded }.map { it.spec.id }
-        assertTrue(open.isEmpty()) { "never ended: $open, ${lastEvents()}" }
+        assertTrue(open.isEmpty()) { "${open.size} jobs neither done nor cancelled: $open, ${lastLogLines()}" }
     }
 
     private fun leaders() = controllers.filter { it.isLeading }
 
-    private fun lastEvents() = "seed $seed, last events:\n" + trace.takeLast(EVENTS_SHOWN).joinToString("\n")
+    private fun lastLogLines() = "seed $seed, last log lines:\n" + trace.takeLast(LOG_LINES_SHOWN).joinToString("\n")
 
     companion object {
-        /** Time to live of the leader's lease. */
+        /** Time to live of the leader's lease in the key-value store. */
         const val LEASE_TTL_MS = 3000L
-        private const val CONTROLLERS = 3
-        private const val EVENTS_SHOWN = 40
+        private const val CONTROLLER_COUNT = 3
+        private const val LOG_LINES_SHOWN = 40
 
         val standard = Deployment(
             zones = listOf("a", "b"),
@@ -97,7 +99,7 @@
             cloudRps = 4.0, listLagS = 4.0, nodes = 3,
         )
 
-        /** A job of [tasks] small tasks; services run in production and never on spot machines. */
+        /** A job of [tasks] tasks with 2 CPUs each. Services have production priority and do not allow spot machines. */
         fun job(number: Int, kind: JobKind = JobKind.ARRAY, tasks: Int = 3, team: String = "red") = JobSpec(
             id = JobId("j-%06d".format(number)),
             className = if (kind == JobKind.SERVICE) "web" else "batch",
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedController.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedController.kt
@@ -15,119 +15,119 @@
 import cleathitch.workers.HeartbeatQueue
 
 /**
- * A controller process: takes part in elections, renews its lease, feeds a [Scheduler] while it leads and executes its effects.
- * Its steady clock runs at [clockRate] times virtual time.
+ * A controller process: takes part in elections and renews its lease. While it leads, it passes inputs to a [Scheduler] and executes
+ * its effects. Its steady clock runs at [clockRate] times the speed of virtual time.
  */
 class SimulatedController(private val cluster: SimulatedCluster, val name: String, private val clockRate: Double) {
     private val events = cluster.events
     private val random = cluster.random
     private val store = cluster.store
-    private val forwarder = SimulatedForwarder(cluster, this)
-    private val commits = SimulatedCommits(cluster, this)
+    private val forwarder = SimulatedHeartbeatForwarder(cluster, this)
+    private val logStorage = SimulatedLogStorage(cluster, this)
     private var scheduler: Scheduler? = null
 
-    /** Number of the process's present run; what was scheduled by an earlier run does nothing. */
-    var processRun = 0
+    /** Incremented each time the process is killed; actions scheduled by an earlier incarnation are ignored. */
+    var incarnation = 0
         private set
 
-    /** The newest term in which it was elected. */
+    /** The latest term for which this controller was elected. */
     var term = 0L
         private set
 
-    private var renewedAtMs = 0L
-    private var storeRefusesUntilMs = 0L
+    private var lastRenewalMs = 0L
+    private var isolatedUntilMs = 0L
     private var pausedUntilMs = 0L
 
     val isLeading get() = scheduler != null
     val isPaused get() = events.nowMs < pausedUntilMs
-    val hasStore get() = events.nowMs >= storeRefusesUntilMs && !store.isOut
+    val canReachStore get() = events.nowMs >= isolatedUntilMs && !store.isUnavailable
 
-    fun leadsIn(term: Long) = this.term == term && isLeading
+    fun isLeadingIn(term: Long) = this.term == term && isLeading
 
     fun steadyMs() = (events.nowMs * clockRate).toLong() + STEADY_CLOCK_START_MS
 
-    /** The key-value store refuses this controller alone. */
-    fun isolateFromStore(forMs: Long) {
-        storeRefusesUntilMs = events.nowMs + forMs
+    /** Makes the key-value store refuse requests of this controller only. */
+    fun isolateFromStore(durationMs: Long) {
+        isolatedUntilMs = events.nowMs + durationMs
     }
 
     fun endIsolation() {
-        storeRefusesUntilMs = 0
+        isolatedUntilMs = 0
     }
 
-    /** The process does nothing while its clocks run on; inputs wait until it resumes. */
-    fun pause(forMs: Long) {
-        pausedUntilMs = events.nowMs + forMs
+    /** Pauses the process while its clocks continue to run. Inputs are deferred until it resumes. */
+    fun pause(durationMs: Long) {
+        pausedUntilMs = events.nowMs + durationMs
     }
 
-    /** Schedules [action] for the end of the pause, unless the process is killed before; false if it is not paused. */
-    fun postponeWhilePaused(action: () -> Unit): Boolean {
+    /** If the process is paused, defers [action] until it resumes and returns true. The action is dropped if the process is killed. */
+    fun deferWhilePaused(action: () -> Unit): Boolean {
         if (!isPaused) return false
-        val postponedBy = processRun
-        events.after(pausedUntilMs - events.nowMs) { if (processRun == postponedBy) action() }
+        val deferringIncarnation = incarnation
+        events.schedule(pausedUntilMs - events.nowMs) { if (incarnation == deferringIncarnation) action() }
         return true
     }
 
     fun start() {
-        val startedRun = processRun
+        val startIncarnation = incarnation
         fun loop() {
-            if (processRun != startedRun || postponeWhilePaused(::loop)) return
+            if (incarnation != startIncarnation || deferWhilePaused(::loop)) return
             store.expireLease()
-            if (!isLeading && store.isLeaderless && hasStore) elect()
-            if (isLeading && events.nowMs - renewedAtMs >= RENEW_EVERY_MS) renewLease()
+            if (!isLeading && store.isLeaderless && canReachStore) becomeLeader()
+            if (isLeading && events.nowMs - lastRenewalMs >= RENEWAL_INTERVAL_MS) renewLease()
             handle(Input.Tick)
             if (!isLeading) forwarder.forward()
-            events.after(LOOP_EVERY_MS, ::loop)
+            events.schedule(LOOP_INTERVAL_MS, ::loop)
         }
-        events.after(random.nextLong(LOOP_EVERY_MS), ::loop)
+        events.schedule(random.nextLong(LOOP_INTERVAL_MS), ::loop)
     }
 
-    /** Ends the process; it is back after [downMs], or after a usual restart. */
+    /** Kills the process. It restarts after [downMs], or after a random restart time if that is null. */
     fun kill(downMs: Long? = null) {
-        resign()
-        processRun++
+        stepDown()
+        incarnation++
         forwarder.reset()
-        if (downMs != null) return events.after(downMs) { start() }
+        if (downMs != null) return events.schedule(downMs) { start() }
         val quickRestarts = cluster.faults.quickRestarts
-        events.after(if (quickRestarts) random.nextLong(10, 400) else random.nextLong(200, 4000)) { start() }
+        events.schedule(if (quickRestarts) random.nextLong(10, 400) else random.nextLong(200, 4000)) { start() }
         if (quickRestarts && random.nextBoolean()) {
-            events.after(random.nextLong(SimulatedCluster.LEASE_TTL_MS)) { cluster.leader?.let { if (!cluster.isCalm) it.kill() } }
+            events.schedule(random.nextLong(SimulatedCluster.LEASE_TTL_MS)) { cluster.leader?.let { if (!cluster.faultsEnded) it.kill() } }
         }
     }
 
-    fun resign() {
+    fun stepDown() {
         scheduler = null
     }
 
-    /** Gives [input] to the scheduler, if this controller leads. */
+    /** Passes [input] to the scheduler if this controller leads; otherwise drops it. */
     fun handle(input: Input) {
-        if (postponeWhilePaused { handle(input) }) return
+        if (deferWhilePaused { handle(input) }) return
         val scheduler = scheduler ?: return
         scheduler.handle(listOf(input), clockReading()).forEach(::execute)
     }
 
-    /** A worker's heartbeat reaches this controller, which answers it as the leader or through the leader. */
+    /** Receives the heartbeat of a worker and answers it if this controller leads; otherwise forwards it to the leader. */
     fun receive(heartbeat: Heartbeat, answer: (FencingToken, List<WorkerCommand>) -> Unit) {
-        if (postponeWhilePaused { receive(heartbeat, answer) }) return
+        if (deferWhilePaused { receive(heartbeat, answer) }) return
         if (!isLeading) return forwarder.add(heartbeat, answer)
-        val request = cluster.pendingRequests.ofHeartbeat { answer(it.token, it.commands) }
+        val request = cluster.pendingRequests.addHeartbeat { answer(it.token, it.commands) }
         handle(Input.HeartbeatReceived(request, heartbeat))
     }
 
-    /** A follower's [batch] reaches this controller; without an answer if it doesn't lead in the batch's term. */
+    /** Receives the [batch] of a follower. It is not answered unless this controller leads in the batch's term. */
     fun receive(batch: HeartbeatQueue.Batch, answer: (List<HeartbeatDecision>) -> Unit) {
-        if (!leadsIn(batch.term)) return
-        val request = cluster.pendingRequests.ofFollowerBatch { answer(it.decisions) }
+        if (!isLeadingIn(batch.term)) return
+        val request = cluster.pendingRequests.addFollowerBatch { answer(it.decisions) }
         handle(Input.FollowerBatchReceived(request, batch.heartbeats))
     }
 
     private fun clockReading() = ClockReading(steadyMs(), events.nowMs)
 
-    private fun elect() {
+    private fun becomeLeader() {
         term = store.elect(this)
-        commits.begin(store.headRevision)
-        renewedAtMs = events.nowMs
-        val leaseEndMs = steadyMs() + TRUSTED_LEASE_MS
+        logStorage.startTerm(store.headRevision)
+        lastRenewalMs = events.nowMs
+        val leaseEndMs = steadyMs() + USABLE_LEASE_MS
         scheduler = Scheduler(cluster.deployment, cluster.timings, Term(term), store.snapshot(), clockReading(), StoredSizeEstimator)
         cluster.log("$name leads in term $term")
         handle(Input.LeaseRenewed(leaseEndMs))
@@ -136,14 +136,14 @@
 
     private fun renewLease() {
         val sentMs = steadyMs()
-        renewedAtMs = events.nowMs
-        if (!hasStore) return
+        lastRenewalMs = events.nowMs
+        if (!canReachStore) return
         val renewedTerm = term
-        events.after(cluster.storeDelayMs()) {
+        events.schedule(cluster.storeDelayMs()) {
             val isRenewed = store.renew(renewedTerm)
-            events.after(cluster.storeDelayMs()) {
-                if (leadsIn(renewedTerm)) {
-                    if (isRenewed) handle(Input.LeaseRenewed(sentMs + TRUSTED_LEASE_MS)) else resign()
+            events.schedule(cluster.storeDelayMs()) {
+                if (isLeadingIn(renewedTerm)) {
+                    if (isRenewed) handle(Input.LeaseRenewed(sentMs + USABLE_LEASE_MS)) else stepDown()
                 }
             }
         }
@@ -155,19 +155,19 @@
             is Effect.AnswerHeartbeat -> cluster.pendingRequests.answer(effect)
             is Effect.RefuseHeartbeat -> cluster.pendingRequests.refuse(effect)
             is Effect.AnswerFollower -> cluster.pendingRequests.answer(effect)
-            is Effect.Write -> commits.write(effect.commit)
-            is Effect.SendCommands -> call(effect.machine) { it.receive(effect) }
-            is Effect.Probe -> call(effect.machine) { it.answerProbe() }
+            is Effect.Write -> logStorage.write(effect.commit)
+            is Effect.SendCommands -> callWorker(effect.machine) { it.receive(effect) }
+            is Effect.Probe -> callWorker(effect.machine) { it.answerProbe() }
             is Effect.Rent -> rent(effect)
             is Effect.TerminateMachines -> terminate(effect)
             is Effect.ShareImageCacheHints -> Unit
-            is Effect.StepDown -> resign()
+            is Effect.StepDown -> stepDown()
             is Effect.Log -> cluster.log("$name ${effect.text}")
         }
     }
 
-    /** A direct call to a worker; without an answer within a heartbeat interval the scheduler learns that there is none. */
-    private fun call(machine: MachineId, deliver: (SimulatedWorker) -> Heartbeat?) {
+    /** Calls a worker directly. After one heartbeat interval without an answer the scheduler is told that the call is unanswered. */
+    private fun callWorker(machine: MachineId, deliver: (SimulatedWorker) -> Heartbeat?) {
         val callingTerm = term
         var isAnswered = false
         cluster.network.send {
@@ -178,7 +178,7 @@
                 }
             }
         }
-        events.after((cluster.deployment.reportS * 1000).toLong()) {
+        events.schedule((cluster.deployment.reportS * 1000).toLong()) {
             if (!isAnswered && term == callingTerm) handle(Input.DirectCallUnanswered(machine))
         }
     }
@@ -194,11 +194,11 @@
     }
 
     private companion object {
-        const val LOOP_EVERY_MS = 200L
-        const val RENEW_EVERY_MS = SimulatedCluster.LEASE_TTL_MS / 4
+        const val LOOP_INTERVAL_MS = 200L
+        const val RENEWAL_INTERVAL_MS = SimulatedCluster.LEASE_TTL_MS / 4
         const val STEADY_CLOCK_START_MS = 1_000_000
 
-        /** A leader trusts its lease for a little less than its time to live, as its clock may run slow. */
-        const val TRUSTED_LEASE_MS = SimulatedCluster.LEASE_TTL_MS * 999 / 1000
+        /** A leader relies on its lease for slightly less than the time to live, because its clock may run slow. */
+        const val USABLE_LEASE_MS = SimulatedCluster.LEASE_TTL_MS * 999 / 1000
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedKeyValueStore.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedKeyValueStore.kt
@@ -6,13 +6,13 @@
 import cleathitch.scheduler.model.Term
 import cleathitch.storage.LogCodec
 
-/** The key-value store in virtual time: the leader's key under its lease, the head of the log, and what is stored. */
+/** The key-value store in virtual time: the leader's key with its lease, the revision of the log's head, and the stored entries. */
 class SimulatedKeyValueStore<N : Any>(private val leaseTtlMs: Long, private val nowMs: () -> Long) {
     private val stored = StoredEntries()
     private var revision = 0L
     private var leaderTerm: Long? = null
     private var leaseEndMs = 0L
-    private var outUntilMs = 0L
+    private var unavailableUntilMs = 0L
 
     var headRevision = 0L
         private set
@@ -21,29 +21,29 @@
     var leader: N? = null
         private set
 
-    val isOut get() = nowMs() < outUntilMs
+    val isUnavailable get() = nowMs() < unavailableUntilMs
     val isLeaderless get() = leaderTerm == null
 
-    /** Refuses everybody for [forMs]; leases have their full time after that. */
-    fun outage(forMs: Long) {
-        outUntilMs = maxOf(outUntilMs, nowMs() + forMs)
-        leaseEndMs = outUntilMs + leaseTtlMs
+    /** Refuses all requests for [durationMs]. The leader's lease has its full time to live after that. */
+    fun startOutage(durationMs: Long) {
+        unavailableUntilMs = maxOf(unavailableUntilMs, nowMs() + durationMs)
+        leaseEndMs = unavailableUntilMs + leaseTtlMs
     }
 
     fun endOutage() {
-        outUntilMs = minOf(outUntilMs, nowMs())
+        unavailableUntilMs = minOf(unavailableUntilMs, nowMs())
         leaseEndMs = minOf(leaseEndMs, nowMs() + leaseTtlMs)
     }
 
-    /** Deletes the leader's key if its lease has expired; an outage delays that. */
+    /** Deletes the leader's key if its lease has expired. During an outage leases do not expire. */
     fun expireLease() {
-        if (isOut || leaderTerm == null || nowMs() < leaseEndMs) return
+        if (isUnavailable || leaderTerm == null || nowMs() < leaseEndMs) return
         leaderTerm = null
         leader = null
         revision++
     }
 
-    /** Gives the leader's key to [candidate] and returns its term. */
+    /** Gives the leader's key to [candidate] and returns the new term. */
     fun elect(candidate: N): Long {
         revision++
         leaderTerm = revision
@@ -52,7 +52,7 @@
         return revision
     }
 
-    /** Renews the lease of [term]; false if it doesn't hold the leader's key any more. */
+    /** Renews the lease of [term]. Returns false if [term] no longer holds the leader's key. */
     fun renew(term: Long): Boolean {
         expireLease()
         if (leaderTerm != term) return false
@@ -60,7 +60,10 @@
         return true
     }
 
-    /** The revision at which [commit] was carried out, now or by an earlier copy of it; null if it was refused. */
+    /**
+     * Applies [commit] if [term] holds the leader's key and the revision of the log's head is [head]. Returns the revision at which
+     * the commit was applied, by this request or by an earlier duplicate of it, or null if it was refused.
+     */
     fun compareAndSwap(term: Long, head: Long, commit: Commit): Long? {
         expireLease()
         if (leaderTerm == term && headRevision == head) {
@@ -71,6 +74,6 @@
         return headRevision.takeIf { stored.head == StoredValue.Head(commit.index, Term(term)) }
     }
 
-    /** What a new leader reads, through the real codec. */
+    /** The state that a new leader reads, decoded by the production [LogCodec]. */
     fun snapshot(): RecoveredState = LogCodec.recoveredState(stored.entries(headRevision))
 }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedNetwork.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedNetwork.kt
@@ -2,40 +2,40 @@
 
 import kotlin.random.Random
 
-/** Delivers messages late, twice or never, as the fault schedule says, and holds those of partitioned zones. */
+/** Delays, duplicates or drops messages according to the fault schedule, and holds messages of partitioned zones until they heal. */
 class SimulatedNetwork(
     private val events: EventQueue,
     private val random: Random,
     private val faults: FaultSchedule,
-    private val isCalm: () -> Boolean,
+    private val faultsEnded: () -> Boolean,
 ) {
     private val partitionedUntilMs = HashMap<String, Long>()
 
-    /** Delivers a message by [deliver], at the earliest when [heldMs] have passed. */
-    fun send(heldMs: Long = 0, deliver: () -> Unit) {
-        if (isLost()) return
-        val isDelayed = !isCalm() && random.nextDouble() < faults.messageDelay
-        val delayMs = maxOf(0, heldMs) + if (isDelayed) random.nextLong(MAX_DELAY_MS) else random.nextLong(1, USUAL_DELAY_MS)
-        events.after(delayMs, deliver)
-        if (!isCalm() && random.nextDouble() < faults.messageDuplication) {
-            events.after(delayMs + random.nextLong(MAX_DUPLICATE_DELAY_MS), deliver)
+    /** Sends a message, which [deliver] delivers after at least [minDelayMs]. */
+    fun send(minDelayMs: Long = 0, deliver: () -> Unit) {
+        if (drawMessageLoss()) return
+        val isDelayed = !faultsEnded() && random.nextDouble() < faults.messageDelay
+        val delayMs = maxOf(0, minDelayMs) + if (isDelayed) random.nextLong(MAX_DELAY_MS) else random.nextLong(1, MAX_NORMAL_DELAY_MS)
+        events.schedule(delayMs, deliver)
+        if (!faultsEnded() && random.nextDouble() < faults.messageDuplication) {
+            events.schedule(delayMs + random.nextLong(MAX_DUPLICATE_DELAY_MS), deliver)
         }
     }
 
-    /** Draws whether the next message is lost; never once the cluster is calm. */
-    fun isLost() = !isCalm() && random.nextDouble() < faults.messageLoss
+    /** Decides by a random draw whether the next message is lost. Draws nothing and loses nothing once faults have ended. */
+    fun drawMessageLoss() = !faultsEnded() && random.nextDouble() < faults.messageLoss
 
-    fun partitionZone(zone: String, forMs: Long) {
-        partitionedUntilMs[zone] = events.nowMs + forMs
+    fun partitionZone(zone: String, durationMs: Long) {
+        partitionedUntilMs[zone] = events.nowMs + durationMs
     }
 
     fun healPartitions() = partitionedUntilMs.clear()
 
-    /** For how long messages from and to [zone] are still held; zero or less if it is not partitioned. */
-    fun heldMs(zone: String) = (partitionedUntilMs[zone] ?: 0L) - events.nowMs
+    /** Time until messages from and to [zone] are delivered again; zero or negative if the zone is not partitioned. */
+    fun partitionRemainingMs(zone: String) = (partitionedUntilMs[zone] ?: 0L) - events.nowMs
 
     private companion object {
-        const val USUAL_DELAY_MS = 20L
+        const val MAX_NORMAL_DELAY_MS = 20L
         const val MAX_DELAY_MS = 60_000L
         const val MAX_DUPLICATE_DELAY_MS = 30_000L
     }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedTask.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedTask.kt
@@ -5,8 +5,8 @@
 import cleathitch.scheduler.model.TaskState
 import cleathitch.scheduler.model.TaskStatus
 
-/** An attempt on a worker: it has its image at [imageAtMs] and ends by itself at [endsAtMs], a service's never. */
-class SimulatedTask(val id: AttemptId, private val imageAtMs: Long, private val endsAtMs: Long?) {
+/** A task attempt on a worker. Its image is ready at [imageReadyAtMs]. It completes at [endsAtMs], or never if that is null (services). */
+class SimulatedTask(val id: AttemptId, private val imageReadyAtMs: Long, private val endsAtMs: Long?) {
     private var state = TaskState.FETCHING
     private var exitReason: ExitReason? = null
 
@@ -14,12 +14,12 @@
 
     fun status() = TaskStatus(id, state, exitReason)
 
-    /** A task runs from when it has its image until it exits. */
-    fun isRunning(nowMs: Long) = imageAtMs <= nowMs && !hasExited
+    /** Whether the task runs, which it does from the time its image is ready until it exits. */
+    fun isRunning(nowMs: Long) = imageReadyAtMs <= nowMs && !hasExited
 
-    /** True if the task completed with this step. */
+    /** Updates the state to [nowMs]. Returns true if the task has completed by this call. */
     fun advance(nowMs: Long): Boolean {
-        if (state == TaskState.FETCHING && imageAtMs <= nowMs) state = TaskState.RUNNING
+        if (state == TaskState.FETCHING && imageReadyAtMs <= nowMs) state = TaskState.RUNNING
         if (state != TaskState.RUNNING || endsAtMs == null || endsAtMs > nowMs) return false
         exit(ExitReason.DONE)
         return true
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedWorker.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedWorker.kt
@@ -12,7 +12,7 @@
 import cleathitch.scheduler.model.TaskId
 import cleathitch.scheduler.model.WorkerCommand
 
-/** The worker process of one rented machine: sends heartbeats, executes commands, and drops its tasks when its lease expires. */
+/** The worker process on a rented machine. It sends heartbeats, executes commands, and discards its tasks when its lease expires. */
 class SimulatedWorker(private val cluster: SimulatedCluster, val id: MachineId, private val offer: Offer) {
     private val events = cluster.events
     private val random = cluster.random
@@ -23,22 +23,22 @@
     private var sequenceNumber = 0L
     private var token = FencingToken.NONE
     private val tasks = LinkedHashMap<AttemptId, SimulatedTask>()
-    private var leaseFromMs = nowMs
+    private var leaseStartMs = nowMs
     private var controller = cluster.randomController()
-    private var hangsUntilMs = 0L
-    private var missesRepliesUntilMs = 0L
+    private var hangingUntilMs = 0L
+    private var repliesLostUntilMs = 0L
     private var heartbeatsLostUntilMs = 0L
 
     val zone get() = offer.zone
     val spot get() = offer.spot
 
-    private val isHanging get() = nowMs < hangsUntilMs
-    private val missesReplies get() = nowMs < missesRepliesUntilMs
-    private val heartbeatsAreLost get() = nowMs < heartbeatsLostUntilMs
-    private val hasExpiredLease get() = nowMs - leaseFromMs > leaseMs
-    private val heldMs get() = cluster.network.heldMs(zone)
+    private val isHanging get() = nowMs < hangingUntilMs
+    private val losesReplies get() = nowMs < repliesLostUntilMs
+    private val losesHeartbeats get() = nowMs < heartbeatsLostUntilMs
+    private val hasExpiredLease get() = nowMs - leaseStartMs > leaseMs
+    private val partitionRemainingMs get() = cluster.network.partitionRemainingMs(zone)
 
-    val isReachable get() = !isHanging && !missesReplies && !heartbeatsAreLost
+    val isReachable get() = !isHanging && !losesReplies && !losesHeartbeats
 
     val cpusUsed get() = tasks.values.filter { !it.hasExited }.sumOf { specOf(it.id.task.job).cpus }
 
@@ -46,58 +46,61 @@
 
     fun isAssigned(task: TaskId) = tasks.values.any { it.id.task == task && !it.hasExited }
 
-    /** Whether it knows tasks of [job], exited ones included. */
-    fun knows(job: JobId) = tasks.keys.any { it.task.job == job }
+    /** Whether the worker has tasks of [job], including exited ones that it has not been told to forget. */
+    fun hasTasksOf(job: JobId) = tasks.keys.any { it.task.job == job }
 
-    /** What runs here. With the end of its lease a machine's tasks are killed, also when the worker hangs and can't do so itself. */
+    /**
+     * The tasks that run on this machine. When the lease expires, the machine's tasks are killed even if the worker process hangs
+     * and cannot kill them itself.
+     */
     fun runningTasks(): List<TaskId> = if (hasExpiredLease) emptyList() else tasks.values.filter { it.isRunning(nowMs) }.map { it.id.task }
 
-    fun start() {
+    fun heartbeatPeriodically() {
         if (cluster.cloud.machines[id] !== this) return
         if (!isHanging) {
             advance()
             sendHeartbeat()
         }
-        events.after((cluster.deployment.reportS * 1000 * random.nextDouble(0.75, 1.25)).toLong(), ::start)
+        events.schedule((cluster.deployment.reportS * 1000 * random.nextDouble(0.75, 1.25)).toLong(), ::heartbeatPeriodically)
     }
 
-    fun hang(maxMs: Long = USUAL_MAX_HANG_MS) {
-        hangsUntilMs = nowMs + random.nextLong(maxMs)
+    fun hang(maxMs: Long = DEFAULT_MAX_HANG_MS) {
+        hangingUntilMs = nowMs + random.nextLong(maxMs)
     }
 
-    /** Heartbeats arrive, while answers and commands don't reach this machine. */
+    /** Drops answers and commands sent to this machine, while its heartbeats still arrive. */
     fun loseReplies(untilMs: Long) {
-        missesRepliesUntilMs = untilMs
+        repliesLostUntilMs = untilMs
     }
 
-    /** Heartbeats reach no controller, while direct calls reach this machine. */
+    /** Drops the heartbeats of this machine, while direct calls still reach it. */
     fun loseHeartbeats(untilMs: Long) {
         heartbeatsLostUntilMs = untilMs
     }
 
-    /** Ends the faults of its connections, except the loss of replies for good. */
+    /** Ends the connection faults of this machine, except a permanent loss of replies. */
     fun restoreConnections() {
         heartbeatsLostUntilMs = 0
-        if (missesRepliesUntilMs != FOREVER) missesRepliesUntilMs = 0
+        if (repliesLostUntilMs != FOREVER) repliesLostUntilMs = 0
     }
 
-    /** The machine restarts within a fraction of a second: its tasks are gone, and its fencing token too. */
+    /** Restarts the machine without a delay. Its tasks and its fencing token are lost. */
     fun restart() {
         tasks.clear()
         incarnation++
         sequenceNumber = 0
         token = FencingToken.NONE
-        leaseFromMs = nowMs
+        leaseStartMs = nowMs
         sendHeartbeat()
     }
 
-    /** A direct call with commands; null if the caller gets no answer. */
+    /** Handles a direct call with commands. Returns null if the caller gets no answer. */
     fun receive(call: Effect.SendCommands): Heartbeat? {
-        if (missesReplies) return null
-        val waitMs = maxOf(hangsUntilMs - nowMs, heldMs)
+        if (losesReplies) return null
+        val waitMs = maxOf(hangingUntilMs - nowMs, partitionRemainingMs)
         if (waitMs > 0) {
-            // A hanging or partitioned machine executes the commands once it resumes.
-            events.after(waitMs + 1) { cluster.cloud.machines[id]?.receive(call) }
+            // A hanging or partitioned machine executes the commands when it is reachable again.
+            events.schedule(waitMs + 1) { cluster.cloud.machines[id]?.receive(call) }
             return null
         }
         advance()
@@ -108,21 +111,21 @@
         return heartbeat()
     }
 
-    /** A direct call without commands; null if the caller gets no answer. */
+    /** Handles a direct call without commands. Returns null if the caller gets no answer. */
     fun answerProbe(): Heartbeat? {
-        if (missesReplies || isHanging || heldMs > 0) return null
+        if (losesReplies || isHanging || partitionRemainingMs > 0) return null
         advance()
         return heartbeat()
     }
 
     private fun specOf(job: JobId) = cluster.users.submitted.getValue(job).spec
 
-    /** Brings the tasks up to the present time. */
+    /** Advances the tasks to the current time, or discards them if the lease has expired. */
     private fun advance() {
         if (hasExpiredLease) {
             tasks.clear()
             incarnation++
-            leaseFromMs = nowMs
+            leaseStartMs = nowMs
         }
         for (task in tasks.values) if (task.advance(nowMs)) cluster.users.recordCompletion(task.id.task)
     }
@@ -133,73 +136,73 @@
 
     private fun sendHeartbeat() {
         val heartbeat = heartbeat()
-        if (heartbeatsAreLost) return
+        if (losesHeartbeats) return
         val sentMs = nowMs
         val target = controller
         var isAnswered = false
-        if (!cluster.isCalm && random.nextDouble() < cluster.faults.lateHeartbeatCopies) sendLateCopy(heartbeat)
-        cluster.network.send(heldMs) {
+        if (!cluster.faultsEnded && random.nextDouble() < cluster.faults.lateHeartbeatDuplicates) sendLateDuplicate(heartbeat)
+        cluster.network.send(partitionRemainingMs) {
             target.receive(heartbeat) { newToken, commands ->
-                cluster.network.send(heldMs) {
-                    if (!isAnswered && accepts(heartbeat, sentMs)) {
+                cluster.network.send(partitionRemainingMs) {
+                    if (!isAnswered && isAnswerAccepted(heartbeat, sentMs)) {
                         isAnswered = true
                         receiveAnswer(newToken, commands, sentMs)
                     }
                 }
             }
         }
-        events.after(ANSWER_TIMEOUT_MS) { if (!isAnswered) controller = cluster.randomController() }
+        events.schedule(ANSWER_TIMEOUT_MS) { if (!isAnswered) controller = cluster.randomController() }
     }
 
-    /** Whoever leads when the copy arrives may receive it, and nobody waits for the answer. */
-    private fun sendLateCopy(heartbeat: Heartbeat) {
+    /** Delivers a duplicate of [heartbeat] late, to the controller that leads by then. Its answer is dropped. */
+    private fun sendLateDuplicate(heartbeat: Heartbeat) {
         val delayMs = random.nextLong(1000, (cluster.deployment.leaseS * 2000).toLong())
-        events.after(delayMs) {
-            cluster.leader?.handle(Input.HeartbeatReceived(cluster.pendingRequests.withoutAnswer(), heartbeat))
+        events.schedule(delayMs) {
+            cluster.leader?.handle(Input.HeartbeatReceived(cluster.pendingRequests.newRequestId(), heartbeat))
         }
     }
 
-    /** Whether an answer to [heartbeat], sent at [sentMs], still reaches this incarnation in time. */
-    private fun accepts(heartbeat: Heartbeat, sentMs: Long) = !missesReplies &&
+    /** Whether the worker accepts an answer to [heartbeat], which was sent at [sentMs]: in time, and by the same incarnation. */
+    private fun isAnswerAccepted(heartbeat: Heartbeat, sentMs: Long) = !losesReplies &&
         cluster.cloud.machines[id] === this &&
         heartbeat.incarnation == incarnation &&
         nowMs - sentMs < MAX_ANSWER_AGE_MS &&
         !isHanging
 
-    /** The lease is renewed from the time at which the heartbeat was sent. */
+    /** Renews the lease from [sentMs], the time at which the heartbeat was sent, not from the time of the answer. */
     private fun receiveAnswer(newToken: FencingToken, commands: List<WorkerCommand>, sentMs: Long) {
         if (newToken < token) return
         advance()
         token = newToken
-        leaseFromMs = maxOf(leaseFromMs, sentMs)
+        leaseStartMs = maxOf(leaseStartMs, sentMs)
         commands.forEach(::execute)
     }
 
     private fun execute(command: WorkerCommand) {
         when (command) {
-            is WorkerCommand.Start -> if (command.attempt !in tasks) launch(command.attempt)
+            is WorkerCommand.Start -> if (command.attempt !in tasks) startTask(command.attempt)
             is WorkerCommand.Stop -> tasks[command.attempt]?.stop()
             is WorkerCommand.Forget -> if (tasks[command.attempt]?.hasExited == true) tasks.remove(command.attempt)
         }
     }
 
-    private fun launch(attempt: AttemptId) {
-        val imageAtMs = nowMs + random.nextLong(0, MAX_IMAGE_FETCH_MS)
+    private fun startTask(attempt: AttemptId) {
+        val imageReadyAtMs = nowMs + random.nextLong(0, MAX_IMAGE_FETCH_MS)
         val runMs = when {
             specOf(attempt.task.job).kind == JobKind.SERVICE -> null
-            // A repeated attempt finds the result of the first.
+            // The result of an earlier attempt already exists.
             cluster.users.isCompleted(attempt.task) -> 0L
             cluster.faults.shortTasks -> random.nextLong(100, 1500)
             else -> random.nextLong(2000, 15_000)
         }
-        tasks[attempt] = SimulatedTask(attempt, imageAtMs, endsAtMs = runMs?.let { imageAtMs + it })
+        tasks[attempt] = SimulatedTask(attempt, imageReadyAtMs, endsAtMs = runMs?.let { imageReadyAtMs + it })
         cluster.users.recordStart(attempt.task)
-        cluster.rules.checkStart(attempt.task, this)
+        cluster.invariants.checkStart(attempt.task, this)
     }
 
     companion object {
         const val FOREVER = Long.MAX_VALUE
-        private const val USUAL_MAX_HANG_MS = 40_000L
+        private const val DEFAULT_MAX_HANG_MS = 40_000L
         private const val ANSWER_TIMEOUT_MS = 1000L
         private const val MAX_ANSWER_AGE_MS = 4000L
         private const val MAX_IMAGE_FETCH_MS = 4000L
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SubmittedJob.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SubmittedJob.kt
@@ -2,12 +2,12 @@
 
 import cleathitch.scheduler.model.JobSpec
 
-/** A job as its user knows it from the answers received. */
+/** A submitted job and what its user has learned about it from the answers received. */
 class SubmittedJob(val spec: JobSpec) {
     var isAccepted = false
         private set
 
-    /** When the user first got the answer that the job is cancelled. */
+    /** When the user was first told that the job is cancelled. */
     var cancellationConfirmedMs: Long? = null
         private set
 
@@ -17,8 +17,8 @@
     var isCancellationRequested = false
         private set
 
-    /** When the user last got an answer about the job other than "unavailable". */
-    var answeredAtMs = 0L
+    /** When the user last got an answer about the job, apart from [cleathitch.scheduler.api.UserReply.Unavailable]. */
+    var lastAnsweredAtMs = 0L
         private set
 
     val isReportedCancelled get() = cancellationConfirmedMs != null
@@ -33,7 +33,7 @@
     }
 
     fun recordAnswer(nowMs: Long) {
-        answeredAtMs = nowMs
+        lastAnsweredAtMs = nowMs
     }
 
     fun recordCancelled(nowMs: Long) {
--- a/src/test/kotlin/cleathitch/scheduler/simulation/NeedlessWaits.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/UnnecessaryWaitDetector.kt
@@ -4,25 +4,25 @@
 import cleathitch.scheduler.model.JobSpec
 import cleathitch.scheduler.model.TaskId
 
-/** Finds jobs that wait for long although a machine that fits has room and their team is below its limit. */
-class NeedlessWaits(private val cluster: SimulatedCluster) {
+/** Detects jobs that wait although a suitable machine has room for them and their team is below its quota. */
+class UnnecessaryWaitDetector(private val cluster: SimulatedCluster) {
     private val workers get() = cluster.cloud.machines.values
-    private var lookedAtMs = 0L
-    private val waitsSinceMs = HashMap<JobId, Long>()
+    private var lastCheckMs = 0L
+    private val waitingSinceMs = HashMap<JobId, Long>()
 
-    /** The jobs that have waited for [MAX_WAIT_MS]; looks once in [LOOK_EVERY_MS]. */
-    fun findNew(): List<JobId> {
+    /** Returns the jobs that have waited unnecessarily for at least [MAX_WAIT_MS]. Checks at most once per [CHECK_INTERVAL_MS]. */
+    fun detect(): List<JobId> {
         val nowMs = cluster.events.nowMs
-        if (nowMs - lookedAtMs < LOOK_EVERY_MS) return emptyList()
-        lookedAtMs = nowMs
+        if (nowMs - lastCheckMs < CHECK_INTERVAL_MS) return emptyList()
+        lastCheckMs = nowMs
         return cluster.users.submitted.values.filter { job ->
             val id = job.spec.id
-            if (waitsNeedlessly(job)) waitsSinceMs.putIfAbsent(id, nowMs) else waitsSinceMs.remove(id)
-            nowMs - (waitsSinceMs[id] ?: nowMs) >= MAX_WAIT_MS
+            if (waitsUnnecessarily(job)) waitingSinceMs.putIfAbsent(id, nowMs) else waitingSinceMs.remove(id)
+            nowMs - (waitingSinceMs[id] ?: nowMs) >= MAX_WAIT_MS
         }.map { it.spec.id }
     }
 
-    private fun waitsNeedlessly(job: SubmittedJob) = hasWaitingTask(job) && hasRoom(job.spec) && isBelowLimit(job.spec)
+    private fun waitsUnnecessarily(job: SubmittedJob) = hasWaitingTask(job) && hasRoom(job.spec) && isBelowQuota(job.spec)
 
     private fun hasWaitingTask(job: SubmittedJob): Boolean {
         if (job.isCancellationRequested || job.isReportedDone || !job.isAccepted) return false
@@ -31,7 +31,7 @@
     }
 
     private fun hasRoom(spec: JobSpec): Boolean {
-        val machinesByZone = workers.filter { it.knows(spec.id) }.groupingBy { it.zone }.eachCount()
+        val machinesByZone = workers.filter { it.hasTasksOf(spec.id) }.groupingBy { it.zone }.eachCount()
         return workers.any { worker ->
             worker.isReachable &&
                 worker.cpusUsed + spec.cpus <= cluster.machineType.cpus &&
@@ -42,14 +42,14 @@
         }
     }
 
-    private fun isBelowLimit(spec: JobSpec): Boolean {
+    private fun isBelowQuota(spec: JobSpec): Boolean {
         val maxCpus = cluster.deployment.teams.getValue(spec.team).maxCpus ?: return true
         val jobsOfTeam = cluster.users.submitted.values.filter { it.spec.team == spec.team }
         return workers.sumOf { worker -> jobsOfTeam.sumOf { worker.cpusUsedBy(it.spec.id) } } + spec.cpus <= maxCpus
     }
 
     private companion object {
-        const val LOOK_EVERY_MS = 1000L
+        const val CHECK_INTERVAL_MS = 1000L
         const val MAX_WAIT_MS = 90_000L
     }
 }
