--- a/.ci/KnownRed.java
+++ b/.ci/KnownRed.java
@@ -9,9 +9,9 @@
 import org.w3c.dom.Element;
 
 /**
- * Decides whether a test run passes, given the tests that KNOWN-RED.txt lists with a known fault. The listed tests may fail and
- * are printed. The run fails on any other failed test, on more than {@link #MAX_LISTED_TESTS} lines, on a line that is not
- * "class#test | cause | issue", on a line whose test did not run, and if no test ran at all.
+ * Decides whether a test run passes, given the tests that KNOWN-RED.txt lists because of a known fault. Listed tests may fail
+ * and are printed. The run fails if any other test failed, if no test ran at all, or if the list has more than
+ * {@link #MAX_LISTED_TESTS} lines, a line that is not of the form "class#test | cause | issue", or a test that did not run.
  *
  * <p>Usage: java KnownRed.java LIST REPORT_DIRECTORY, the latter with Surefire's XML reports. Exit code 1 if the run fails.
  */
@@ -25,24 +25,24 @@
 
         if (run.executed.isEmpty()) faults.add("no test ran");
         for (String test : listed) {
-            if (!run.executed.contains(test)) faults.add("no such test: " + test);
+            if (!run.executed.contains(test)) faults.add("listed test did not run: " + test);
             else System.out.println("known red, " + (run.failed.contains(test) ? "fails" : "passes now") + ": " + test);
         }
-        for (String test : run.failed) if (!listed.contains(test)) faults.add("fails and isn't known: " + test);
+        for (String test : run.failed) if (!listed.contains(test)) faults.add("failed and isn't listed: " + test);
 
         faults.forEach(fault -> System.out.println("KNOWN-RED: " + fault));
         if (!faults.isEmpty()) System.exit(1);
     }
 
-    /** The tests that the list names; what is wrong with the list itself is added to the faults. */
+    /** Reads the names of the listed tests; errors in the list itself are added to the faults. */
     private static Set<String> readList(Path file, List<String> faults) throws Exception {
         Set<String> listed = new HashSet<>();
         List<String> lines = Files.readAllLines(file).stream().filter(line -> !line.isBlank()).toList();
-        if (lines.size() > MAX_LISTED_TESTS) faults.add(lines.size() + " lines, " + MAX_LISTED_TESTS + " at most");
+        if (lines.size() > MAX_LISTED_TESTS) faults.add(file + " has " + lines.size() + " lines, at most " + MAX_LISTED_TESTS + " are allowed");
         for (String line : lines) {
             String[] parts = line.split("\\|");
             if (parts.length != 3 || parts[0].isBlank() || parts[1].isBlank() || parts[2].isBlank()) {
-                faults.add("not 'class#test | cause | issue': " + line);
+                faults.add("line is not of the form 'class#test | cause | issue': " + line);
             } else {
                 listed.add(parts[0].trim());
             }
@@ -50,7 +50,7 @@
         return listed;
     }
 
-    /** The tests of one run by their "class#test" names, from Surefire's reports. */
+    /** The executed and the failed tests of one run, as "class#test", read from Surefire's reports. */
     private record TestRun(Set<String> executed, Set<String> failed) {
         static TestRun read(File directory) throws Exception {
             TestRun run = new TestRun(new HashSet<>(), new HashSet<>());
--- a/src/main/kotlin/cleathitch/cli/Application.kt
+++ b/src/main/kotlin/cleathitch/cli/Application.kt
@@ -32,13 +32,13 @@
 import kotlin.math.ceil
 
 /**
- * One controller process: makes the controller with its clients and endpoints from the settings, and owns the event loops
- * and the scopes of all its coroutines. It runs until the process is killed, or [close] ends it.
+ * One controller process: creates the controller with its clients and endpoints from the settings, and owns the event loops
+ * and the scopes of all its coroutines. It runs until [close] is called or the process is killed.
  */
 class Application(private val settings: Settings, private val operator: OperatorSettings = OperatorSettings.DEFAULT) : AutoCloseable {
     private val vertx = newEventLoop()
 
-    /** Keeps the leader's lease, however much there is to do on the other loop. */
+    /** A separate event loop for the leader's lease, so that load on the other loop doesn't delay its renewal. */
     private val leaseVertx = newEventLoop()
     private val scope = CoroutineScope(vertx.dispatcher() + SupervisorJob())
     private val leaseScope = CoroutineScope(leaseVertx.dispatcher() + SupervisorJob())
@@ -49,7 +49,7 @@
     private val sockets = SocketBudget(settings.maxSockets, settings.peers.size)
     private val storeTimeoutMs = timings.leaderLeaseMs / STORE_CALLS_PER_LEASE
 
-    /** Starts the controller: other controllers are answered at once, users and workers once a leader is known. */
+    /** Starts the controller. It serves other controllers at once, and users and workers once a leader is known. */
     fun start() {
         val controller = newController()
         scope.launch {
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Ends all coroutines and connections. */
+    /** Cancels all coroutines and closes all connections. */
     override fun close() {
         scope.cancel()
         leaseScope.cancel()
@@ -88,7 +88,7 @@
             clocks,
             meters,
             processingTimes,
-            // Each waiting request holds a connection, here or at a follower.
+            // Each queued request occupies a connection, to this controller or to a follower.
             maxQueuedRequests = settings.maxSockets,
         )
     }
@@ -97,7 +97,7 @@
         vertx,
         commandTimeoutMs = deployment.heartbeatPeriodMs,
         probeTimeoutMs = timings.probeGapMs,
-        maxConcurrentCalls = sockets.directCalls,
+        maxConcurrentCalls = sockets.maxDirectCalls,
         meters,
     )
 
@@ -117,31 +117,31 @@
 
     private fun internalEndpoint(controller: Controller): HttpEndpoint {
         val router = InternalRouter(controller.peerRequests, meters)
-        return newEndpoint(PeerClient.MAX_BODY, sockets.internalConnections, router::handle)
+        return newEndpoint(PeerClient.MAX_BODY, sockets.maxInternalConnections, router::handle)
     }
 
     private fun publicEndpoint(controller: Controller): HttpEndpoint =
-        newEndpoint(MessageCodec.MAX_BODY, sockets.publicConnections, controller.requests::handle)
+        newEndpoint(MessageCodec.MAX_BODY, sockets.maxPublicConnections, controller.requests::handle)
 
     private fun newEndpoint(maxBodyBytes: Int, maxConnections: Int, handle: RequestHandler): HttpEndpoint {
-        // Workers send heartbeats and users poll well within that.
-        val idleS = ceil(deployment.reportS * IDLE_HEARTBEATS).toInt()
-        return HttpEndpoint(vertx, scope, maxBodyBytes, idleS, ConnectionLimit(maxConnections), handle)
+        // Workers send heartbeats and users poll at shorter intervals.
+        val idleTimeoutS = ceil(deployment.reportS * IDLE_HEARTBEAT_PERIODS).toInt()
+        return HttpEndpoint(vertx, scope, maxBodyBytes, idleTimeoutS, ConnectionLimit(maxConnections), handle)
     }
 
     private companion object {
         val log = LoggerFactory.getLogger("cleathitch.cli")
 
-        /** Which part of the cloud's calls the leader may take; the rest is for other controllers that start. */
+        /** The share of the cloud's rate limit that the leader may use; the rest is for other controllers that are starting. */
         const val DEFAULT_CLOUD_SHARE = 0.8
 
-        /** A connection that was idle for so many heartbeat periods is closed. */
-        const val IDLE_HEARTBEATS = 3
+        /** A connection is closed after being idle for this many heartbeat periods. */
+        const val IDLE_HEARTBEAT_PERIODS = 3
 
-        /** A call to the key-value store that takes longer than this part of the lease is given up, so that it can be repeated. */
+        /** A call to the key-value store times out after the lease's duration divided by this, so that it can be repeated in time. */
         const val STORE_CALLS_PER_LEASE = 3
 
-        /** An event loop of one thread: what runs on it needs no locks. */
+        /** Creates an event loop with a single thread, on which code needs no locks. */
         fun newEventLoop(): Vertx = Vertx.vertx(VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1))
     }
 }
--- a/src/main/kotlin/cleathitch/cli/ClassArchiveTraining.kt
+++ b/src/main/kotlin/cleathitch/cli/ClassArchiveTraining.kt
@@ -31,11 +31,11 @@
 import kotlin.system.exitProcess
 
 /**
- * Leads for a moment on loopback, with a platform that agrees to everything, and ends. The build runs it so that the JVM
- * can archive the classes that a controller needs: on a third of a core, loading them takes a controller seconds after
- * each restart. All that it starts ends with the process.
+ * Runs a controller as leader on loopback for a short time, with a platform that accepts every request, and exits. The build
+ * runs it so that the JVM can archive the loaded classes (class data sharing): on a third of a core, loading them takes a
+ * controller seconds after each restart. Everything that it starts ends with the process.
  */
-@Command(name = "train-class-archive", hidden = true, description = ["Loads what a controller needs, for the build's class archive."])
+@Command(name = "train-class-archive", hidden = true, description = ["Loads the classes of a controller for the build's class archive."])
 class ClassArchiveTraining : Runnable {
     private val vertx = Vertx.vertx()
     private val scope = CoroutineScope(vertx.dispatcher() + SupervisorJob())
@@ -51,10 +51,10 @@
             val public = Address(LOOPBACK, publicPort)
             val internal = Address(LOOPBACK, internalPort)
             repeat(ROUNDS) { round ->
-                actAsUser(public, round)
-                actAsWorker(public, round)
-                actAsFollower(internal, sequenceNumber = round.toLong())
-                delay(PAUSE_MS)
+                sendUserRequests(public, round)
+                sendHeartbeat(public, round)
+                sendFollowerBatch(internal, sequenceNumber = round.toLong())
+                delay(ROUND_INTERVAL_MS)
             }
             call(internal, HttpMethod.GET, "/metrics")
             application.close()
@@ -62,7 +62,7 @@
         }
     }
 
-    /** The port of a platform on loopback. */
+    /** Starts a platform on loopback and returns its port. */
     private suspend fun startPlatform(): Int {
         val platform = TrainingPlatform()
         val endpoint = HttpEndpoint(vertx, scope, MessageCodec.MAX_BODY, PLATFORM_IDLE_S, ConnectionLimit(PLATFORM_CONNECTIONS)) {
@@ -70,7 +70,7 @@
                 path,
                 _,
             ->
-            platform.answer(method, path)
+            platform.respond(method, path)
         }
         return endpoint.listen(Address(LOOPBACK, 0))
     }
@@ -87,22 +87,22 @@
         }
     }
 
-    private suspend fun actAsUser(controller: Address, round: Int) {
+    private suspend fun sendUserRequests(controller: Address, round: Int) {
         call(controller, HttpMethod.GET, "/ready")
         call(controller, HttpMethod.POST, "/submissions", TrainingMessages.submission(round))
-        call(controller, HttpMethod.GET, "/submissions/${TrainingMessages.jobName(round)}")
-        call(controller, HttpMethod.POST, "/submissions/${TrainingMessages.jobName(round / 2)}/abort")
+        call(controller, HttpMethod.GET, "/submissions/${TrainingMessages.jobId(round)}")
+        call(controller, HttpMethod.POST, "/submissions/${TrainingMessages.jobId(round / 2)}/abort")
     }
 
-    private suspend fun actAsWorker(controller: Address, round: Int) =
+    private suspend fun sendHeartbeat(controller: Address, round: Int) =
         call(controller, HttpMethod.POST, "/agent/beat", TrainingMessages.heartbeat(round, ROUNDS))
 
     private suspend fun call(controller: Address, method: HttpMethod, path: String, message: ObjectNode? = null) {
         client.call(controller, method, path, message?.let(MessageCodec::encode), TIMEOUT_MS)
     }
 
-    /** Sends what followers send: the first request learns the term, and so the next one is decided. */
-    private suspend fun actAsFollower(controller: Address, sequenceNumber: Long) {
+    /** Sends a follower's batch of requests. The reply to the first batch contains the term, which the leader requires of later ones. */
+    private suspend fun sendFollowerBatch(controller: Address, sequenceNumber: Long) {
         val heartbeat =
             Heartbeat(MachineId("vm-000002"), "127.0.0.1:1", "m", "z", true, 1, sequenceNumber, FencingToken.NONE, null, emptyList())
         val queue = HeartbeatQueue(answerTimeoutMs = TIMEOUT_MS)
@@ -129,7 +129,7 @@
     private companion object {
         const val LOOPBACK = "127.0.0.1"
         const val ROUNDS = 16
-        const val PAUSE_MS = 100L
+        const val ROUND_INTERVAL_MS = 100L
         const val TIMEOUT_MS = 1000L
         const val PLATFORM_IDLE_S = 60
         const val PLATFORM_CONNECTIONS = 100
--- a/src/main/kotlin/cleathitch/cli/InternalRouter.kt
+++ b/src/main/kotlin/cleathitch/cli/InternalRouter.kt
@@ -10,9 +10,9 @@
 import kotlinx.serialization.SerializationException
 import org.slf4j.LoggerFactory
 
-/** Routes the requests to the internal address: those of other controllers, and those for the metrics. */
+/** Routes requests that arrive at the internal address: those of other controllers, and those for the metrics. */
 internal class InternalRouter(private val peerRequests: PeerRequestHandler, private val meters: MeterRegistry) {
-    /** Answers one request. */
+    /** Handles one request. */
     suspend fun handle(method: String, path: String, body: ByteArray): HttpReply = when {
         path == PeerClient.PATH && method == "POST" -> handlePeerRequest(body)
         path == METRICS_PATH && method == "GET" -> HttpReply(200, MetricsText.text(meters).toByteArray())
--- a/src/main/kotlin/cleathitch/cli/Main.kt
+++ b/src/main/kotlin/cleathitch/cli/Main.kt
@@ -11,7 +11,7 @@
 import java.nio.file.Path
 import kotlin.system.exitProcess
 
-/** The program's command line, whose subcommands do the work. */
+/** The root of the command line; the subcommands do the work. */
 @Command(
     name = "cleathitch",
     description = ["A cluster scheduler that keeps its state in a small consistent store."],
@@ -23,12 +23,12 @@
     override fun run() = throw CommandLine.ParameterException(CommandLine(this), "a command is missing: serve or check-config")
 }
 
-/** The version from the archive's manifest. */
+/** Reads the version from the manifest of the JAR. */
 class Version : IVersionProvider {
     override fun getVersion() = arrayOf("cleathitch ${Main::class.java.`package`.implementationVersion ?: "(not packaged)"}")
 }
 
-/** The options of every command that reads a controller's settings. */
+/** The options of the commands that read a controller's settings. */
 class SettingsFiles {
     @Option(names = ["--config"], required = true, paramLabel = "FILE", description = ["the platform's settings (JSON)"])
     lateinit var config: Path
@@ -36,14 +36,14 @@
     @Option(names = ["--operator"], paramLabel = "FILE", description = ["the operators' own settings (EDN)"])
     var operator: Path? = null
 
-    /** The platform's settings. */
+    /** Reads the platform's settings. */
     fun readSettings() = Settings.read(config)
 
-    /** The operators' settings, or the defaults if no file is given. */
+    /** Reads the operators' settings; returns the defaults if no file is given. */
     fun readOperatorSettings() = operator?.let(OperatorSettings::read) ?: OperatorSettings.DEFAULT
 }
 
-/** Starts a controller; the process lives on by the threads of its event loops. */
+/** Starts a controller; the threads of its event loops keep the process running. */
 @Command(
     name = "serve",
     description = ["Runs a controller until it is killed."],
@@ -75,19 +75,19 @@
     }
 }
 
-/** Has to run before the first logger is made. */
+/** Must be called before the first logger is created. */
 private fun configureLogging() {
     val level = System.getenv("LOG_LEVEL")?.lowercase()?.takeIf { it in LOG_LEVELS } ?: "info"
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error")
     System.setProperty("org.slf4j.simpleLogger.log.cleathitch", level)
-    // It logs each connection that a peer or worker resets; what follows from that is logged where it is known.
+    // It logs every connection that a peer or worker resets; the effects of a reset are logged by the code that handles them.
     System.setProperty("org.slf4j.simpleLogger.log.io.vertx.core.net.impl", "off")
     System.setProperty("org.slf4j.simpleLogger.showThreadName", "false")
     System.setProperty("org.slf4j.simpleLogger.showDateTime", "true")
     System.setProperty("org.slf4j.simpleLogger.dateTimeFormat", "yyyy-MM-dd'T'HH:mm:ss.SSSXXX")
 }
 
-/** Runs the command; settings that can't be used end the process with a message and exit code 1. */
+/** Runs the command; invalid or unreadable settings end the process with a message and exit code 1. */
 fun main(args: Array<String>) {
     configureLogging()
     val exit = CommandLine(Main())
@@ -97,7 +97,7 @@
             CommandLine.ExitCode.SOFTWARE
         }
         .execute(*args)
-    // A server's threads live on after its command has returned.
+    // After a successful `serve`, the server's threads continue to run.
     if (exit != CommandLine.ExitCode.OK) exitProcess(exit)
 }
 
--- a/src/main/kotlin/cleathitch/cli/SocketBudget.kt
+++ b/src/main/kotlin/cleathitch/cli/SocketBudget.kt
@@ -3,28 +3,31 @@
 import cleathitch.peers.PeerClient
 
 /**
- * How this process divides the sockets it may hold. Those for the connections that it opens itself are kept back: without
- * them, a flood of requests would leave it no way to the key-value store, and cost it its lease.
+ * Divides the sockets that this process may have open. It reserves those for outgoing connections: otherwise a flood of
+ * requests could exhaust the sockets, and the leader would lose its lease because it can't connect to the key-value store.
  */
 internal class SocketBudget(maxSockets: Int, peerCount: Int) {
     private val peerConnections = peerCount * PeerClient.CONNECTIONS
 
-    /** Calls to workers that may be open at a time. */
-    val directCalls = maxOf(1, maxSockets / DIRECT_PART)
+    /** The maximum number of concurrent direct calls to workers. */
+    val maxDirectCalls = maxOf(1, maxSockets / DIRECT_CALL_DIVISOR)
 
-    /** Connections that the internal address accepts. */
-    val internalConnections = peerConnections + OTHER_SOCKETS
+    /** The maximum number of connections to the internal address. */
+    val maxInternalConnections = peerConnections + RESERVED_SOCKETS
 
-    private val openedHere = directCalls + peerConnections + OTHER_SOCKETS
+    private val outgoingConnections = maxDirectCalls + peerConnections + RESERVED_SOCKETS
 
-    /** Connections that the public address accepts. */
-    val publicConnections = maxOf(maxSockets / 2, maxSockets - openedHere - internalConnections)
+    /** The maximum number of connections to the public address. */
+    val maxPublicConnections = maxOf(maxSockets / 2, maxSockets - outgoingConnections - maxInternalConnections)
 
     private companion object {
-        /** Direct calls to workers may hold one socket in so many; the rest is for those who connect to this process. */
-        const val DIRECT_PART = 10
-
-        /** Key-value store (log, lease and their watches) and cloud hold some 16; twice that is kept for them, listeners and metrics. */
-        const val OTHER_SOCKETS = 32
+        /** Direct calls to workers may use one in this many sockets; most of the others are for incoming connections. */
+        const val DIRECT_CALL_DIVISOR = 10
+
+        /**
+         * Clients of the key-value store (log, lease and their watches) and of the cloud use about 16 sockets; twice as many are
+         * reserved, which covers listeners and metrics too.
+         */
+        const val RESERVED_SOCKETS = 32
     }
 }
--- a/src/main/kotlin/cleathitch/cli/TrainingPlatform.kt
+++ b/src/main/kotlin/cleathitch/cli/TrainingPlatform.kt
@@ -3,11 +3,11 @@
 import cleathitch.http.HttpReply
 import cleathitch.protocol.TrainingMessages
 
-/** A key-value store and a cloud in one, which agree to every request, whatever it is; for [ClassArchiveTraining]. */
+/** A stub for [ClassArchiveTraining] that acts as both key-value store and cloud, and responds to every request with success. */
 internal class TrainingPlatform {
     private var revision = 1L
 
-    /** One answer that holds the fields of all answers. */
-    fun answer(method: String, path: String): HttpReply =
-        HttpReply(200, TrainingMessages.platformAnswer(++revision, isRental = method == "POST" && path == "/hosts"))
+    /** Returns a response with the fields of every response of both services. */
+    fun respond(method: String, path: String): HttpReply =
+        HttpReply(200, TrainingMessages.platformResponse(++revision, isRental = method == "POST" && path == "/hosts"))
 }
--- a/src/main/kotlin/cleathitch/cloud/CloudClient.kt
+++ b/src/main/kotlin/cleathitch/cloud/CloudClient.kt
@@ -5,7 +5,7 @@
 import cleathitch.http.PooledHttpClient
 import cleathitch.http.ServiceError
 import cleathitch.http.ServiceResult
-import cleathitch.http.answerWith
+import cleathitch.http.responseWithStatus
 import cleathitch.metrics.ProcessingStage
 import cleathitch.metrics.ProcessingTimes
 import cleathitch.protocol.CloudProtocol
@@ -22,8 +22,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The cloud's API. Every failure is a value; malformed answers are logged here, failed calls by [PooledHttpClient]. Each call
- * waits for its turn at [rateLimiter], which isn't part of [timeoutMs]. Confined to the event loop of its `vertx`.
+ * A client of the cloud's API. Failures are returned, not thrown; malformed responses are logged here, failed calls by
+ * [PooledHttpClient]. Each call first waits for [rateLimiter], and [timeoutMs] starts after this wait. Confined to the event loop
+ * of its `vertx`.
  */
 class CloudClient(
     vertx: Vertx,
@@ -35,11 +36,11 @@
 ) {
     private val client = PooledHttpClient(vertx, "cloud", maxConnections = 4, meters)
 
-    /** The machine types that can be rented. */
+    /** Fetches the machine types that can be rented. */
     suspend fun machineTypes(): ServiceResult<List<MachineType>> =
         call(HttpMethod.GET, "/flavors").decodeAnswer(OK, decode = CloudProtocol::machineTypes).also(::logIfMalformed)
 
-    /** All machines; a failure if any page of the list couldn't be read. */
+    /** Fetches the list of all machines, page by page; fails if any page can't be read. */
     suspend fun machines(): ServiceResult<List<ListedMachine>> {
         val machines = ArrayList<ListedMachine>()
         var after: MachineId? = null
@@ -61,7 +62,7 @@
             .also(::logIfMalformed)
     }
 
-    /** Rents machines. The request's id makes a repetition harmless, so [RentalAnswer.Unknown] calls for one. */
+    /** Rents machines. The request's id makes the call idempotent, so the caller should repeat it after [RentalAnswer.Unknown]. */
     suspend fun rent(rental: Event.RentalRequested): RentalAnswer =
         when (val result = call(HttpMethod.POST, "/hosts", CloudProtocol.rentalRequest(rental))) {
             is CallResult.Failed -> RentalAnswer.Unknown
@@ -76,9 +77,9 @@
         else -> RentalAnswer.Unknown
     }
 
-    /** True if the cloud confirms that [machines] are terminated; false leaves it open. */
+    /** Terminates [machines]. Returns true if the cloud confirms it; false means that the result is unknown. */
     suspend fun terminate(machines: List<MachineId>): Boolean =
-        call(HttpMethod.POST, "/hosts/return", CloudProtocol.terminationRequest(machines)).answerWith(OK) != null
+        call(HttpMethod.POST, "/hosts/return", CloudProtocol.terminationRequest(machines)).responseWithStatus(OK) != null
 
     private suspend fun call(method: HttpMethod, path: String, body: ByteArray? = null): CallResult {
         rateLimiter.acquire()
--- a/src/main/kotlin/cleathitch/config/InvalidSettingsException.kt
+++ b/src/main/kotlin/cleathitch/config/InvalidSettingsException.kt
@@ -2,6 +2,6 @@
 
 import java.nio.file.Path
 
-/** Settings that can't be used; the message names the file, the key if there is one, and the reason. */
+/** A settings file is invalid or unreadable; the message names the file, the key if there is one, and the reason. */
 class InvalidSettingsException(file: Path, key: String?, reason: String, cause: Throwable? = null) :
     Exception(listOfNotNull("$file", key, reason).joinToString(": "), cause)
--- a/src/main/kotlin/cleathitch/config/OperatorSettings.kt
+++ b/src/main/kotlin/cleathitch/config/OperatorSettings.kt
@@ -9,22 +9,22 @@
 import java.nio.file.Path
 
 /**
- * The operators' own settings, one EDN map; a key left out keeps its default, an unknown one is an error.
+ * The settings that operators may change, read from a file with one EDN map. Missing keys have defaults; unknown keys are errors.
  *
  *     {:trim-s 10 :cloud-share 0.8}
  */
 data class OperatorSettings(
-    /** How often the log is compacted, in seconds. */
+    /** The interval between compactions of the log, in seconds. */
     val compactionPeriodS: Double? = null,
 
-    /** Which part of the cloud's calls the leader may take. */
+    /** The share of the cloud's rate limit that the leader may use. */
     val cloudShare: Double? = null,
 ) {
     companion object {
-        /** Every key left out. */
+        /** The settings without any key, all with their defaults. */
         val DEFAULT = OperatorSettings()
 
-        /** Reads the file; throws [InvalidSettingsException] if it can't be used. */
+        /** Reads the file; throws [InvalidSettingsException] if it is invalid or unreadable. */
         fun read(file: Path): OperatorSettings {
             val map = parse(file) as? Map<*, *> ?: throw InvalidSettingsException(file, null, "isn't one map")
             return map.entries.fold(DEFAULT) { settings, (key, value) -> settings.with(file, key, value) }
@@ -33,11 +33,15 @@
         private fun OperatorSettings.with(file: Path, key: Any?, value: Any?): OperatorSettings {
             val name = (key as? Keyword)?.name ?: throw InvalidSettingsException(file, "$key", "isn't a keyword")
             val number = (value as? Number)?.toDouble()?.takeIf { it.isFinite() && it > 0 }
-                ?: throw InvalidSettingsException(file, ":$name", "must be a number above zero")
+                ?: throw InvalidSettingsException(file, ":$name", "must be a number greater than 0, but is $value")
             return when (name) {
                 "trim-s" -> copy(compactionPeriodS = number)
                 "cloud-share" ->
-                    if (number <= 1) copy(cloudShare = number) else throw InvalidSettingsException(file, ":$name", "must be 1 at most")
+                    if (number <= 1) {
+                        copy(cloudShare = number)
+                    } else {
+                        throw InvalidSettingsException(file, ":$name", "must be at most 1, but is $number")
+                    }
                 else -> throw InvalidSettingsException(file, ":$name", "is unknown")
             }
         }
@@ -48,7 +52,7 @@
                 val input = Parsers.newParseable(reader)
                 val value = parser.nextValue(input)
                 if (value !== Parser.END_OF_INPUT && parser.nextValue(input) !== Parser.END_OF_INPUT) {
-                    throw InvalidSettingsException(file, null, "holds more than one value")
+                    throw InvalidSettingsException(file, null, "contains more than one value")
                 }
                 value
             }
--- a/src/main/kotlin/cleathitch/config/Settings.kt
+++ b/src/main/kotlin/cleathitch/config/Settings.kt
@@ -10,21 +10,21 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** Another controller, at its internal address. */
+/** Another controller and its internal address. */
 data class Peer(val member: String, val address: Address)
 
 /**
- * What the platform hands to a controller, as one JSON file. Keys that aren't known are ignored.
+ * The settings that the platform passes to a controller, read from one JSON file. Unknown keys are ignored.
  *
- * @property member the name of this controller among its [peers].
+ * @property member the name that identifies this controller among its [peers].
  * @property domain the zone in which this controller runs.
- * @property bind where load balancer, users and workers are served.
- * @property internalAddress where other controllers are served, and the metrics.
+ * @property bind the public address, which serves the load balancer, users and workers.
+ * @property internalAddress the address that serves other controllers and the metrics.
  * @property cloud the cloud's address.
  * @property state the key-value store's address.
- * @property cpu the cores that this process may use.
- * @property memoryMb the memory that this process may use.
- * @property maxSockets the sockets that this process may hold.
+ * @property cpu the number of cores that this process may use.
+ * @property memoryMb the memory that this process may use, in MB.
+ * @property maxSockets the number of sockets that this process may have open.
  */
 data class Settings(
     val member: String,
@@ -42,10 +42,10 @@
     companion object {
         private const val BYTES_PER_KB = 1024
 
-        /** The fewest operations in a transaction that the log is designed for. */
+        /** The log's transactions need a store that accepts at least this many operations in one transaction. */
         private const val MIN_TRANSACTION_OPERATIONS = 8
 
-        /** Reads the file; throws [InvalidSettingsException] if it can't be used. */
+        /** Reads the file; throws [InvalidSettingsException] if it is invalid or unreadable. */
         fun read(file: Path): Settings {
             val bytes = try {
                 Files.readAllBytes(file)
@@ -73,9 +73,9 @@
                 peers = root.sections("seeds").map { Peer(it.text("member"), it.address("addr")) },
                 cloud = outside.address("cloud"),
                 state = outside.address("state"),
-                cpu = resources.positive("cpu"),
-                memoryMb = resources.positive("memory_mb"),
-                maxSockets = resources.positive("max_sockets").toInt(),
+                cpu = resources.positiveNumber("cpu"),
+                memoryMb = resources.positiveNumber("memory_mb"),
+                maxSockets = resources.positiveNumber("max_sockets").toInt(),
                 deployment = deployment(cluster),
             )
         }
@@ -88,39 +88,41 @@
                 zones = cluster.texts("zones"),
                 teams = cluster.sections("teams").map(::team).associateBy { it.name },
                 objectives = cluster.sections("objectives").mapNotNull(::objective),
-                reportS = workers.positive("report_s"),
-                leaseS = workers.positive("lease_s"),
-                cancelS = workers.positive("cancel_s"),
-                stateRps = state.positive("rps"),
-                stateWriteRps = state.positive("write_rps"),
-                stateValueBytes = (state.positive("value_kb") * BYTES_PER_KB).toInt(),
-                stateTxnOps = state.positive("txn_ops").toInt(),
-                cloudRps = cloud.positive("rps"),
-                listLagS = cloud.amount("list_lag_s"),
-                nodes = cluster.positive("initial_size").toInt(),
+                reportS = workers.positiveNumber("report_s"),
+                leaseS = workers.positiveNumber("lease_s"),
+                cancelS = workers.positiveNumber("cancel_s"),
+                stateRps = state.positiveNumber("rps"),
+                stateWriteRps = state.positiveNumber("write_rps"),
+                stateValueBytes = (state.positiveNumber("value_kb") * BYTES_PER_KB).toInt(),
+                stateTxnOps = state.positiveNumber("txn_ops").toInt(),
+                cloudRps = cloud.positiveNumber("rps"),
+                listLagS = cloud.nonNegativeNumber("list_lag_s"),
+                nodes = cluster.positiveNumber("initial_size").toInt(),
             )
-            // A cancelled task that nobody can reach ends with its machine's lease, which has to be in time.
-            if (deployment.cancelS <= deployment.leaseS) workers.fail("cancel_s", "must be longer than lease_s")
+            // A cancelled task on an unreachable machine ends only when the machine's lease expires, which must be within cancel_s.
+            if (deployment.cancelS <= deployment.leaseS) {
+                workers.fail("cancel_s", "must be longer than lease_s (${deployment.leaseS}), but is ${deployment.cancelS}")
+            }
             if (deployment.stateTxnOps < MIN_TRANSACTION_OPERATIONS) {
-                state.fail("txn_ops", "must be $MIN_TRANSACTION_OPERATIONS at least")
+                state.fail("txn_ops", "must be at least $MIN_TRANSACTION_OPERATIONS, but is ${deployment.stateTxnOps}")
             }
             return deployment
         }
 
-        /** A limit of 0 is none. */
+        /** In the settings, a maximum of 0 means that there is none. */
         private fun team(section: SettingsSection) = Team(
             section.text("name"),
-            section.amount("cpus"),
-            section.amount("cpus_max").takeIf { it > 0 },
-            section.amount("gpus"),
-            section.amount("gpus_max").takeIf { it > 0 },
+            section.nonNegativeNumber("cpus"),
+            section.nonNegativeNumber("cpus_max").takeIf { it > 0 },
+            section.nonNegativeNumber("gpus"),
+            section.nonNegativeNumber("gpus_max").takeIf { it > 0 },
         )
 
         private fun objective(section: SettingsSection): Objective? = when (section.text("kind")) {
-            "finished" -> Objective.Finished(section.text("class"), section.positive("within_s"), section.positive("share"))
-            "wait" -> Objective.Wait(section.text("class"), section.positive("within_s"), section.positive("share"))
-            "guarantee" -> Objective.Guarantee(section.positive("within_s"), section.positive("share"))
-            // An objective that later versions may know.
+            "finished" -> Objective.Finished(section.text("class"), section.positiveNumber("within_s"), section.positiveNumber("share"))
+            "wait" -> Objective.Wait(section.text("class"), section.positiveNumber("within_s"), section.positiveNumber("share"))
+            "guarantee" -> Objective.Guarantee(section.positiveNumber("within_s"), section.positiveNumber("share"))
+            // A kind that this version doesn't know is ignored.
             else -> null
         }
     }
--- a/src/main/kotlin/cleathitch/config/SettingsSection.kt
+++ b/src/main/kotlin/cleathitch/config/SettingsSection.kt
@@ -5,56 +5,58 @@
 import java.nio.file.Path
 
 /**
- * One JSON object of the settings [file], at [path]. What is missing or of the wrong kind is an [InvalidSettingsException]
- * that names file, key and reason.
+ * One JSON object of the settings [file], at [path]. A value that is missing or of the wrong type causes an
+ * [InvalidSettingsException] that names file, key and reason.
  */
 internal class SettingsSection(private val file: Path, private val path: String, private val node: JsonNode) {
-    /** Ends the reading because of the value of [name]. */
+    /** Throws an [InvalidSettingsException] for the key [name]. */
     fun fail(name: String, reason: String): Nothing = throw InvalidSettingsException(file, key(name), reason)
 
-    /** An object. */
+    /** Returns an object. */
     fun section(name: String): SettingsSection {
         val value = required(name)
-        if (!value.isObject) fail(name, "must be an object")
+        if (!value.isObject) fail(name, "must be an object, but is ${value.nodeType}")
         return SettingsSection(file, key(name), value)
     }
 
-    /** A list of objects. */
+    /** Returns a list of objects. */
     fun sections(name: String): List<SettingsSection> {
         val value = required(name)
-        if (!value.isArray) fail(name, "must be a list")
+        if (!value.isArray) fail(name, "must be a list, but is ${value.nodeType}")
         return value.mapIndexed { i, item ->
-            if (!item.isObject) fail("$name[$i]", "must be an object")
+            if (!item.isObject) fail("$name[$i]", "must be an object, but is ${item.nodeType}")
             SettingsSection(file, key("$name[$i]"), item)
         }
     }
 
-    /** A list of texts. */
+    /** Returns a list of strings. */
     fun texts(name: String): List<String> {
         val value = required(name)
-        if (!value.isArray || value.any { !it.isTextual }) fail(name, "must be a list of texts")
+        if (!value.isArray || value.any { !it.isTextual }) fail(name, "must be a list of strings, but is $value")
         return value.map { it.textValue() }
     }
 
-    /** A text that isn't empty. */
+    /** Returns a non-empty string. */
     fun text(name: String): String {
         val value = required(name)
-        if (!value.isTextual || value.textValue().isEmpty()) fail(name, "must be a text")
+        if (!value.isTextual || value.textValue().isEmpty()) fail(name, "must be a non-empty string, but is $value")
         return value.textValue()
     }
 
-    /** A number, zero or above. */
-    fun amount(name: String): Double {
+    /** Returns a number that is at least 0. */
+    fun nonNegativeNumber(name: String): Double {
         val value = required(name)
-        if (!value.isNumber || !value.doubleValue().isFinite() || value.doubleValue() < 0) fail(name, "must be a number, zero at least")
+        if (!value.isNumber || !value.doubleValue().isFinite() || value.doubleValue() < 0) {
+            fail(name, "must be a number of at least 0, but is $value")
+        }
         return value.doubleValue()
     }
 
-    /** A number above zero. */
-    fun positive(name: String) = amount(name).also { if (it <= 0) fail(name, "must be above zero") }
+    /** Returns a number that is greater than 0. */
+    fun positiveNumber(name: String) = nonNegativeNumber(name).also { if (it <= 0) fail(name, "must be greater than 0, but is $it") }
 
-    /** A text of the form host:port. */
-    fun address(name: String) = Address.parse(text(name)) ?: fail(name, "must be host:port")
+    /** Returns an address of the form `host:port`. */
+    fun address(name: String) = Address.parse(text(name)) ?: fail(name, "must be host:port, but is ${text(name)}")
 
     private fun key(name: String) = if (path.isEmpty()) name else "$path.$name"
 
--- a/src/main/kotlin/cleathitch/http/Address.kt
+++ b/src/main/kotlin/cleathitch/http/Address.kt
@@ -7,7 +7,7 @@
     companion object {
         private const val MAX_PORT = 65_535
 
-        /** Null if [text] isn't of the form `host:port`. */
+        /** Parses `host:port`; null if [text] isn't of this form. */
         fun parse(text: String): Address? {
             val colon = text.lastIndexOf(':')
             val port = if (colon > 0) text.substring(colon + 1).toIntOrNull() else null
--- a/src/main/kotlin/cleathitch/http/CallFailure.kt
+++ b/src/main/kotlin/cleathitch/http/CallFailure.kt
@@ -1,16 +1,16 @@
 package cleathitch.http
 
-/** The stage at which a call failed. Only before a connection is acquired is it certain that the server got nothing of the request. */
+/** The stage at which a call failed. Only if it failed before a connection was acquired is it certain that nothing was sent. */
 enum class CallFailure(val description: String) {
-    /** The pool gave no connection before the timeout. */
-    NO_CONNECTION_IN_TIME("no connection in time"),
+    /** The pool provided no connection within the timeout. */
+    NO_CONNECTION_IN_TIME("no connection within the timeout"),
 
-    /** Opening a connection failed, as when the server refuses it. */
-    CONNECT_FAILED("connecting failed"),
+    /** Opening a connection failed, for example because the server refused it. */
+    CONNECT_FAILED("opening a connection failed"),
 
-    /** A connection was acquired, but the whole answer didn't arrive before the timeout. */
-    NO_ANSWER_IN_TIME("no answer in time"),
+    /** A connection was acquired, but the complete response didn't arrive within the timeout. */
+    NO_ANSWER_IN_TIME("no complete response within the timeout"),
 
-    /** The connection broke between the request and the end of the answer. */
-    CONNECTION_LOST("the connection was lost"),
+    /** The connection was closed or reset before the complete response had arrived. */
+    CONNECTION_LOST("the connection was lost before the complete response"),
 }
--- a/src/main/kotlin/cleathitch/http/CallOutcome.kt
+++ b/src/main/kotlin/cleathitch/http/CallOutcome.kt
@@ -1,21 +1,21 @@
 package cleathitch.http
 
-/** What a call's result says about its server, in the terms that metrics and log lines share. */
+/** Classifies a call's result by the state of the server, for metrics and log lines alike. */
 internal sealed interface CallOutcome {
-    /** The value of the metric's tag `outcome`. */
+    /** The value of the tag `outcome` in metrics. */
     val metricTag: String
 
-    /** The server works, even if its answer says no to this request. */
+    /** The server works, even if it responded to this request with an error. */
     data object Answered : CallOutcome {
         override val metricTag = "answered"
     }
 
-    /** The server has too many requests, or can't serve; unlike other answers, this one may change on a retry. */
+    /** The server is overloaded or failing; unlike with other responses, a retry may succeed. */
     data class Refused(val status: Int) : CallOutcome {
         override val metricTag get() = "refused"
     }
 
-    /** There was no answer. */
+    /** No complete response arrived. */
     data class Failed(val failure: CallFailure) : CallOutcome {
         override val metricTag get() = failure.name.lowercase()
     }
@@ -24,7 +24,7 @@
         private const val TOO_MANY_REQUESTS = 429
         private const val FIRST_SERVER_ERROR = 500
 
-        /** The only place that distinguishes a refusal from an answer. */
+        /** Classifies [result]; no other code decides which statuses are refusals. */
         fun of(result: CallResult): CallOutcome = when (result) {
             is CallResult.Failed -> Failed(result.failure)
             is CallResult.Answered -> if (isRefusal(result.status)) Refused(result.status) else Answered
--- a/src/main/kotlin/cleathitch/http/CallResult.kt
+++ b/src/main/kotlin/cleathitch/http/CallResult.kt
@@ -2,12 +2,12 @@
 
 /** The result of an HTTP call. */
 sealed interface CallResult {
-    /** The server's whole answer, whatever its [status]. */
+    /** The server's complete response, whatever its [status]. */
     class Answered(val status: Int, val body: ByteArray) : CallResult
 
-    /** There is no answer, which says nothing about whether the request was carried out. */
+    /** There is no complete response; whether the request was carried out is unknown. */
     data class Failed(val failure: CallFailure) : CallResult
 }
 
-/** The answer, if it has the status [expected]; null for every other answer and for a failed call. */
-fun CallResult.answerWith(expected: Int): CallResult.Answered? = (this as? CallResult.Answered)?.takeIf { it.status == expected }
+/** Returns the response if its status is [expected]; null for any other status and for a failed call. */
+fun CallResult.responseWithStatus(expected: Int): CallResult.Answered? = (this as? CallResult.Answered)?.takeIf { it.status == expected }
--- a/src/main/kotlin/cleathitch/http/ClientMeters.kt
+++ b/src/main/kotlin/cleathitch/http/ClientMeters.kt
@@ -7,7 +7,7 @@
 
 /**
  * The meters of one HTTP client: its calls by outcome, the calls that wait for a connection, and the connections in use.
- * Written on the client's event loop; the two gauges may be read from any thread.
+ * Updated on the client's event loop; the two gauges may be read from any thread.
  */
 internal class ClientMeters(private val client: String, private val meters: MeterRegistry) {
     private val waiting = AtomicInteger()
@@ -20,23 +20,23 @@
         meters.gauge("http.client.in_use", tags, inUse)
     }
 
-    /** A call asks the pool for a connection. */
+    /** Records that a call has requested a connection from the pool. */
     fun recordAcquisitionStart() {
         waiting.incrementAndGet()
     }
 
-    /** The pool has served or refused an acquisition, whether or not its call still waits for it. */
+    /** Records that the pool has completed or failed an acquisition, whether or not its call still waits for it. */
     fun recordAcquisitionEnd(gotConnection: Boolean) {
         waiting.decrementAndGet()
         if (gotConnection) inUse.incrementAndGet()
     }
 
-    /** A connection that was in use is back in the pool, or closed. */
+    /** Records that a connection has been returned to the pool or closed. */
     fun recordRelease() {
         inUse.decrementAndGet()
     }
 
-    /** A call has ended. */
+    /** Records the outcome of a call that has ended. */
     fun recordCall(outcome: CallOutcome) {
         val tag = outcome.metricTag
         calls.getOrPut(tag) { meters.counter("http.client.calls", "client", client, "outcome", tag) }.increment()
--- a/src/main/kotlin/cleathitch/http/ConnectionLimit.kt
+++ b/src/main/kotlin/cleathitch/http/ConnectionLimit.kt
@@ -1,35 +1,35 @@
 package cleathitch.http
 
 /**
- * Bounds a server's open connections to [max], so that the process keeps sockets for the connections that it opens itself.
- * Without the bound, incoming connections can use up the sockets, and the leader can't renew its lease.
+ * Limits a server's open connections to [max], so that sockets remain for the connections that the process opens itself.
+ * Without the limit, incoming connections can exhaust the sockets, and the leader can't renew its lease.
  *
- * Past 95 % of [max] each response closes its connection, so that clients make room for each other; past [max] a new
- * connection is closed at once, and its client tries another controller. Confined to the server's event loop.
+ * Above 95 % of [max], each response closes its connection, which makes room for other clients. Above [max], a new connection is
+ * closed at once, and its client tries another controller. Confined to the server's event loop.
  */
 class ConnectionLimit(val max: Int) {
-    private val keepAliveMax = max - max / RESERVED_SHARE
+    private val maxKeptAlive = max - max / RESERVED_FRACTION_DIVISOR
 
-    /** Connections that are open now, those above [max] that are about to be closed included. */
-    var open = 0
+    /** The number of open connections, including those above [max] that are about to be closed. */
+    var openConnections = 0
         private set
 
-    /** Responses must close their connections. */
-    val isNearlyFull get() = open > keepAliveMax
+    /** Whether responses must close their connections. */
+    val isNearlyFull get() = openConnections > maxKeptAlive
 
-    /** Counts a new connection; false if it must be closed, since there is no room for it. */
+    /** Counts a new connection; returns false if the caller must close it because the limit is exceeded. */
     fun recordOpened(): Boolean {
-        open++
-        return open <= max
+        openConnections++
+        return openConnections <= max
     }
 
-    /** Counts the end of a connection, of those for which [recordOpened] was false too. */
+    /** Counts a closed connection; required also for those for which [recordOpened] returned false. */
     fun recordClosed() {
-        open--
+        openConnections--
     }
 
     private companion object {
-        /** One connection in this many is reserved for clients that arrive while all others are kept alive. */
-        const val RESERVED_SHARE = 20
+        /** One in this many connections is reserved for new clients while all others are kept alive. */
+        const val RESERVED_FRACTION_DIVISOR = 20
     }
 }
--- a/src/main/kotlin/cleathitch/http/HttpEndpoint.kt
+++ b/src/main/kotlin/cleathitch/http/HttpEndpoint.kt
@@ -13,19 +13,20 @@
 import org.slf4j.LoggerFactory
 
 /**
- * An HTTP/1.1 server that passes whole requests, of at most [maxBodyBytes], to [handle] in a coroutine of [scope]. It runs on
- * the event loop of [vertx] and listens until [vertx] is closed. An exception of [handle] is answered with status 500.
+ * An HTTP/1.1 server that passes complete requests, with a body of at most [maxBodyBytes], to [handle] in a coroutine of
+ * [scope]. It runs on the event loop of [vertx] and listens until [vertx] is closed. An exception thrown by [handle] results in
+ * status 500.
  */
 class HttpEndpoint(
     private val vertx: Vertx,
     private val scope: CoroutineScope,
     private val maxBodyBytes: Int,
-    /** Seconds until an idle connection is closed: connections of terminated machines would use up the sockets. */
-    private val idleS: Int,
+    /** The time in seconds after which an idle connection is closed; connections of terminated machines would exhaust the sockets. */
+    private val idleTimeoutS: Int,
     private val connectionLimit: ConnectionLimit,
     private val handle: suspend (method: String, path: String, body: ByteArray) -> HttpReply,
 ) {
-    /** Starts listening and returns the port, which the system chooses if that of [address] is 0. Throws if the port is taken. */
+    /** Starts listening and returns the port, which the system assigns if that of [address] is 0. Throws if the port is in use. */
     suspend fun listen(address: Address): Int {
         val server = vertx.createHttpServer(options(address))
             .requestHandler(::receive)
@@ -41,8 +42,8 @@
         .setCompressionSupported(false)
         .setDecompressionSupported(false)
         .setAcceptBacklog(ACCEPT_BACKLOG)
-        .setIdleTimeout(idleS)
-        // No client uses HTTP/2 or WebSocket. With HTTP/2 on, a connection would count only from its first byte.
+        .setIdleTimeout(idleTimeoutS)
+        // No client uses HTTP/2 or WebSocket. With HTTP/2 enabled, a connection would be counted only from its first byte on.
         .setHttp2ClearTextEnabled(false)
         .setPerFrameWebSocketCompressionSupported(false)
         .setPerMessageWebSocketCompressionSupported(false)
@@ -62,19 +63,19 @@
                 body.appendBuffer(chunk)
             } else {
                 isRejected = true
-                // The rest of the body isn't read, so the connection can't carry another request.
+                // The rest of the body isn't read, so the connection can't be reused for another request.
                 respond(request, HttpReply(BAD_REQUEST, closesConnection = true))
             }
         }
-        request.endHandler { if (!isRejected) handleWhole(request, body) }
+        request.endHandler { if (!isRejected) handleComplete(request, body) }
     }
 
-    /** Starts [handle] without a dispatch: this already runs on the event loop. */
-    private fun handleWhole(request: HttpServerRequest, body: Buffer) {
+    /** Starts [handle] undispatched, because the caller already runs on the event loop. */
+    private fun handleComplete(request: HttpServerRequest, body: Buffer) {
         scope.launch(start = CoroutineStart.UNDISPATCHED) { respond(request, replyTo(request, body.bytes)) }
     }
 
-    // A request that fails for whatever reason is answered and logged; the server and its other requests go on.
+    // Whatever the exception, the request gets a response and the failure is logged; the server and other requests aren't affected.
     @Suppress("TooGenericExceptionCaught")
     private suspend fun replyTo(request: HttpServerRequest, body: ByteArray): HttpReply = try {
         handle(request.method().name(), request.path() ?: "", body)
@@ -101,7 +102,7 @@
         const val BAD_REQUEST = 400
         const val INTERNAL_SERVER_ERROR = 500
 
-        /** Connections that the kernel holds until the event loop accepts them; more are refused. */
+        /** The number of connections that the kernel queues until the event loop accepts them; further ones are refused. */
         const val ACCEPT_BACKLOG = 1024
     }
 }
--- a/src/main/kotlin/cleathitch/http/OutageLog.kt
+++ b/src/main/kotlin/cleathitch/http/OutageLog.kt
@@ -3,9 +3,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Logs when calls to a server begin to fail and when the server answers again, with the failures in between counted by
- * kind. During the outage it logs each time the number of failures has doubled, so that a long outage costs few lines.
- * Confined to the event loop of its client; [nowMs] is a steady clock.
+ * Logs when calls to a server begin to fail and when they succeed again, with the number of failures of each kind in between.
+ * During an outage it logs each time the number of failures has doubled, so that a long outage produces few lines.
+ * Confined to the event loop of its client; [nowMs] is a monotonic clock.
  */
 internal class OutageLog(private val client: String, private val nowMs: () -> Long) {
     private class Outage(val sinceMs: Long) {
@@ -13,19 +13,19 @@
         var failures = 0
             private set
 
-        /** Counts one more failed call. */
+        /** Counts a failed call. */
         fun recordFailure(failure: String) {
             countsByFailure.merge(failure, 1, Int::plus)
             failures++
         }
 
-        /** As `status_503:2,connect_failed:1`, in the order of first occurrence. */
+        /** Formats the counts as `status_503:2,connect_failed:1`, in the order of first occurrence. */
         fun summary() = countsByFailure.entries.joinToString(",") { (failure, count) -> "$failure:$count" }
     }
 
     private val outages = HashMap<Address, Outage>()
 
-    /** A call to [server] has ended. */
+    /** Records the outcome of a call to [server] that has ended. */
     fun recordCall(server: Address, path: String, outcome: CallOutcome) = when (outcome) {
         CallOutcome.Answered -> recordRecovery(server)
         is CallOutcome.Refused -> recordFailure(server, path, "status_${outcome.status}")
@@ -36,7 +36,7 @@
         val outage = outages.getOrPut(server) { Outage(nowMs()) }
         outage.recordFailure(failure)
         if (outage.failures == 1) {
-            // Without the query, which differs from call to call.
+            // The query is left out because it differs from call to call.
             log.info("event=calls_failing client={} server={} failure={} path={}", client, server, failure, path.substringBefore('?'))
         } else if (isPowerOfTwo(outage.failures)) {
             log.info("event=calls_still_failing client={} server={} {}", client, server, details(outage))
--- a/src/main/kotlin/cleathitch/http/PooledHttpClient.kt
+++ b/src/main/kotlin/cleathitch/http/PooledHttpClient.kt
@@ -15,11 +15,11 @@
 import java.util.concurrent.TimeoutException
 
 /**
- * An HTTP/1.1 client with a pool of at most [maxConnections] connections to each server. Its calls end in a [CallResult],
- * never in an exception other than cancellation. Confined to the event loop of [vertx], which also owns the connections.
+ * An HTTP/1.1 client with a pool of at most [maxConnections] connections to each server. Its calls return a [CallResult] and
+ * throw no exception other than cancellation. Confined to the event loop of [vertx], which also owns the connections.
  *
- * [name] stands in metrics and in the log. Without [keepAlive] each call has a connection of its own. Without [logsOutages],
- * failures are only counted, as is right for a client with thousands of servers.
+ * [name] identifies the client in metrics and log lines. Without [keepAlive], each call opens its own connection. Without
+ * [logsOutages], failures are only counted, which suits a client of thousands of servers.
  */
 class PooledHttpClient(
     vertx: Vertx,
@@ -37,7 +37,7 @@
     private val clientMeters = ClientMeters(name, meters)
     private val outages = if (logsOutages) OutageLog(name, ::steadyMs) else null
 
-    /** Sends a request and waits for the whole answer, [timeoutMs] at most, the wait for a connection included. */
+    /** Sends a request and waits for the complete response. [timeoutMs] bounds the whole call, including the wait for a connection. */
     suspend fun call(server: Address, method: HttpMethod, path: String, body: ByteArray?, timeoutMs: Long): CallResult {
         val result = withConnection(timeoutMs) { checkout -> exchange(checkout, requestOptions(server, method, path), body) }
         val outcome = CallOutcome.of(result)
@@ -46,8 +46,8 @@
         return result
     }
 
-    /** Every failure of [exchange] becomes a value here, and its connection is released however it ends. */
-    // Vert.x fails a request with exceptions of many kinds, some of them plain runtime exceptions.
+    /** Runs [exchange], converts each of its failures to a [CallResult.Failed], and releases its connection in any case. */
+    // Vert.x fails requests with exceptions of many types, some of which are plain runtime exceptions.
     @Suppress("TooGenericExceptionCaught")
     private suspend fun withConnection(timeoutMs: Long, exchange: suspend (ConnectionCheckout) -> CallResult.Answered): CallResult {
         val checkout = ConnectionCheckout(clientMeters)
@@ -93,7 +93,7 @@
         .setURI(path)
         .setConnectTimeout(connectTimeoutMs.toLong())
 
-    /** The registry's clock, which is the system's unless a test sets another. */
+    /** Reads the registry's clock, which is the system's unless a test replaces it. */
     private fun steadyMs() = TimeUnit.NANOSECONDS.toMillis(meters.config().clock().monotonicTime())
 
     private companion object {
--- a/src/main/kotlin/cleathitch/http/ServiceError.kt
+++ b/src/main/kotlin/cleathitch/http/ServiceError.kt
@@ -1,24 +1,24 @@
 package cleathitch.http
 
-/** Why a call to another program yielded nothing that can be used; its text stands in log lines. */
+/** The reason why a call to another service returned no usable value; `toString` is its text in log lines. */
 sealed interface ServiceError {
-    /** No whole answer came; the request may have been carried out nevertheless. */
+    /** No complete response arrived; the request may have been carried out nevertheless. */
     data class NoAnswer(val failure: CallFailure) : ServiceError {
         override fun toString() = failure.description
     }
 
-    /** The program refused the request, or failed: the answer has a [status] other than those the request expects. */
+    /** The service rejected the request or failed: the response's [status] isn't one that the caller expects. */
     data class UnexpectedStatus(val status: Int) : ServiceError {
-        override fun toString() = "status $status"
+        override fun toString() = "unexpected status $status"
     }
 
-    /** The answer's body isn't as the protocol demands; [message] says what was expected and what was found. */
+    /** The response's body violates the protocol; [message] names the field and the reason. */
     data class MalformedAnswer(val message: String) : ServiceError {
-        override fun toString() = "malformed answer: $message"
+        override fun toString() = "malformed response: $message"
     }
 
-    /** There was no call, since [text] isn't an address. */
+    /** No call was made because [text] isn't a valid address. */
     data class InvalidAddress(val text: String) : ServiceError {
-        override fun toString() = "invalid address: $text"
+        override fun toString() = "invalid address, must be host:port: $text"
     }
 }
--- a/src/main/kotlin/cleathitch/http/ServiceResult.kt
+++ b/src/main/kotlin/cleathitch/http/ServiceResult.kt
@@ -1,14 +1,14 @@
 package cleathitch.http
 
-/** What a call to another program yielded, or why it yielded nothing. */
+/** The value that a call to another service returned, or the reason why it returned none. */
 sealed interface ServiceResult<out T> {
-    /** The decoded answer. */
+    /** The decoded response. */
     data class Success<T>(val value: T) : ServiceResult<T>
 
-    /** There is no value, for the reason [error]. */
+    /** There is no value; [error] is the reason. */
     data class Failure(val error: ServiceError) : ServiceResult<Nothing>
 
-    /** The value, for callers that handle every failure alike. */
+    /** Returns the value, or null for callers that handle all failures alike. */
     fun valueOrNull(): T? = when (this) {
         is Success -> value
         is Failure -> null
--- a/src/main/kotlin/cleathitch/metrics/MetricsText.kt
+++ b/src/main/kotlin/cleathitch/metrics/MetricsText.kt
@@ -4,9 +4,9 @@
 import io.micrometer.core.instrument.Meter
 import io.micrometer.core.instrument.MeterRegistry
 
-/** The metrics as text, a line for each measurement: name with statistic, tags, value. */
+/** Formats metrics as text with one line per measurement: name and statistic, tags, value. */
 object MetricsText {
-    /** All present values, by name. */
+    /** Formats the current values of all meters, ordered by name. */
     fun text(meters: MeterRegistry): String = meters.meters.sortedBy { it.id.name }.joinToString("", transform = ::lines)
 
     private fun lines(meter: Meter): String = meter.measure().joinToString("") { line(meter.id, it) }
--- a/src/main/kotlin/cleathitch/metrics/ProcessingStage.kt
+++ b/src/main/kotlin/cleathitch/metrics/ProcessingStage.kt
@@ -1,33 +1,33 @@
 package cleathitch.metrics
 
-/** The stages of a controller's work whose times are measured. */
+/** The stages of a controller's work whose duration is measured. */
 enum class ProcessingStage {
-    /** A worker's heartbeat from JSON. */
+    /** Decoding a worker's heartbeat. */
     HEARTBEAT_DECODING,
 
-    /** A follower's batch for the leader to bytes. */
+    /** Encoding a follower's batch for the leader. */
     BATCH_ENCODING,
 
-    /** The heartbeats of a follower's batch to the scheduler's form. */
+    /** Converting the heartbeats of a follower's batch to the scheduler's types. */
     BATCH_DECODING,
 
-    /** One batch of inputs through the scheduler. */
+    /** Processing one batch of inputs in the scheduler. */
     SCHEDULER,
 
-    /** A commit to the forms that are stored. */
+    /** Encoding a commit for the key-value store. */
     COMMIT_ENCODING,
 
-    /** The cloud's list of machines from JSON. */
+    /** Decoding one page of the cloud's list of machines. */
     MACHINE_LIST,
 
-    /** The stored entries to the state that a term starts from. */
+    /** Replaying the stored log entries to the state with which a term starts. */
     REPLAY,
 
-    /** A part of the image cache hints to bytes. */
+    /** Encoding a part of the image cache hints. */
     IMAGE_HINTS_ENCODING,
 
     ;
 
-    /** The stage's name in metrics and in the log. */
+    /** The stage's name in metrics and log lines. */
     val label = name.lowercase()
 }
--- a/src/main/kotlin/cleathitch/metrics/ProcessingTimes.kt
+++ b/src/main/kotlin/cleathitch/metrics/ProcessingTimes.kt
@@ -5,15 +5,16 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * How long the stages of a controller's work take, as metrics and as a summary for the log. Confined to one event loop.
+ * Measures the duration of the stages of a controller's work, for metrics and for a summary in the log. Confined to one event
+ * loop.
  *
- * The longest single piece matters as much as the sum: on a machine with a tenth of a core, thirty milliseconds of work
- * keep every request waiting for a third of a second.
+ * The longest single run matters as much as the total: on a machine with a tenth of a core, 30 ms of CPU time delay every
+ * request by about a third of a second.
  */
 class ProcessingTimes(meters: MeterRegistry) {
     private val stages = ProcessingStage.entries.associateWith { StageTimes(meters.timer("processing", "stage", it.label)) }
 
-    /** Runs [work] and records its time for [stage]. */
+    /** Runs [work] and records its duration for [stage]. */
     fun <T> measure(stage: ProcessingStage, work: () -> T): T {
         val startNs = System.nanoTime()
         try {
@@ -23,12 +24,12 @@
         }
     }
 
-    /** Count, total and longest time of each stage that ran since the last summary, as keys and values for the log. */
+    /** Formats count, total and longest duration of each stage that ran since the last summary, as keys and values of a log line. */
     fun summary(): String = stages.filterValues { it.count > 0 }
         .map { (stage, times) -> times.summary(stage.label).also { times.reset() } }
         .joinToString(" ")
 
-    /** One stage's times: for the metrics since the start of the process, for the log since the last summary. */
+    /** The durations of one stage: since the start of the process for the metrics, since the last summary for the log. */
     private class StageTimes(private val timer: Timer) {
         var count = 0
             private set
--- a/src/main/kotlin/cleathitch/protocol/AnswerDecoding.kt
+++ b/src/main/kotlin/cleathitch/protocol/AnswerDecoding.kt
@@ -4,7 +4,7 @@
 import cleathitch.http.ServiceError
 import cleathitch.http.ServiceResult
 
-/** The answer's body as [decode] reads it, if the answer has one of [statuses]; otherwise the reason why there is no value. */
+/** Decodes the response's body with [decode] if its status is one of [statuses]; otherwise returns the reason for the failure. */
 internal inline fun <T> CallResult.decodeAnswer(vararg statuses: Int, decode: (ByteArray) -> T): ServiceResult<T> = when (this) {
     is CallResult.Failed -> ServiceResult.Failure(ServiceError.NoAnswer(failure))
     is CallResult.Answered -> if (status in statuses) {
@@ -14,7 +14,7 @@
     }
 }
 
-/** The value that [decode] reads from [body]; a body that it can't read is a failure. */
+/** Decodes [body] with [decode]; a [MalformedMessageException] becomes a [ServiceError.MalformedAnswer]. */
 internal inline fun <T> decodeBody(body: ByteArray, decode: (ByteArray) -> T): ServiceResult<T> = try {
     ServiceResult.Success(decode(body))
 } catch (e: MalformedMessageException) {
--- a/src/main/kotlin/cleathitch/protocol/CloudProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/CloudProtocol.kt
@@ -8,7 +8,7 @@
 import cleathitch.scheduler.model.Offer
 import com.fasterxml.jackson.databind.JsonNode
 
-/** The cloud's messages. Every decoding function throws [MalformedMessageException] for a body that isn't as the cloud's page says. */
+/** The messages of the cloud's API. Every decoding function throws [MalformedMessageException] for a body that violates the protocol. */
 object CloudProtocol {
     private const val NO_CAPACITY = "no capacity"
 
@@ -18,7 +18,7 @@
         "failed" to ListedState.FAILED,
     )
 
-    /** A part of the list of machines, ordered by id; [hasMore] if another part follows. */
+    /** One page of the list of machines, ordered by id; [hasMore] if another page follows. */
     class MachinePage(val machines: List<ListedMachine>, val hasMore: Boolean)
 
     /** Decodes the machine types that the cloud offers. */
@@ -37,16 +37,16 @@
         )
     }
 
-    /** Encodes a request for machines; the cloud treats a repetition with the same request id as the same rental. */
+    /** Encodes a request for machines. It is idempotent: the cloud treats a repetition with the same request id as the same rental. */
     fun rentalRequest(rental: Event.RentalRequested): ByteArray = MessageCodec.encode(
         MessageCodec.newMap().put("alquiler", rental.request).put("hornada", rental.offer.type).put("comarca", rental.offer.zone)
             .put("prestados", rental.offer.spot).put("number", rental.count),
     )
 
-    /** Decodes the ids of the machines that a rental got. */
+    /** Decodes the ids of the machines that were rented. */
     fun rentedMachines(body: ByteArray): List<MachineId> = MessageCodec.decodeMap(body).requiredTexts("burros").map(::MachineId)
 
-    /** True if a refused rental may succeed later: the zone has no machine of that type now. */
+    /** True if a rental failed only because the zone has no machine of that type at present; a later request may succeed. */
     fun isNoCapacity(body: ByteArray): Boolean = MessageCodec.decodeMap(body).optionalText("error") == NO_CAPACITY
 
     /** Encodes a request to terminate [machines]. */
@@ -67,7 +67,7 @@
         MachineId(node.requiredText("nameId")),
         node.requiredText("addr"),
         Offer(node.requiredText("hornada"), node.requiredText("comarca"), node.requiredBoolean("prestados")),
-        node.requiredChoice("estado", listedStates),
+        node.requiredEnum("estado", listedStates),
         node.requiredDouble("heldS"),
     )
 }
--- a/src/main/kotlin/cleathitch/protocol/KeyValueStoreProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/KeyValueStoreProtocol.kt
@@ -4,29 +4,29 @@
 import com.fasterxml.jackson.databind.node.ObjectNode
 
 /**
- * The key-value store's messages. Every decoding function throws [MalformedMessageException] for a body that isn't as the
- * store's page says.
+ * The messages of the key-value store's API. Every decoding function throws [MalformedMessageException] for a body that violates
+ * the protocol.
  */
 object KeyValueStoreProtocol {
-    /** A key with its value, and the store's revision at its last write. */
+    /** A key, its value and the store's revision at the key's last write. */
     class Entry(val key: String, val value: JsonNode, val revision: Long)
 
-    /** A part of a list of keys as of [revision], in the order of the keys; [more] if another part follows. */
+    /** One page of a list of keys as of [revision], ordered by key; [more] if another page follows. */
     class Page(val entries: List<Entry>, val more: Boolean, val revision: Long)
 
-    /** The keys that were written or deleted up to [revision]. */
+    /** The result of a watch: the keys that were written or deleted up to [revision]. */
     class Watched(val revision: Long, val changes: List<String>)
 
     /** One change of a transaction. */
     sealed interface Write {
-        /** Sets [key]; with a [lease] the key is deleted when that expires. */
+        /** Sets [key]. If a [lease] is given, the store deletes the key when the lease expires. */
         data class Put(val key: String, val value: ObjectNode, val lease: Long? = null) : Write
 
         /** Deletes [key]. */
         data class Delete(val key: String) : Write
     }
 
-    /** Decodes one key. */
+    /** Decodes one key with its value and revision. */
     fun entry(body: ByteArray): Entry = entryOf(MessageCodec.decodeMap(body))
 
     /** Decodes a page of keys. */
@@ -41,13 +41,13 @@
     /** Decodes the id of a new lease. */
     fun lease(body: ByteArray): Long = MessageCodec.decodeMap(body).requiredLong("arriendo")
 
-    /** Decodes the keys whose guards refused a transaction. */
+    /** Decodes the keys whose guards did not hold, because of which a transaction was rejected. */
     fun failedKeys(body: ByteArray): List<String> = MessageCodec.decodeMap(body).requiredTexts("failed")
 
-    /** Decodes why a request was rejected; null if the store gave no text. */
+    /** Decodes the reason for which a request was rejected; null if the store gave none. */
     fun errorText(body: ByteArray): String? = MessageCodec.decodeMap(body).optionalText("error")
 
-    /** Decodes the changes that a watch saw. */
+    /** Decodes the response to a watch. */
     fun watched(body: ByteArray): Watched {
         val map = MessageCodec.decodeMap(body)
         return Watched(
@@ -58,10 +58,10 @@
         )
     }
 
-    /** Encodes the request for a lease of [ms] milliseconds. */
+    /** Encodes a request for a lease with a time to live of [ms] milliseconds. */
     fun ttl(ms: Long): ByteArray = MessageCodec.encode(MessageCodec.newMap().put("ttlMs", ms))
 
-    /** Encodes a compare-and-swap. [guards] give the revision that each key must have; 0 means that the key must not exist. */
+    /** Encodes a compare-and-swap. [guards] map each key to its expected revision; 0 means that the key must not exist. */
     fun transaction(guards: Map<String, Long>, writes: List<Write>): ByteArray {
         val map = MessageCodec.newMap()
         val conditions = map.putArray("guards")
--- a/src/main/kotlin/cleathitch/protocol/MessageCodec.kt
+++ b/src/main/kotlin/cleathitch/protocol/MessageCodec.kt
@@ -10,47 +10,52 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory
 import java.io.IOException
 
-/** A message that breaks its protocol: what is wrong, and in which field. Nothing of such a message may be used. */
+/** A message violates its protocol; the text names the field and the reason. No part of such a message may be used. */
 class MalformedMessageException(message: String, cause: Throwable? = null) : Exception(message, cause) {
-    // Thrown for input that can't be parsed, where the stack says nothing; filling it in would make a flood of bad input cost more.
+    // The stack trace of a parse error carries no information, and creating it would make a flood of malformed input more expensive.
     override fun fillInStackTrace(): Throwable = this
 }
 
-/** MessagePack bodies as Jackson trees: unlike generated readers they cost little at start, and fields are read by name anyway. */
+/**
+ * Converts MessagePack bodies to and from Jackson trees. Unlike generated deserializers, trees add little to the start-up time,
+ * and fields are read by name anyway.
+ */
 object MessageCodec {
     private val mapper = ObjectMapper(MessagePackFactory()).enable(DeserializationFeature.FAIL_ON_READING_DUP_TREE_KEY)
 
-    /** The largest body of a request of a worker or a user, in bytes. */
+    /** The maximum size of the body of a worker's or user's request, in bytes. */
     const val MAX_BODY = 64 * 1024
 
-    /** An empty message, to be filled and passed to [encode]. */
+    /** Creates an empty message, to be filled and passed to [encode]. */
     fun newMap(): ObjectNode = JsonNodeFactory.instance.objectNode()
 
-    /** The MessagePack bytes of [node]. */
+    /** Encodes [node] as MessagePack. */
     fun encode(node: JsonNode): ByteArray = mapper.writeValueAsBytes(node)
 
-    /** Reads a body that must be exactly one map; throws [MalformedMessageException] for anything else. */
+    /** Decodes a body that must be exactly one MessagePack map; throws [MalformedMessageException] for anything else. */
     fun decodeMap(bytes: ByteArray): ObjectNode {
         if (bytes.isEmpty()) throw MalformedMessageException("the body is empty")
-        return readTree(bytes) as? ObjectNode ?: throw MalformedMessageException("not a map")
+        return readTree(bytes) as? ObjectNode ?: throw MalformedMessageException("the body isn't a map")
     }
 
-    // For some malformed bytes the library throws runtime exceptions of several kinds.
+    // For some malformed input the library throws various runtime exceptions.
     @Suppress("TooGenericExceptionCaught")
     private fun readTree(bytes: ByteArray): JsonNode? = try {
         checkNoTrailingBytes(bytes)
         mapper.readTree(bytes)
     } catch (e: JsonProcessingException) {
-        throw MalformedMessageException("not MessagePack: ${e.originalMessage}", e)
+        throw MalformedMessageException("the body isn't MessagePack: ${e.originalMessage}", e)
     } catch (e: RuntimeException) {
-        throw MalformedMessageException("not MessagePack: ${e.message}", e)
+        throw MalformedMessageException("the body isn't MessagePack: ${e.message}", e)
     } catch (e: IOException) {
-        throw MalformedMessageException("not MessagePack: ${e.message}", e)
+        throw MalformedMessageException("the body isn't MessagePack: ${e.message}", e)
     }
 
-    /** Jackson's own check can't be used: its parser for MessagePack ends in an error instead of a last token. */
+    /** Replaces Jackson's FAIL_ON_TRAILING_TOKENS: its MessagePack parser throws at the end of input instead of returning no token. */
     private fun checkNoTrailingBytes(bytes: ByteArray) = MessagePack.newDefaultUnpacker(bytes).use {
         it.skipValue()
-        if (it.totalReadBytes != bytes.size.toLong()) throw MalformedMessageException("bytes are left over")
+        if (it.totalReadBytes != bytes.size.toLong()) {
+            throw MalformedMessageException("the message ends after ${it.totalReadBytes} of ${bytes.size} bytes")
+        }
     }
 }
--- a/src/main/kotlin/cleathitch/protocol/MessageFields.kt
+++ b/src/main/kotlin/cleathitch/protocol/MessageFields.kt
@@ -3,67 +3,74 @@
 import com.fasterxml.jackson.databind.JsonNode
 
 /*
- * Typed access to the fields of a message. A `required...` field that is missing or null, and any field of another type,
- * is a MalformedMessageException that names the field.
+ * Typed access to the fields of a message. A `required...` function throws MalformedMessageException if the field is missing or
+ * null, and every function does if the field is of another type. The exception names the field.
  */
 
-/** The field, or null if it is missing or null. */
+/** The maximum length of received text that an error message quotes. */
+internal const val MAX_QUOTED_LENGTH = 100
+
+/** Returns the field, or null if it is missing or null. */
 internal fun JsonNode.optionalField(name: String): JsonNode? = get(name)?.takeUnless { it.isNull }
 
-/** The field, of any type. */
+/** Returns the field, whatever its type. */
 internal fun JsonNode.requiredField(name: String): JsonNode = optionalField(name) ?: throw MalformedMessageException("$name is missing")
 
-/** The text of the field. */
+/** Returns the string value of the field. */
 internal fun JsonNode.requiredText(name: String): String = optionalText(name) ?: throw MalformedMessageException("$name is missing")
 
-/** The text of the field, or null if it is missing or null. */
+/** Returns the string value of the field, or null if it is missing or null. */
 internal fun JsonNode.optionalText(name: String): String? {
     val node = optionalField(name) ?: return null
-    if (!node.isTextual) throw MalformedMessageException("$name isn't text")
+    if (!node.isTextual) throw MalformedMessageException("$name must be a string, but is ${node.nodeType}")
     return node.textValue()
 }
 
-/** The field as a boolean. */
+/** Returns the field as a boolean. */
 internal fun JsonNode.requiredBoolean(name: String): Boolean {
     val node = requiredField(name)
-    if (!node.isBoolean) throw MalformedMessageException("$name isn't a boolean")
+    if (!node.isBoolean) throw MalformedMessageException("$name must be a boolean, but is ${node.nodeType}")
     return node.booleanValue()
 }
 
-/** The field as an integer of 64 bits. */
+/** Returns the field as a 64-bit signed integer. */
 internal fun JsonNode.requiredLong(name: String): Long {
     val node = requiredField(name)
-    if (!node.isIntegralNumber || !node.canConvertToLong()) throw MalformedMessageException("$name isn't an integer in range")
+    if (!node.isIntegralNumber || !node.canConvertToLong()) {
+        throw MalformedMessageException(
+            "$name must be a 64-bit signed integer, but is ${node.asText().take(MAX_QUOTED_LENGTH)} (${node.nodeType})",
+        )
+    }
     return node.longValue()
 }
 
-/** The field as a finite number. */
+/** Returns the field as a finite number. */
 internal fun JsonNode.requiredDouble(name: String): Double = optionalDouble(name) ?: throw MalformedMessageException("$name is missing")
 
-/** The field as a finite number, or null if it is missing or null. */
+/** Returns the field as a finite number, or null if it is missing or null. */
 internal fun JsonNode.optionalDouble(name: String): Double? {
     val node = optionalField(name) ?: return null
-    if (!node.isNumber) throw MalformedMessageException("$name isn't a number")
+    if (!node.isNumber) throw MalformedMessageException("$name must be a number, but is ${node.nodeType}")
     val value = node.doubleValue()
-    if (!value.isFinite()) throw MalformedMessageException("$name isn't finite")
+    if (!value.isFinite()) throw MalformedMessageException("$name must be a finite number, but is $value")
     return value
 }
 
-/** The items of the field, which is a list. */
+/** Returns the items of the field, which must be a list. */
 internal fun JsonNode.requiredList(name: String): List<JsonNode> {
     val node = requiredField(name)
-    if (!node.isArray) throw MalformedMessageException("$name isn't a list")
+    if (!node.isArray) throw MalformedMessageException("$name must be a list, but is ${node.nodeType}")
     return node.toList()
 }
 
-/** The items of the field, which is a list of texts. */
+/** Returns the items of the field, which must be a list of strings. */
 internal fun JsonNode.requiredTexts(name: String): List<String> = requiredList(name).map {
-    if (!it.isTextual) throw MalformedMessageException("$name holds something else than text")
+    if (!it.isTextual) throw MalformedMessageException("$name must contain only strings, but contains ${it.nodeType}")
     it.textValue()
 }
 
-/** The value that [values] gives for the field's text; text that isn't in [values] is malformed. */
-internal fun <T> JsonNode.requiredChoice(name: String, values: Map<String, T>): T {
+/** Returns the value to which [values] maps the field's string; throws [MalformedMessageException] if there is none. */
+internal fun <T> JsonNode.requiredEnum(name: String, values: Map<String, T>): T {
     val text = requiredText(name)
-    return values[text] ?: throw MalformedMessageException("$name $text is unknown")
+    return values[text] ?: throw MalformedMessageException("$name has the unknown value ${text.take(MAX_QUOTED_LENGTH)}")
 }
--- a/src/main/kotlin/cleathitch/protocol/TrainingMessages.kt
+++ b/src/main/kotlin/cleathitch/protocol/TrainingMessages.kt
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode
 
-/** What users, a worker and the platform send while the build trains the class archive, round by round. */
+/** The messages that users, a worker and the platform send in each round of the training run for the class archive. */
 internal object TrainingMessages {
     private const val MACHINE = "vm-000001"
     private const val MACHINE_TYPE = "m"
@@ -13,16 +13,16 @@
     private const val SPOT_PRICE = 0.5
     private const val BOOT_S = 10
 
-    /** The name of the round's job. */
-    fun jobName(round: Int) = "j-%06d".format(round)
+    /** The id of the job that is submitted in [round]. */
+    fun jobId(round: Int) = "j-%06d".format(round)
 
-    /** A small job of the round. */
-    fun submission(round: Int): ObjectNode = MessageCodec.newMap().put("nameId", jobName(round)).put("cuadrilla", "c")
+    /** A submission of a job with two small tasks. */
+    fun submission(round: Int): ObjectNode = MessageCodec.newMap().put("nameId", jobId(round)).put("cuadrilla", "c")
         .put("ownerCrew", "t").put("oficio", "array").put("urgencia", "normal").put("tareas", 2).put("vcpus", 1.0)
         .put("gpus", 0.0).put("memoryGb", 1.0).put("imagen", "i").put("pullGb", 1.0).put("oneZone", false)
         .put("scatter", false).put("prestados", true).put("aproxS", 1.0).put("hitoS", 0.0).put("guardadoS", 0.0)
 
-    /** The worker's heartbeat of the round: its tasks run in the first half of all [rounds], and have exited in the second. */
+    /** The worker's heartbeat: its tasks are running in the first half of the [rounds] and have exited in the second half. */
     fun heartbeat(round: Int, rounds: Int): ObjectNode {
         val map = MessageCodec.newMap().put("burro", MACHINE).put("addr", "127.0.0.1:1").put("hornada", MACHINE_TYPE)
             .put("comarca", ZONE).put("prestados", true).put("jornada", 1).put("folio", round).put("vara", 0)
@@ -34,8 +34,8 @@
         return map
     }
 
-    /** An answer that holds the fields of all answers of key-value store and cloud; with [isRental] it names a rented machine. */
-    fun platformAnswer(revision: Long, isRental: Boolean): ByteArray {
+    /** A response with the fields of every response of the key-value store and the cloud; if [isRental], it lists a rented machine. */
+    fun platformResponse(revision: Long, isRental: Boolean): ByteArray {
         val map = MessageCodec.newMap().put("asiento", revision).put("arriendo", 1).put("truncated", false)
         map.putArray("log")
         map.putArray("entries")
--- a/src/main/kotlin/cleathitch/protocol/UserProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/UserProtocol.kt
@@ -12,13 +12,13 @@
 
 /** The messages between users and controllers. */
 object UserProtocol {
-    private val jobIdForm = Regex("j-[0-9]{1,18}")
+    private val jobIdPattern = Regex("j-[0-9]{1,18}")
     private const val MAX_TASKS = 100_000L
-    private val taskCounts = 1..MAX_TASKS
+    private val taskCountRange = 1..MAX_TASKS
     private const val MAX_NAME_LENGTH = 256
     private const val MAX_MACHINE_TYPES = 256
 
-    /** Larger amounts are mistakes; below it, sums over all tasks stay exact enough. */
+    /** Larger amounts are taken for mistakes. Up to this bound, sums over all tasks are precise enough in floating point. */
     private const val MAX_AMOUNT = 1e9
 
     private const val OK = 200
@@ -27,34 +27,37 @@
     private const val UNPROCESSABLE = 422
     private const val UNAVAILABLE = 503
 
-    /** The job id that [text] is, or null if it isn't of the form `j-000412`. */
-    fun jobId(text: String): JobId? = if (jobIdForm.matches(text)) JobId(text) else null
+    /** Parses a job id; null if [text] isn't of the form `j-000412`. */
+    fun jobId(text: String): JobId? = if (jobIdPattern.matches(text)) JobId(text) else null
 
-    /** Decodes a submitted job; throws [MalformedMessageException], whose message is for the user, if it isn't as the page says. */
+    /**
+     * Decodes a submitted job; throws [MalformedMessageException] if it violates the protocol. The exception's message is sent to
+     * the user.
+     */
     fun submission(body: ByteArray): JobSpec {
         val map = MessageCodec.decodeMap(body)
-        // Read first: with several malformed fields, the response names the first that is read.
+        // Read first because the response names the first malformed field that is read.
         val machineTypes = machineTypes(map)
         val spec = JobSpec(
             id = jobId(map.requiredText("nameId")) ?: throw MalformedMessageException("nameId isn't of the form j-000412"),
-            className = name(map, "cuadrilla"),
-            team = name(map, "ownerCrew"),
+            className = requiredName(map, "cuadrilla"),
+            team = requiredName(map, "ownerCrew"),
             kind = kind(map.requiredText("oficio")),
             priority = priority(map.requiredText("urgencia")),
             tasks = taskCount(map),
-            cpus = amount(map, "vcpus"),
-            gpus = amount(map, "gpus"),
-            memoryGb = amount(map, "memoryGb"),
-            image = name(map, "imagen"),
-            imageGb = amount(map, "pullGb"),
+            cpus = requiredAmount(map, "vcpus"),
+            gpus = requiredAmount(map, "gpus"),
+            memoryGb = requiredAmount(map, "memoryGb"),
+            image = requiredName(map, "imagen"),
+            imageGb = requiredAmount(map, "pullGb"),
             allowedTypes = machineTypes,
             zone = map.optionalText("comarca"),
             oneZone = map.requiredBoolean("oneZone"),
             spread = map.requiredBoolean("scatter"),
             spotAllowed = map.requiredBoolean("prestados"),
-            estimatedRunS = amount(map, "aproxS"),
-            checkpointIntervalS = amount(map, "hitoS"),
-            checkpointWriteS = amount(map, "guardadoS"),
+            estimatedRunS = requiredAmount(map, "aproxS"),
+            checkpointIntervalS = requiredAmount(map, "hitoS"),
+            checkpointWriteS = requiredAmount(map, "guardadoS"),
             deadlineS = deadlineS(map),
         )
         checkLimits(spec)
@@ -65,7 +68,9 @@
         if (map.optionalField("hornadas") == null) return null
         val types = map.requiredTexts("hornadas")
         if (types.size > MAX_MACHINE_TYPES || types.any { it.length > MAX_NAME_LENGTH }) {
-            throw MalformedMessageException("hornadas is too long")
+            throw MalformedMessageException(
+                "hornadas must have at most $MAX_MACHINE_TYPES items of at most $MAX_NAME_LENGTH characters, but has ${types.size} items",
+            )
         }
         return types.toSet()
     }
@@ -74,7 +79,7 @@
         "array" -> JobKind.ARRAY
         "ensemble" -> JobKind.GANG
         "daemon" -> JobKind.SERVICE
-        else -> throw MalformedMessageException("oficio is unknown")
+        else -> throw MalformedMessageException("oficio has the unknown value ${text.take(MAX_QUOTED_LENGTH)}")
     }
 
     private fun priority(text: String) = when (text) {
@@ -82,27 +87,33 @@
         "high" -> Priority.HIGH
         "normal" -> Priority.NORMAL
         "idle" -> Priority.LOW
-        else -> throw MalformedMessageException("urgencia is unknown")
+        else -> throw MalformedMessageException("urgencia has the unknown value ${text.take(MAX_QUOTED_LENGTH)}")
     }
 
     private fun taskCount(map: JsonNode): Int {
         val count = map.requiredLong("tareas")
-        if (count !in taskCounts) throw MalformedMessageException("tareas is out of range")
+        if (count !in taskCountRange) throw MalformedMessageException("tareas must be from 1 to $MAX_TASKS, but is $count")
         return count.toInt()
     }
 
     private fun deadlineS(map: JsonNode): Double? {
         val seconds = map.optionalDouble("plazoS") ?: return null
-        if (seconds <= 0 || seconds > MAX_AMOUNT) throw MalformedMessageException("plazoS is out of range")
+        if (seconds <= 0 || seconds > MAX_AMOUNT) {
+            throw MalformedMessageException("plazoS must be greater than 0 and at most $MAX_AMOUNT, but is $seconds")
+        }
         return seconds
     }
 
     private fun checkLimits(spec: JobSpec) {
-        if (spec.zone != null && spec.zone.length > MAX_NAME_LENGTH) throw MalformedMessageException("comarca is too long")
-        if (spec.cpus <= 0 || spec.memoryGb <= 0) throw MalformedMessageException("a task takes nothing of its machine")
+        if (spec.zone != null && spec.zone.length > MAX_NAME_LENGTH) {
+            throw MalformedMessageException("comarca must have at most $MAX_NAME_LENGTH characters, but has ${spec.zone.length}")
+        }
+        if (spec.cpus <= 0 || spec.memoryGb <= 0) {
+            throw MalformedMessageException("vcpus and memoryGb must be greater than 0, but are ${spec.cpus} and ${spec.memoryGb}")
+        }
     }
 
-    /** The response for a user's request that the scheduler answered with [reply]. */
+    /** Converts the scheduler's [reply] to a user's request into the HTTP response. */
     fun reply(reply: UserReply): HttpReply = when (reply) {
         is UserReply.Accepted -> HttpReply(if (reply.known) OK else CREATED, MessageCodec.encode(jobState(reply.job, reply.state)))
         is UserReply.Cancelled -> HttpReply(OK, MessageCodec.encode(jobState(reply.job, reply.state)))
@@ -113,8 +124,8 @@
     }
 
     /**
-     * The response of a controller that can't serve while another may. It closes the connection: a load balancer never moves an
-     * open connection, and chooses again for a new one.
+     * The response of a controller that can't serve users at present while another controller may. It closes the connection,
+     * because a load balancer selects another controller only for a new connection.
      */
     fun unavailableHere(reason: String): HttpReply {
         val unavailable = UserReply.Unavailable(reason)
@@ -137,15 +148,17 @@
         JobState.CANCELLED -> "withdrawn"
     }
 
-    private fun name(map: JsonNode, field: String): String {
+    private fun requiredName(map: JsonNode, field: String): String {
         val text = map.requiredText(field)
-        if (text.isEmpty() || text.length > MAX_NAME_LENGTH) throw MalformedMessageException("$field is empty or too long")
+        if (text.isEmpty() || text.length > MAX_NAME_LENGTH) {
+            throw MalformedMessageException("$field must have from 1 to $MAX_NAME_LENGTH characters, but has ${text.length}")
+        }
         return text
     }
 
-    private fun amount(map: JsonNode, field: String): Double {
+    private fun requiredAmount(map: JsonNode, field: String): Double {
         val value = map.requiredDouble(field)
-        if (value < 0 || value > MAX_AMOUNT) throw MalformedMessageException("$field is out of range")
+        if (value < 0 || value > MAX_AMOUNT) throw MalformedMessageException("$field must be from 0 to $MAX_AMOUNT, but is $value")
         return value
     }
 }
--- a/src/main/kotlin/cleathitch/protocol/WorkerProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/WorkerProtocol.kt
@@ -34,7 +34,7 @@
         "alone" to ExitReason.PEERS_MISSING,
     )
 
-    /** Decodes a worker's heartbeat; throws [MalformedMessageException] if it isn't as the workers' page says. */
+    /** Decodes a worker's heartbeat; throws [MalformedMessageException] if it violates the protocol. */
     fun heartbeat(body: ByteArray): Heartbeat {
         val map = MessageCodec.decodeMap(body)
         return Heartbeat(
@@ -52,7 +52,7 @@
     }
 
     private fun taskStatus(node: JsonNode): TaskStatus {
-        val state = node.requiredChoice("estado", taskStates)
+        val state = node.requiredEnum("estado", taskStates)
         return TaskStatus(
             AttemptId(taskId(node.requiredText("tarea")), node.requiredLong("intento")),
             state,
@@ -61,25 +61,25 @@
         )
     }
 
-    /** Null for a reason that this version doesn't know. */
+    /** Returns null for a reason that this version doesn't know. */
     private fun exitReason(node: JsonNode): ExitReason? = exitReasons[node.optionalText("motivo")]
 
-    /** Reads `j-000412/3`: a job's id and the task's index in it. */
+    /** Parses a task id such as `j-000412/3`: the job's id and the task's index in the job. */
     private fun taskId(text: String): TaskId {
         val slash = text.lastIndexOf('/')
         val index = if (slash < 0) null else text.substring(slash + 1).toIntOrNull()
-        if (index == null) throw MalformedMessageException("tarea $text isn't a task")
+        if (index == null) throw MalformedMessageException("tarea must be of the form j-000412/3, but is ${text.take(MAX_QUOTED_LENGTH)}")
         return TaskId(JobId(text.substring(0, slash)), index)
     }
 
-    /** Encodes the leader's answer to a heartbeat; it renews the worker's lease. */
+    /** Encodes the leader's response to a heartbeat, which renews the worker's lease. */
     fun answer(token: FencingToken, commands: List<WorkerCommand>): ByteArray = MessageCodec.encode(commands(token, commands))
 
-    /** Encodes commands that go to a worker without a heartbeat of its own; the worker rejects them in another [incarnation]. */
+    /** Encodes commands that are sent to a worker outside of a heartbeat's response; a worker of another [incarnation] rejects them. */
     fun directCommands(token: FencingToken, incarnation: Long, commands: List<WorkerCommand>): ByteArray =
         MessageCodec.encode(commands(token, commands).put("jornada", incarnation))
 
-    /** Encodes the answer that sends a worker to [member], or to any other controller if that is null. */
+    /** Encodes the response that redirects a worker to the controller [member], or to any other controller if [member] is null. */
     fun redirect(member: String?): ByteArray {
         val map = MessageCodec.newMap()
         if (member != null) map.put("capataz", member)
--- a/src/test/kotlin/cleathitch/cli/SocketBudgetTest.kt
+++ b/src/test/kotlin/cleathitch/cli/SocketBudgetTest.kt
@@ -5,17 +5,17 @@
 
 class SocketBudgetTest {
     @Test
-    fun `the connections that this process opens itself are kept back`() {
+    fun `sockets for outgoing connections are reserved`() {
         val budget = SocketBudget(maxSockets = 2000, peerCount = 2)
-        assertEquals(200, budget.directCalls)
-        assertEquals(64, budget.internalConnections)
-        assertEquals(2000 - (200 + 32 + 32) - 64, budget.publicConnections)
+        assertEquals(200, budget.maxDirectCalls)
+        assertEquals(64, budget.maxInternalConnections)
+        assertEquals(2000 - (200 + 32 + 32) - 64, budget.maxPublicConnections)
     }
 
     @Test
-    fun `with few sockets half of them are for the public address, and one direct call stays possible`() {
+    fun `with few sockets, half of them are for the public address, and one direct call is possible`() {
         val budget = SocketBudget(maxSockets = 8, peerCount = 2)
-        assertEquals(1, budget.directCalls)
-        assertEquals(4, budget.publicConnections)
+        assertEquals(1, budget.maxDirectCalls)
+        assertEquals(4, budget.maxPublicConnections)
     }
 }
--- a/src/test/kotlin/cleathitch/config/OperatorSettingsTest.kt
+++ b/src/test/kotlin/cleathitch/config/OperatorSettingsTest.kt
@@ -15,7 +15,7 @@
     private fun file(text: String): Path = Files.writeString(folder.resolve("f"), text)
 
     @Test
-    fun `the operators' file is one map of known keys`() {
+    fun `the operators' file must be one map of known keys`() {
         assertEquals(
             OperatorSettings(compactionPeriodS = 5.0, cloudShare = 0.5),
             OperatorSettings.read(file("{:trim-s 5 ; seconds\n :cloud-share 0.5}")),
--- a/src/test/kotlin/cleathitch/config/SettingsTest.kt
+++ b/src/test/kotlin/cleathitch/config/SettingsTest.kt
@@ -26,7 +26,7 @@
     private fun file(text: String): Path = Files.writeString(folder.resolve("f"), text)
 
     @Test
-    fun `settings are read, what isn't known is ignored, a limit of 0 is none`() {
+    fun `settings are read, unknown keys and kinds are ignored, a maximum of 0 means none`() {
         val settings = Settings.read(file(valid))
         assertEquals("n0", settings.member)
         assertEquals(null, settings.deployment.teams.getValue("t").maxCpus)
@@ -34,8 +34,8 @@
     }
 
     @Test
-    fun `bad settings name file, key and reason`() {
-        val bad = mapOf(
+    fun `the error for invalid settings names file, key and reason`() {
+        val invalid = mapOf(
             valid.replace("\"member\":\"n0\",", "") to "member: is missing",
             valid.replace("127.0.0.1:4", "nowhere") to "outside.cloud: must be host:port",
             valid.replace("\"lease_s\":34", "\"lease_s\":-1") to "cluster.workers.lease_s",
@@ -44,7 +44,7 @@
             "{" to "isn't JSON",
             "[]" to "isn't a JSON object",
         )
-        for ((text, reason) in bad) {
+        for ((text, reason) in invalid) {
             val message = assertThrows(InvalidSettingsException::class.java) { Settings.read(file(text)) }.message.orEmpty()
             assertTrue(message.startsWith(folder.toString()) && reason in message, message)
         }
--- a/src/test/kotlin/cleathitch/http/CallOutcomeTest.kt
+++ b/src/test/kotlin/cleathitch/http/CallOutcomeTest.kt
@@ -3,18 +3,18 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Metrics and outage log agree on what counts as a refusal. */
+/** The classification of calls that metrics and the outage log share. */
 class CallOutcomeTest {
     private fun outcome(status: Int) = CallOutcome.of(CallResult.Answered(status, ByteArray(0)))
 
     @Test
-    fun `too many requests and server errors are refusals, other statuses are answers`() {
+    fun `status 429 and server errors are refusals, other statuses are answers`() {
         listOf(429, 500, 503, 599).forEach { assertEquals(CallOutcome.Refused(it), outcome(it)) }
         listOf(200, 204, 400, 404, 409, 421, 428, 430, 499).forEach { assertEquals(CallOutcome.Answered, outcome(it)) }
     }
 
     @Test
-    fun `outcomes have the tags that operators know`() {
+    fun `outcomes have the documented metric tags`() {
         assertEquals("answered", outcome(200).metricTag)
         assertEquals("refused", outcome(503).metricTag)
         val failures = CallFailure.entries.map { CallOutcome.of(CallResult.Failed(it)).metricTag }
--- a/src/test/kotlin/cleathitch/http/HttpEndpointTest.kt
+++ b/src/test/kotlin/cleathitch/http/HttpEndpointTest.kt
@@ -18,24 +18,24 @@
 import java.util.concurrent.TimeUnit
 import kotlin.random.Random
 
-/** A real server on loopback, at the limit of its connections. */
+/** Tests the connection limit of a server on loopback, with plain sockets as clients. */
 class HttpEndpointTest {
     private val vertx = Vertx.vertx()
     private val eventLoop = vertx.orCreateContext
     private val max = 40
-    private val keepAliveMax = max - max / 20
+    private val maxKeptAlive = max - max / 20
     private val limit = ConnectionLimit(max)
 
     /** One permit for each request that the handler has received. */
     private val received = Semaphore(0)
 
-    /** Completed by a test to let the requests for [HELD] be answered. */
+    /** Completed by a test to send the responses to the requests for [HELD_PATH]. */
     private val release = CompletableDeferred<Unit>()
 
     private val port = runBlocking(eventLoop.dispatcher()) {
-        HttpEndpoint(vertx, CoroutineScope(eventLoop.dispatcher()), maxBodyBytes = 1024, idleS = 60, limit) { _, path, _ ->
+        HttpEndpoint(vertx, CoroutineScope(eventLoop.dispatcher()), maxBodyBytes = 1024, idleTimeoutS = 60, limit) { _, path, _ ->
             received.release()
-            if (path == HELD) release.await()
+            if (path == HELD_PATH) release.await()
             HttpReply(if (path == "/elsewhere") 503 else 200, closesConnection = path == "/elsewhere")
         }.listen(Address("127.0.0.1", 0))
     }
@@ -48,13 +48,13 @@
     }
 
     private fun open() = Socket("127.0.0.1", port).also {
-        it.soTimeout = PATIENCE_MS
+        it.soTimeout = TIMEOUT_MS
         sockets += it
     }
 
     private fun Socket.send(path: String) = getOutputStream().write("GET $path HTTP/1.1\r\nHost: x\r\n\r\n".toByteArray())
 
-    /** The answer's head, or null if the server closed the connection without one. Silence is neither, and throws. */
+    /** Returns the response's head, or null if the server closed the connection without one; throws if neither occurs in time. */
     private fun Socket.receive(): String? {
         val head = StringBuilder()
         while (!head.endsWith("\r\n\r\n")) {
@@ -65,8 +65,8 @@
         return head.toString().lowercase()
     }
 
-    /** Sends a request and awaits what [receive] returns. A connection that is closed already may refuse the request. */
-    private fun Socket.ask(path: String = "/"): String? {
+    /** Sends a request and returns the result of [receive]. Sending may fail if the server has already closed the connection. */
+    private fun Socket.request(path: String = "/"): String? {
         try {
             send(path)
         } catch (_: IOException) {
@@ -75,106 +75,112 @@
         return receive()
     }
 
-    /** The next byte, or -1 once the server has closed or reset the connection. */
+    /** Reads the next byte; returns -1 if the server has closed or reset the connection. */
     private fun Socket.readOrEnd() = try {
         getInputStream().read()
     } catch (e: SocketTimeoutException) {
-        throw AssertionError("neither an answer nor the connection's end", e)
+        throw AssertionError("neither a response nor the end of the connection within $TIMEOUT_MS ms", e)
     } catch (_: IOException) {
         -1
     }
 
-    private fun assertKept(answer: String?) =
-        assertTrue(answer != null && answer.startsWith("http/1.1 200") && "connection: close" !in answer) { "kept: $answer" }
+    private fun assertKeptOpen(response: String?) =
+        assertTrue(response != null && response.startsWith("http/1.1 200") && "connection: close" !in response) {
+            "expected keep-alive: $response"
+        }
 
-    private fun Socket.assertEndsAfter(answer: String?) {
-        assertTrue(answer != null && answer.startsWith("http/1.1 200") && "connection: close" in answer) { "ended: $answer" }
+    private fun Socket.assertClosedAfter(response: String?) {
+        assertTrue(response != null && response.startsWith("http/1.1 200") && "connection: close" in response) {
+            "expected close: $response"
+        }
         assertEquals(-1, readOrEnd())
     }
 
-    /** What the server counts, read on its event loop. */
-    private fun openNow(): Int {
+    /** Reads the server's connection count on its event loop. */
+    private fun openConnections(): Int {
         val count = CompletableFuture<Int>()
-        eventLoop.runOnContext { count.complete(limit.open) }
-        return count.get(PATIENCE_MS.toLong(), TimeUnit.MILLISECONDS)
+        eventLoop.runOnContext { count.complete(limit.openConnections) }
+        return count.get(TIMEOUT_MS.toLong(), TimeUnit.MILLISECONDS)
     }
 
-    /** A client sees the end of its connection before the server counts it out, and connects before the server counts it. */
-    private fun awaitOpen(expected: Int) {
-        val endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS.toLong())
-        while (openNow() != expected) assertTrue(System.nanoTime() < endNs) { "${openNow()} are open, not $expected" }
+    /** Waits for the count, because the server counts a connection's start and end later than the client notices them. */
+    private fun awaitOpenConnections(expected: Int) {
+        val deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS.toLong())
+        while (openConnections() != expected) {
+            assertTrue(System.nanoTime() < deadlineNs) { "${openConnections()} connections are open, not $expected" }
+        }
     }
 
     private fun awaitReceived(requests: Int) =
-        assertTrue(received.tryAcquire(requests, PATIENCE_MS.toLong(), TimeUnit.MILLISECONDS)) { "not all requests arrived" }
-
-    /** As many connections as the endpoint keeps open: their answers show that all are admitted and none is closed. */
-    private fun openKept(): List<Socket> {
-        val kept = List(keepAliveMax) { open() }
-        awaitOpen(keepAliveMax)
-        kept.forEach { assertKept(it.ask()) }
-        awaitReceived(keepAliveMax)
+        assertTrue(received.tryAcquire(requests, TIMEOUT_MS.toLong(), TimeUnit.MILLISECONDS)) { "fewer than $requests requests arrived" }
+
+    /** Opens as many connections as the endpoint keeps alive; the responses show that all are accepted and none is closed. */
+    private fun openKeptAlive(): List<Socket> {
+        val kept = List(maxKeptAlive) { open() }
+        awaitOpenConnections(maxKeptAlive)
+        kept.forEach { assertKeptOpen(it.request()) }
+        awaitReceived(maxKeptAlive)
         return kept
     }
 
     /**
-     * The bound is on connections that are open at once: however many come one after the other, each is served, since the
-     * answer to the one before has made room.
+     * The limit applies to connections that are open at the same time: any number of successive connections are served, because
+     * the response to each one closes it.
      */
     @Test
-    fun `past its share each answer closes its connection, and makes room for the next`() {
-        val kept = openKept()
+    fun `above the keep-alive limit each response closes its connection, and makes room for the next`() {
+        val kept = openKeptAlive()
         repeat(max) {
-            val late = open()
-            late.assertEndsAfter(late.ask())
-            awaitOpen(keepAliveMax)
+            val extra = open()
+            extra.assertClosedAfter(extra.request())
+            awaitOpenConnections(maxKeptAlive)
         }
-        kept.forEach { assertKept(it.ask()) }
-        // At the maximum, the answer to a connection that was kept until now closes it too.
-        repeat(max - keepAliveMax) { open() }
-        awaitOpen(max)
-        kept.first().assertEndsAfter(kept.first().ask())
+        kept.forEach { assertKeptOpen(it.request()) }
+        // At the maximum, a response also closes a connection that has been kept alive so far.
+        repeat(max - maxKeptAlive) { open() }
+        awaitOpenConnections(max)
+        kept.first().assertClosedAfter(kept.first().request())
     }
 
     /**
-     * Without a limit, the kept connections of a whole fleet use up the sockets, and the node can't reach the key-value store.
-     * Unanswered requests hold the last places, so that none becomes free while others try to get in.
+     * Without a limit, the idle connections of a whole fleet exhaust the sockets, and the controller can't connect to the key-value
+     * store. Pending requests occupy the last connections here, so that none is closed while further clients try to connect.
      */
     @Test
-    fun `past the maximum a connection is closed without an answer, until another has ended`() {
-        val kept = openKept()
-        val held = List(max - keepAliveMax) { open().also { it.send(HELD) } }
+    fun `above the maximum a connection is closed without a response, until another one has ended`() {
+        val kept = openKeptAlive()
+        val held = List(max - maxKeptAlive) { open().also { it.send(HELD_PATH) } }
         awaitReceived(held.size)
-        assertEquals(max, openNow())
+        assertEquals(max, openConnections())
 
-        val refused = List(REFUSED) { open() }
-        refused.forEach { assertNull(it.ask()) }
-        awaitOpen(max)
+        val refused = List(REFUSED_CONNECTIONS) { open() }
+        refused.forEach { assertNull(it.request()) }
+        awaitOpenConnections(max)
         assertEquals(0, received.availablePermits()) { "requests of refused connections were handled" }
 
         release.complete(Unit)
-        held.forEach { it.assertEndsAfter(it.receive()) }
-        awaitOpen(keepAliveMax)
-        kept.forEach { assertKept(it.ask()) }
+        held.forEach { it.assertClosedAfter(it.receive()) }
+        awaitOpenConnections(maxKeptAlive)
+        kept.forEach { assertKeptOpen(it.request()) }
         val next = open()
-        next.assertEndsAfter(next.ask())
+        next.assertClosedAfter(next.request())
     }
 
-    /** A load balancer never moves an open connection: a user whose connection stays open stays with a node that can't serve. */
+    /** A load balancer doesn't move open connections, so a user whose connection stays open would stay with this controller. */
     @Test
-    fun `a node that can't serve closes the user's connection with its answer`() {
+    fun `a controller that can't serve closes the user's connection after its response`() {
         val socket = open()
-        assertTrue("connection: close" !in socket.ask("/")!!)
-        val answer = socket.ask("/elsewhere")!!
-        assertEquals(true, answer.startsWith("http/1.1 503") && "connection: close" in answer)
+        assertTrue("connection: close" !in socket.request("/")!!)
+        val response = socket.request("/elsewhere")!!
+        assertEquals(true, response.startsWith("http/1.1 503") && "connection: close" in response)
         assertEquals(-1, socket.readOrEnd())
     }
 
-    /** Connections that are reset before, in and after a request are all counted out, so that the limit isn't used up. */
+    /** Connections that are closed or reset before, during or after a request must not remain counted, or the limit would fill up. */
     @Test
-    fun `however connections end, none stays counted`() {
+    fun `connections aren't counted after their end, however they end`() {
         val random = Random(SEED)
-        repeat(ENDED) {
+        repeat(ENDED_CONNECTIONS) {
             val socket = open()
             val request = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
             runCatching {
@@ -184,21 +190,21 @@
             }
             socket.close()
         }
-        awaitOpen(0)
-        assertTrue(open().ask() != null)
+        awaitOpenConnections(0)
+        assertTrue(open().request() != null)
     }
 
     private companion object {
         const val SEED = 23
-        const val ENDED = 2000
+        const val ENDED_CONNECTIONS = 2000
 
-        /** How many connections try to get in at once while there is no place. */
-        const val REFUSED = 20
+        /** The number of concurrent connections that are opened above the maximum. */
+        const val REFUSED_CONNECTIONS = 20
 
-        /** The path of requests whose answers wait for [release]. */
-        const val HELD = "/held"
+        /** The path of requests whose responses wait for [release]. */
+        const val HELD_PATH = "/held"
 
-        /** Until a test fails; no passing run depends on it. */
-        const val PATIENCE_MS = 10_000
+        /** The time after which a wait fails its test. The duration of a passing run doesn't depend on it. */
+        const val TIMEOUT_MS = 10_000
     }
 }
--- a/src/test/kotlin/cleathitch/http/PooledHttpClientTest.kt
+++ b/src/test/kotlin/cleathitch/http/PooledHttpClientTest.kt
@@ -18,7 +18,7 @@
 import java.net.Socket
 import kotlin.concurrent.thread
 
-/** A client whose calls give up at every stage: every connection must return to the pool. */
+/** Calls time out or are cancelled at different stages; in each case their connections must return to the pool. */
 class PooledHttpClientTest {
     private val server = StubServer()
     private val vertx = Vertx.vertx()
@@ -38,66 +38,66 @@
 
     private fun gauge(name: String) = meters.get(name).tag("client", "test").gauge().value().toInt()
 
-    private suspend fun until(what: String, condition: () -> Boolean) {
-        repeat(PATIENCE_MS / 10) {
+    private suspend fun awaitCondition(description: String, condition: () -> Boolean) {
+        repeat(TIMEOUT_MS / 10) {
             if (condition()) return
             delay(10)
         }
         throw AssertionError(
-            "$what: not within $PATIENCE_MS ms; in use ${gauge("http.client.in_use")}, waiting ${gauge("http.client.waiting")}",
+            "$description: not within $TIMEOUT_MS ms; in use ${gauge("http.client.in_use")}, waiting ${gauge("http.client.waiting")}",
         )
     }
 
     private suspend fun assertAllConnectionsFree() {
-        until("all connections free") { gauge("http.client.in_use") == 0 && gauge("http.client.waiting") == 0 }
-        val calls = List(CONNECTIONS) { call(StubServer.AT_ONCE, timeoutMs = PATIENCE_MS.toLong()) }
+        awaitCondition("all connections free") { gauge("http.client.in_use") == 0 && gauge("http.client.waiting") == 0 }
+        val calls = List(CONNECTIONS) { call(StubServer.AT_ONCE, timeoutMs = TIMEOUT_MS.toLong()) }
         calls.forEach { assertTrue(it.await() is CallResult.Answered) }
     }
 
     private suspend fun holdAllConnections() {
-        repeat(CONNECTIONS) { call(StubServer.HELD, timeoutMs = PATIENCE_MS.toLong()) }
-        until("all connections in use") { server.heldRequests == CONNECTIONS }
+        repeat(CONNECTIONS) { call(StubServer.HELD, timeoutMs = TIMEOUT_MS.toLong()) }
+        awaitCondition("all connections in use") { server.heldRequests == CONNECTIONS }
     }
 
     @Test
-    fun `a connection that comes free after its call gave up goes back to the pool`(): Unit = runBlocking {
+    fun `a connection that becomes free after its call timed out returns to the pool`(): Unit = runBlocking {
         holdAllConnections()
-        val late = List(CONNECTIONS) { call(StubServer.AT_ONCE, timeoutMs = 50) }
-        late.forEach { assertEquals(CallResult.Failed(CallFailure.NO_CONNECTION_IN_TIME), it.await()) }
+        val timedOut = List(CONNECTIONS) { call(StubServer.AT_ONCE, timeoutMs = 50) }
+        timedOut.forEach { assertEquals(CallResult.Failed(CallFailure.NO_CONNECTION_IN_TIME), it.await()) }
         server.release()
         assertAllConnectionsFree()
     }
 
-    /** All calls of a term are cancelled when it ends. */
+    /** All calls of a term are cancelled when the term ends. */
     @Test
-    fun `a connection that comes free after its call was cancelled goes back to the pool`(): Unit = runBlocking {
+    fun `a connection that becomes free after its call was cancelled returns to the pool`(): Unit = runBlocking {
         holdAllConnections()
-        val cancelled = List(CONNECTIONS) { call(StubServer.AT_ONCE, timeoutMs = PATIENCE_MS.toLong()) }
-        until("all calls wait") { gauge("http.client.waiting") == CONNECTIONS }
+        val cancelled = List(CONNECTIONS) { call(StubServer.AT_ONCE, timeoutMs = TIMEOUT_MS.toLong()) }
+        awaitCondition("all calls wait") { gauge("http.client.waiting") == CONNECTIONS }
         cancelled.forEach { it.cancel() }
         server.release()
         assertAllConnectionsFree()
     }
 
-    /** A partition that drops packets does this: the connection opens when the first packet is sent again, a second later. */
+    /** Happens in a network partition that drops packets: the connection opens when TCP retransmits the SYN a second later. */
     @Test
-    fun `a connection that opens after its call gave up goes back to the pool`(): Unit = runBlocking {
+    fun `a connection that opens after its call timed out returns to the pool`(): Unit = runBlocking {
         ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { listener ->
-            // With its queue full the kernel drops further packets that would open a connection.
+            // Once the listener's accept queue is full, the kernel drops further SYN packets.
             val queued = List(2) { Socket(listener.inetAddress, listener.localPort) }
             val to = Address("127.0.0.1", listener.localPort)
-            val late = List(CONNECTIONS) { call("/", timeoutMs = 100, to) }
-            late.forEach { assertEquals(CallResult.Failed(CallFailure.NO_CONNECTION_IN_TIME), it.await()) }
-            thread(isDaemon = true) { generateSequence { runCatching { listener.accept() }.getOrNull() }.forEach(::answerOnce) }
-            until("no connection is being opened") { gauge("http.client.waiting") == 0 }
-            val after = List(CONNECTIONS) { call("/", timeoutMs = PATIENCE_MS.toLong(), to) }
+            val timedOut = List(CONNECTIONS) { call("/", timeoutMs = 100, to) }
+            timedOut.forEach { assertEquals(CallResult.Failed(CallFailure.NO_CONNECTION_IN_TIME), it.await()) }
+            thread(isDaemon = true) { generateSequence { runCatching { listener.accept() }.getOrNull() }.forEach(::respondOnce) }
+            awaitCondition("no connection is being opened") { gauge("http.client.waiting") == 0 }
+            val after = List(CONNECTIONS) { call("/", timeoutMs = TIMEOUT_MS.toLong(), to) }
             after.forEach { assertTrue(it.await() is CallResult.Answered) }
-            until("all connections free") { gauge("http.client.in_use") == 0 }
+            awaitCondition("all connections free") { gauge("http.client.in_use") == 0 }
             queued.forEach { it.close() }
         }
     }
 
-    private fun answerOnce(socket: Socket) = thread(isDaemon = true) {
+    private fun respondOnce(socket: Socket) = thread(isDaemon = true) {
         socket.use {
             val reader = it.getInputStream().bufferedReader()
             while ((reader.readLine() ?: return@thread).isNotEmpty()) Unit
@@ -107,6 +107,6 @@
 
     private companion object {
         const val CONNECTIONS = 4
-        const val PATIENCE_MS = 10_000
+        const val TIMEOUT_MS = 10_000
     }
 }
--- a/src/test/kotlin/cleathitch/http/StubServer.kt
+++ b/src/test/kotlin/cleathitch/http/StubServer.kt
@@ -7,8 +7,8 @@
 import java.util.concurrent.ConcurrentLinkedQueue
 
 /**
- * An HTTP server on loopback whose responses a test delays, cuts off or sends. It has an event loop of its own. What
- * happens to a request depends on its path, or on [choose] if that is given.
+ * An HTTP server on loopback that responds at once, late, partially, on demand or not at all, on its own event loop. A request's
+ * path selects the behavior, unless [choose] maps the path to another one.
  */
 class StubServer(private val choose: ((String) -> String)? = null) : AutoCloseable {
     private val vertx = Vertx.vertx()
@@ -20,23 +20,23 @@
     private fun receive(request: HttpServerRequest) {
         when (choose?.invoke(request.path()) ?: request.path()) {
             HELD -> held += request
-            LATE -> vertx.setTimer(LATE_MS) { answer(request) }
+            LATE -> vertx.setTimer(LATE_MS) { respond(request) }
             RESET -> request.connection().close()
             CUT_OFF -> request.response().putHeader("Content-Length", "10").write("part").onComplete { request.connection().close() }
-            else -> answer(request)
+            else -> respond(request)
         }
     }
 
-    private fun answer(request: HttpServerRequest) {
+    private fun respond(request: HttpServerRequest) {
         if (!request.response().closed()) request.response().setStatusCode(STATUS).end()
     }
 
-    /** How many requests wait for [release]. */
+    /** The number of requests that wait for [release]. */
     val heldRequests get() = held.size
 
-    /** Answers what was held back. */
+    /** Responds to all held requests. */
     fun release() {
-        while (true) answer(held.poll() ?: return)
+        while (true) respond(held.poll() ?: return)
     }
 
     override fun close() {
@@ -51,7 +51,7 @@
         const val CUT_OFF = "/cut-off"
         val TREATMENTS = listOf(AT_ONCE, HELD, LATE, RESET, CUT_OFF)
 
-        /** The status of all responses; no client decodes the body of one with this status. */
+        /** The status of all responses, for which no client decodes the body. */
         const val STATUS = 503
         private const val LATE_MS = 15L
     }
--- a/src/test/kotlin/cleathitch/metrics/ProcessingTimesTest.kt
+++ b/src/test/kotlin/cleathitch/metrics/ProcessingTimesTest.kt
@@ -10,7 +10,7 @@
     private val times = ProcessingTimes(meters)
 
     @Test
-    fun `a summary names the stages that ran since the last one`() {
+    fun `a summary lists the stages that ran since the last summary`() {
         times.measure(ProcessingStage.SCHEDULER) {}
         times.measure(ProcessingStage.SCHEDULER) {}
         val summary = times.summary()
@@ -19,7 +19,7 @@
     }
 
     @Test
-    fun `the metrics go on counting`() {
+    fun `a summary doesn't reset the metrics`() {
         times.measure(ProcessingStage.REPLAY) {}
         times.summary()
         times.measure(ProcessingStage.REPLAY) {}
@@ -27,7 +27,7 @@
     }
 
     @Test
-    fun `a value with blanks stands in quotation marks`() {
+    fun `a log value with whitespace is quoted`() {
         assertEquals("lease_expired", logValue("lease_expired"))
         assertEquals("\"newer_term: n2 knows 813\"", logValue("newer_term: n2 knows 813"))
         assertEquals("\"said 'no' twice\"", logValue("said \"no\" twice"))
--- a/src/test/kotlin/cleathitch/protocol/AnswerDecodingTest.kt
+++ b/src/test/kotlin/cleathitch/protocol/AnswerDecodingTest.kt
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Test
 
-/** An answer that can't be used comes with the reason. */
+/** Tests that the decoding of a response returns either its value or the reason of the failure. */
 class AnswerDecodingTest {
     private val body = MessageCodec.encode(MessageCodec.newMap().put("arriendo", 7))
 
@@ -17,12 +17,12 @@
     private fun failure(error: ServiceError) = ServiceResult.Failure(error)
 
     @Test
-    fun `an answer of each expected status is decoded`() {
+    fun `a response with any of the expected statuses is decoded`() {
         listOf(200, 409).forEach { assertEquals(ServiceResult.Success(7L), decode(CallResult.Answered(it, body))) }
     }
 
     @Test
-    fun `every failure says why`() {
+    fun `every failure has its reason`() {
         val failed = decode(CallResult.Failed(CallFailure.CONNECT_FAILED))
         assertEquals(failure(ServiceError.NoAnswer(CallFailure.CONNECT_FAILED)), failed)
         assertEquals(failure(ServiceError.UnexpectedStatus(503)), decode(CallResult.Answered(503, body)))
--- a/src/test/kotlin/cleathitch/protocol/ProtocolCodecTest.kt
+++ b/src/test/kotlin/cleathitch/protocol/ProtocolCodecTest.kt
@@ -22,13 +22,13 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.TestFactory
 
-/** What workers, cloud and key-value store send: decoded as the protocol defines it; malformed messages are rejected. */
+/** Messages of workers, cloud and key-value store are decoded as the protocol defines, and malformed ones are rejected. */
 class ProtocolCodecTest {
     private val json = ObjectMapper()
     private fun node(text: String) = json.readTree(text) as ObjectNode
 
-    /** A message, how it is read, and the fields without which it means nothing; `a.b` is a field of each item of list `a`. */
-    private class MessageCase(val name: String, val text: String, val needed: List<String>, val read: (ByteArray) -> Any?)
+    /** A message, its decoder and its required fields; `a.b` is the field `b` of each item of the list `a`. */
+    private class MessageCase(val name: String, val text: String, val requiredFields: List<String>, val decode: (ByteArray) -> Any?)
 
     private val messages = listOf(
         MessageCase(
@@ -83,42 +83,42 @@
     )
 
     @TestFactory
-    fun `each message is read, and without a needed field it is malformed`() = messages.flatMap { message ->
-        val good = DynamicTest.dynamicTest("${message.name} is read, with fields that nobody knows") {
-            message.read(MessageCodec.encode(node(message.text).put("later", 1)))
+    fun `each message is decoded, and is malformed without any required field`() = messages.flatMap { message ->
+        val valid = DynamicTest.dynamicTest("${message.name} is decoded, unknown fields included") {
+            message.decode(MessageCodec.encode(node(message.text).put("later", 1)))
         }
-        listOf(good) + message.needed.flatMap { field ->
+        listOf(valid) + message.requiredFields.flatMap { field ->
             listOf("missing" to null, "of another type" to json.readTree("""[{"x":"y"}]""")).map { (how, value) ->
                 DynamicTest.dynamicTest("${message.name}: $field $how") {
-                    val broken = node(message.text)
+                    val malformed = node(message.text)
                     val isNested = '.' in field
-                    val holder = if (isNested) broken.get(field.substringBefore('.'))[0] as ObjectNode else broken
+                    val parent = if (isNested) malformed.get(field.substringBefore('.'))[0] as ObjectNode else malformed
                     val name = field.substringAfter('.')
-                    if (value == null) holder.remove(name) else holder.set<ObjectNode>(name, if (name == "data") json.nullNode() else value)
-                    assertThrows(MalformedMessageException::class.java) { message.read(MessageCodec.encode(broken)) }
+                    if (value == null) parent.remove(name) else parent.set<ObjectNode>(name, if (name == "data") json.nullNode() else value)
+                    assertThrows(MalformedMessageException::class.java) { message.decode(MessageCodec.encode(malformed)) }
                 }
             }
         }
     }
 
     @TestFactory
-    fun `what isn't one whole map is malformed`() = messages.flatMap { message ->
-        val whole = MessageCodec.encode(node(message.text))
+    fun `a body that isn't exactly one map is malformed`() = messages.flatMap { message ->
+        val complete = MessageCodec.encode(node(message.text))
         listOf(
             "empty" to ByteArray(0),
-            "cut short" to whole.copyOf(whole.size - 1),
-            "trailing bytes" to whole + 1,
+            "truncated" to complete.copyOf(complete.size - 1),
+            "trailing bytes" to complete + 1,
             "a list" to byteArrayOf(0x90.toByte()),
         )
             .map { (how, bytes) ->
                 DynamicTest.dynamicTest("${message.name}: $how") {
-                    assertThrows(MalformedMessageException::class.java) { message.read(bytes) }
+                    assertThrows(MalformedMessageException::class.java) { message.decode(bytes) }
                 }
             }
     }
 
     @Test
-    fun `states and reasons of tasks are read by their names`() {
+    fun `task states and exit reasons are decoded by name`() {
         fun task(fields: String) = WorkerProtocol.heartbeat(
             MessageCodec.encode(
                 node(messages[0].text).also {
@@ -138,30 +138,30 @@
     }
 
     @Test
-    fun `commands are written as the protocol defines them`() {
+    fun `commands are encoded as the protocol defines`() {
         val id = AttemptId(TaskId(JobId("j-000412"), 4), 2)
         val body = WorkerProtocol.directCommands(
             FencingToken(41),
             1,
             listOf(WorkerCommand.Start(id), WorkerCommand.Stop(id, 10.0), WorkerCommand.Forget(id)),
         )
-        val shown = node(
+        val expected = node(
             """{"vara":41,"ordenes":[{"orden":"run","tarea":"j-000412/4","intento":2},{"orden":"stop","tarea":"j-000412/4","intento":2,"graciaS":10.0},
                 {"orden":"clear","tarea":"j-000412/4","intento":2}],"jornada":1}""",
         )
-        assertEquals(json.readTree(shown.toString()), json.readTree(MessageCodec.decodeMap(body).toString()))
+        assertEquals(json.readTree(expected.toString()), json.readTree(MessageCodec.decodeMap(body).toString()))
     }
 
     @Test
-    fun `requests between peers arrive as sent, and malformed ones are rejected`() {
-        val held = mapOf(
+    fun `peer requests are decoded as they were encoded, and malformed ones are rejected`() {
+        val imageCaches = mapOf(
             MachineId("vm-1") to ImageCache(2, mapOf("a" to 1.5, "b" to 0.5)),
             MachineId("vm-2") to ImageCache(1, mapOf("b" to 0.5)),
         )
-        val part = PeerRequest.ImageCacheHints.of(held).single()
-        assertEquals(held, (PeerCodec.decodeRequest(PeerCodec.encode(part)) as PeerRequest.ImageCacheHints).toImageCaches())
-        val leads = PeerRequest.AnnounceLeader("n0", "n0", 9)
-        assertEquals(leads, PeerCodec.decodeRequest(PeerCodec.encode(leads)))
+        val part = PeerRequest.ImageCacheHints.of(imageCaches).single()
+        assertEquals(imageCaches, (PeerCodec.decodeRequest(PeerCodec.encode(part)) as PeerRequest.ImageCacheHints).toImageCaches())
+        val announcement = PeerRequest.AnnounceLeader("n0", "n0", 9)
+        assertEquals(announcement, PeerCodec.decodeRequest(PeerCodec.encode(announcement)))
         assertThrows(SerializationException::class.java) { PeerCodec.decodeRequest(byteArrayOf(1, 2, 3)) }
     }
 }
--- a/src/test/kotlin/cleathitch/protocol/UserProtocolTest.kt
+++ b/src/test/kotlin/cleathitch/protocol/UserProtocolTest.kt
@@ -24,7 +24,7 @@
     private fun parse(node: ObjectNode) = UserProtocol.submission(MessageCodec.encode(node))
 
     @Test
-    fun `a submission is read field by field`() {
+    fun `a valid submission is decoded`() {
         val spec = parse(valid())
         assertEquals("j-000412", spec.id.text)
         assertEquals(JobKind.ARRAY, spec.kind)
@@ -36,7 +36,7 @@
     }
 
     @Test
-    fun `unknown fields are ignored and nullable ones may be left out`() {
+    fun `unknown fields are ignored and nullable ones may be missing`() {
         val node = valid().put("later", 1)
         listOf("hornadas", "comarca", "plazoS").forEach(node::remove)
         val spec = parse(node)
@@ -45,11 +45,11 @@
     }
 
     @Test
-    fun `whatever the protocol doesn't allow is malformed`() {
-        val bad: Map<String, (ObjectNode) -> Unit> = mapOf(
+    fun `a submission that violates the protocol is malformed`() {
+        val invalid: Map<String, (ObjectNode) -> Unit> = mapOf(
             "id missing" to { it.remove("nameId") },
             "id null" to { it.putNull("nameId") },
-            "id of another form" to { it.put("nameId", "job-1") },
+            "id of the wrong form" to { it.put("nameId", "job-1") },
             "id with a newline" to { it.put("nameId", "j-000412\n") },
             "id a number" to { it.put("nameId", 412) },
             "unknown kind" to { it.put("oficio", "service") },
@@ -58,7 +58,7 @@
             "too many tasks" to { it.put("tareas", 100_001) },
             "tasks a float" to { it.put("tareas", 16.0) },
             "tasks beyond 64 bits" to { it.put("tareas", BigInteger.ONE.shiftLeft(64).subtract(BigInteger.ONE)) },
-            "tasks text" to { it.put("tareas", "16") },
+            "tasks a string" to { it.put("tareas", "16") },
             "negative cpus" to { it.put("vcpus", -1.0) },
             "zero cpus" to { it.put("vcpus", 0.0) },
             "NaN memory" to { it.put("memoryGb", Double.NaN) },
@@ -66,25 +66,25 @@
             "negative image" to { it.put("pullGb", -0.1) },
             "spot a number" to { it.put("prestados", 1) },
             "zone a number" to { it.put("comarca", 3) },
-            "types a text" to { it.put("hornadas", "g8") },
-            "types hold a number" to { it.putArray("hornadas").add(3) },
+            "types a string" to { it.put("hornadas", "g8") },
+            "types contain a number" to { it.putArray("hornadas").add(3) },
             "deadline zero" to { it.put("plazoS", 0.0) },
             "spread missing" to { it.remove("scatter") },
         )
-        for ((name, spoil) in bad) {
-            assertThrows(MalformedMessageException::class.java, { parse(valid().also(spoil)) }, name)
+        for ((name, corrupt) in invalid) {
+            assertThrows(MalformedMessageException::class.java, { parse(valid().also(corrupt)) }, name)
         }
     }
 
     @Test
     fun `bodies that aren't one MessagePack map are malformed`() {
-        val whole = MessageCodec.encode(valid())
+        val complete = MessageCodec.encode(valid())
         val bodies = mapOf(
             "empty" to ByteArray(0),
-            "cut off" to whole.copyOf(whole.size - 1),
-            "bytes left over" to whole + 0x01,
+            "truncated" to complete.copyOf(complete.size - 1),
+            "trailing bytes" to complete + 0x01,
             "a list" to byteArrayOf(0x90.toByte()),
-            "a never used code" to byteArrayOf(0xc1.toByte()),
+            "a reserved type code" to byteArrayOf(0xc1.toByte()),
             "JSON" to """{"nameId":"j-000412"}""".toByteArray(),
         )
         for ((name, body) in bodies) assertThrows(MalformedMessageException::class.java, { UserProtocol.submission(body) }, name)
