--- a/src/test/kotlin/cleathitch/architecture/PackageDependenciesTest.kt
+++ b/src/test/kotlin/cleathitch/architecture/PackageDependenciesTest.kt
@@ -7,35 +7,36 @@
 import java.nio.file.Path
 import kotlin.io.path.writeText
 
-/** Keeps the package layout of docs/architecture.md: who may know whom, and a state machine without I/O. */
+/** Enforces the package layout in docs/architecture.md: the allowed dependencies, and a scheduler that is a state machine without I/O. */
 class PackageDependenciesTest {
     private val graph = PackageGraph(SourceTree.main)
 
     @Test
-    fun `every package imports only from packages that it may know`() {
+    fun `every package imports only from packages that it may depend on`() {
         val violations = graph.dependencies.flatMap { (name, targets) ->
-            val allowed = ALLOWED[name] ?: return@flatMap listOf("package $name is not in the table of allowed dependencies")
+            val allowed = ALLOWED_DEPENDENCIES[name] ?: return@flatMap listOf("package $name is not in the table of allowed dependencies")
             (targets - allowed).flatMap { target ->
-                graph.importers(SourceTree.main, name, target).map { "$it imports from $target, which $name must not know" }
+                graph.importers(SourceTree.main, name, target).map { "$it imports from $target, which $name must not depend on" }
             }
         }
         assertEquals(emptyList<String>(), violations)
     }
 
     @Test
-    fun `the table of allowed dependencies names no package that is gone`() {
-        assertEquals(emptySet<String>(), (ALLOWED.keys + ALLOWED.values.flatten()) - graph.packages)
+    fun `the table of allowed dependencies lists only packages that exist`() {
+        assertEquals(emptySet<String>(), (ALLOWED_DEPENDENCIES.keys + ALLOWED_DEPENDENCIES.values.flatten()) - graph.packages)
     }
 
     @Test
-    fun `no package depends on itself through others`() {
+    fun `package dependencies have no cycle`() {
         assertNull(graph.cycle())
     }
 
     @Test
     fun `the scheduler imports neither I-O nor threads`() {
         val violations = schedulerFiles().flatMap { file ->
-            file.imports.filterNot { import -> PURE.any(import::startsWith) && IMPURE.none(import::startsWith) }.map { "$file imports $it" }
+            file.imports.filterNot { import -> PURE_IMPORTS.any(import::startsWith) && IMPURE_IMPORTS.none(import::startsWith) }
+                .map { "$file imports $it" }
         }
         assertEquals(emptyList<String>(), violations)
     }
@@ -47,7 +48,7 @@
     }
 
     @Test
-    fun `a cycle is found in made-up sources`(@TempDir directory: Path) {
+    fun `a cycle between packages is found`(@TempDir directory: Path) {
         val files = listOf(
             source(directory, "a.One", "cleathitch.b.Two"),
             source(directory, "b.Two", "cleathitch.c.Three.Nested"),
@@ -68,17 +69,17 @@
     private companion object {
         const val SCHEDULER = "cleathitch.scheduler"
 
-        /** What the state machine may import beside itself: values, collections, arithmetic and the forms of stored records. */
-        val PURE =
+        /** What the scheduler may import: its own packages, collections, arithmetic, durations and serialization annotations. */
+        val PURE_IMPORTS =
             listOf("$SCHEDULER.", "kotlin.math.", "kotlin.collections.", "kotlin.time.Duration", "kotlinx.serialization.", "java.util.")
-        val IMPURE = listOf("java.util.concurrent.", "java.util.UUID", "java.util.Random", "java.util.Timer", "java.util.Scanner")
+        val IMPURE_IMPORTS = listOf("java.util.concurrent.", "java.util.UUID", "java.util.Random", "java.util.Timer", "java.util.Scanner")
         val IMPURE_USES = Regex(
             """\b(System\.(nanoTime|currentTimeMillis|getenv|out|err)|println|Math\.random|Random\b|UUID\b|Instant\.now|""" +
                 """java\.(io|nio|net|time)\.|io\.vertx\.|org\.slf4j\.|kotlinx\.coroutines\.)""",
         )
 
-        /** For each package those that it may import from. */
-        val ALLOWED: Map<String, Set<String>> = """
+        /** For each package, the packages that it may import from. */
+        val ALLOWED_DEPENDENCIES: Map<String, Set<String>> = """
             scheduler.model:
             scheduler.log:       scheduler.model
             scheduler.api:       scheduler.model scheduler.log
--- a/src/test/kotlin/cleathitch/architecture/SourceTree.kt
+++ b/src/test/kotlin/cleathitch/architecture/SourceTree.kt
@@ -6,14 +6,14 @@
 import kotlin.io.path.readLines
 import kotlin.io.path.readText
 
-/** One Kotlin source file: its declared package and what it imports. */
+/** A Kotlin source file with its package and its imports. */
 class SourceFile(val path: Path) {
     val lines: List<String> = path.readLines()
     val text: String = path.readText()
     val packageName: String = lines.first { it.startsWith("package ") }.removePrefix("package ").trim()
     val imports: List<String> = lines.filter { it.startsWith("import ") }.map { it.removePrefix("import ").substringBefore(" as ").trim() }
 
-    /** The text without comments, where a word is a use and not a mention. */
+    /** The text without comments, so that a match is a use and not a mention in a comment. */
     val code: String = text.replace(
         Regex("""/\*.*?\*/""", RegexOption.DOT_MATCHES_ALL),
         "",
@@ -22,7 +22,7 @@
     override fun toString() = path.toString()
 }
 
-/** The project's Kotlin sources, read from the directory in which the build runs. */
+/** The project's Kotlin sources, relative to the build's working directory. */
 object SourceTree {
     val main: List<SourceFile> by lazy { read(Path.of("src/main/kotlin")) }
     val tests: List<SourceFile> by lazy { read(Path.of("src/test/kotlin")) }
@@ -32,13 +32,13 @@
     }
 }
 
-/** Packages below `cleathitch` by their short names, such as `scheduler.jobs`, each with those that its files import. */
+/** The packages below `cleathitch` by their short names, such as `scheduler.jobs`, and the packages that each imports from. */
 class PackageGraph(files: List<SourceFile>) {
-    private val declared = files.mapTo(sortedSetOf()) { it.packageName }
+    private val declaredPackages = files.mapTo(sortedSetOf()) { it.packageName }
 
-    val packages: Set<String> = declared.mapTo(sortedSetOf(), ::shortName)
-    val dependencies: Map<String, Set<String>> = files.groupBy { shortName(it.packageName) }.mapValues { (name, members) ->
-        members.flatMap { it.imports }.mapNotNull(::packageOf).map(::shortName).filterTo(sortedSetOf()) { it != name }
+    val packages: Set<String> = declaredPackages.mapTo(sortedSetOf(), ::shortName)
+    val dependencies: Map<String, Set<String>> = files.groupBy { shortName(it.packageName) }.mapValues { (name, packageFiles) ->
+        packageFiles.flatMap { it.imports }.mapNotNull(::packageOf).map(::shortName).filterTo(sortedSetOf()) { it != name }
     }
 
     /** The files of package [name] that import from package [target]. */
@@ -46,7 +46,7 @@
         shortName(file.packageName) == name && file.imports.any { import -> packageOf(import)?.let(::shortName) == target }
     }
 
-    /** A way from a package back to itself, or null if there is none. */
+    /** A dependency path from a package back to itself, or null if there is none. */
     fun cycle(): List<String>? {
         val finished = HashSet<String>()
         fun search(path: List<String>): List<String>? {
@@ -58,8 +58,8 @@
         return packages.firstNotNullOfOrNull { search(listOf(it)) }
     }
 
-    /** The declared package that holds what [import] names, which may be nested in a type. */
-    private fun packageOf(import: String) = declared.filter { import.startsWith("$it.") }.maxByOrNull { it.length }
+    /** The package that declares the imported name [import], which may be nested in a type. Null if it is not one of [declaredPackages]. */
+    private fun packageOf(import: String) = declaredPackages.filter { import.startsWith("$it.") }.maxByOrNull { it.length }
 
     private fun shortName(packageName: String) = packageName.removePrefix("cleathitch").removePrefix(".").ifEmpty { "(root)" }
 }
--- a/src/test/kotlin/cleathitch/architecture/WireNamesTest.kt
+++ b/src/test/kotlin/cleathitch/architecture/WireNamesTest.kt
@@ -5,22 +5,22 @@
 import java.nio.file.Path
 import kotlin.io.path.readText
 
-/** The protocol's themed field names are mapped to the code's terms in `protocol` alone, and explained in docs/glossary.md. */
+/** Only the package `protocol` maps the protocol's themed field names to the code's terms. docs/glossary.md explains them. */
 class WireNamesTest {
     private val protocolFiles = SourceTree.main.filter { it.packageName == PROTOCOL }
     private val otherFiles = SourceTree.main - protocolFiles.toSet()
 
     @Test
-    fun `only the protocol package knows wire names`() {
-        val word = Regex("""\b(${WIRE_NAMES.joinToString("|")})\b""")
+    fun `only the protocol package contains wire names`() {
+        val wireName = Regex("""\b(${WIRE_NAMES.joinToString("|")})\b""")
         val violations = otherFiles.flatMap { file ->
-            word.findAll(file.text).map { it.value }.distinct().map { "$file has the wire name $it" }
+            wireName.findAll(file.text).map { it.value }.distinct().map { "$file contains the wire name $it" }
         }
         assertEquals(emptyList<String>(), violations)
     }
 
     @Test
-    fun `the list of wire names is that of the protocol package and the glossary`() {
+    fun `every listed wire name is in the protocol package and in the glossary`() {
         val glossary = Path.of("docs/glossary.md").readText()
         val unused = WIRE_NAMES.filter { name -> protocolFiles.none { "\"$name\"" in it.text } }
         assertEquals(emptyList<String>(), unused)
@@ -30,7 +30,7 @@
     private companion object {
         const val PROTOCOL = "cleathitch.protocol"
 
-        /** The protocol's field names that are neither plain English nor words of the code. */
+        /** The protocol's field names that are neither plain English nor used as terms in the code. */
         val WIRE_NAMES = """
             alquiler aproxS arriendo asiento avisoS burro burros capataz comarca comarcas cuadrilla estado
             folio graciaS guardadoS hitoS hornada hornadas imagen intento jornada motivo nameId oficio orden
--- a/src/test/kotlin/cleathitch/formats/PeerFormatTest.kt
+++ b/src/test/kotlin/cleathitch/formats/PeerFormatTest.kt
@@ -21,16 +21,16 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.TestFactory
 
-/** What controllers send each other is written and read byte for byte as by the version that pinned it. */
+/** Messages between controllers are encoded to, and decoded from, the bytes in the golden files. */
 class PeerFormatTest {
     private val job = JobId("j-000412")
     private val machine = MachineId("vm-000017")
     private val body = byteArrayOf(-127, 1, 2)
     private val tasks = TaskState.entries.mapIndexed { index, state -> TaskStatusMessage(job, index, 40L + index, state, null, false) } +
         ExitReason.entries.mapIndexed { index, reason -> TaskStatusMessage(job, index, 60L + index, TaskState.EXITED, reason, true) }
-    private val report = FullHeartbeatMessage(machine, "10.1.0.7:9000", "m4", "a", true, 2, 40, 9_437_185, 4.5, tasks)
-    private val quietReport = report.copy(spot = false, preemptionNoticeS = null, tasks = emptyList())
-    private val heartbeats =
+    private val heartbeat = FullHeartbeatMessage(machine, "10.1.0.7:9000", "m4", "a", true, 2, 40, 9_437_185, 4.5, tasks)
+    private val heartbeatWithoutTasks = heartbeat.copy(spot = false, preemptionNoticeS = null, tasks = emptyList())
+    private val unchangedHeartbeats =
         listOf(UnchangedHeartbeatMessage(machine, 2, 41, 9_437_185, 4.5, 40), UnchangedHeartbeatMessage(machine, 2, 42, 9, null, 40))
     private val commands = WorkerCommandMessage.Kind.entries.map { WorkerCommandMessage(it, job, 3, 7, 2.5) }
 
@@ -45,10 +45,10 @@
         "request-batch" to PeerRequest.FollowerBatch(
             "n1",
             812,
-            listOf(report, quietReport),
-            heartbeats,
+            listOf(heartbeat, heartbeatWithoutTasks),
+            unchangedHeartbeats,
             listOf(job, JobId("j-7")),
-            listOf(DeliveryResultMessage(5, report)),
+            listOf(DeliveryResultMessage(5, heartbeat)),
         ),
         "request-deliver" to PeerRequest.DeliverCommands(
             "n1",
@@ -72,32 +72,32 @@
     private val emptyReply = PeerReply(503)
 
     @TestFactory
-    fun `requests keep their form`() = requests.map { (name, request) ->
+    fun `the encoding of requests is unchanged`() = requests.map { (name, request) ->
         DynamicTest.dynamicTest(name) {
-            PinnedBytes.assertUnchanged(name, PeerCodec.encode(request))
-            assertEquals(request, PeerCodec.decodeRequest(PinnedBytes.read(name)))
+            GoldenFiles.assertMatches(name, PeerCodec.encode(request))
+            assertEquals(request, PeerCodec.decodeRequest(GoldenFiles.read(name)))
         }
     }
 
     @Test
-    fun `a forwarded user request keeps its form`() {
-        PinnedBytes.assertUnchanged("request-user", PeerCodec.encode(PeerRequest.ForwardUserRequest("POST", "/submissions", body)))
-        val read = PeerCodec.decodeRequest(PinnedBytes.read("request-user")) as PeerRequest.ForwardUserRequest
-        assertEquals("POST" to "/submissions", read.method to read.path)
-        assertArrayEquals(body, read.body)
+    fun `the encoding of a forwarded user request is unchanged`() {
+        GoldenFiles.assertMatches("request-user", PeerCodec.encode(PeerRequest.ForwardUserRequest("POST", "/submissions", body)))
+        val decoded = PeerCodec.decodeRequest(GoldenFiles.read("request-user")) as PeerRequest.ForwardUserRequest
+        assertEquals("POST" to "/submissions", decoded.method to decoded.path)
+        assertArrayEquals(body, decoded.body)
     }
 
     @Test
-    fun `a reply with a body keeps its form`() {
-        PinnedBytes.assertUnchanged("reply-body", PeerCodec.encode(reply.copy(body = body)))
-        val read = PeerCodec.decodeReply(PinnedBytes.read("reply-body"))
-        assertArrayEquals(body, read.body)
-        assertEquals(reply, read.copy(body = null))
+    fun `the encoding of a reply with a body is unchanged`() {
+        GoldenFiles.assertMatches("reply-body", PeerCodec.encode(reply.copy(body = body)))
+        val decoded = PeerCodec.decodeReply(GoldenFiles.read("reply-body"))
+        assertArrayEquals(body, decoded.body)
+        assertEquals(reply, decoded.copy(body = null))
     }
 
     @Test
-    fun `a reply without details keeps its form`() {
-        PinnedBytes.assertUnchanged("reply-empty", PeerCodec.encode(emptyReply))
-        assertEquals(emptyReply, PeerCodec.decodeReply(PinnedBytes.read("reply-empty")))
+    fun `the encoding of a reply with only a status is unchanged`() {
+        GoldenFiles.assertMatches("reply-empty", PeerCodec.encode(emptyReply))
+        assertEquals(emptyReply, PeerCodec.decodeReply(GoldenFiles.read("reply-empty")))
     }
 }
--- a/src/test/kotlin/cleathitch/formats/StoredFormatTest.kt
+++ b/src/test/kotlin/cleathitch/formats/StoredFormatTest.kt
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.TestFactory
 
-/** What stands in the key-value store is written and read byte for byte as by the version that pinned it. */
+/** Values in the key-value store are encoded to, and decoded from, the bytes in the golden files, and the keys are unchanged. */
 class StoredFormatTest {
     private val fullSpec = JobSpec(
         JobId("j-000412"), "fare", "red", JobKind.GANG, Priority.HIGH, 12, 2.5, 1.0, 7.25, "img-7", 3.5,
@@ -69,37 +69,37 @@
 
     private fun encoded(stored: StoredValue, parts: Int = 1): List<ByteArray> = LogCodec.encode(stored, parts).map(MessageCodec::encode)
 
-    private fun entry(key: String, file: String) = KeyValueStoreProtocol.Entry(key, MessageCodec.decodeMap(PinnedBytes.read(file)), 1)
+    private fun entry(key: String, file: String) = KeyValueStoreProtocol.Entry(key, MessageCodec.decodeMap(GoldenFiles.read(file)), 1)
 
     @TestFactory
-    fun `records keep their form`() = records.map { (name, record) ->
+    fun `the encoding of log records is unchanged`() = records.map { (name, record) ->
         DynamicTest.dynamicTest(name) {
-            PinnedBytes.assertUnchanged(name, encoded(StoredValue.Record(record)).single())
-            val snapshot = LogCodec.recoveredState(listOf(entry("r/0000000000000000091", name)))
-            assertEquals(listOf(StoredRecord(LogIndex(91), record)), snapshot.records)
+            GoldenFiles.assertMatches(name, encoded(StoredValue.Record(record)).single())
+            val recovered = LogCodec.recoveredState(listOf(entry("r/0000000000000000091", name)))
+            assertEquals(listOf(StoredRecord(LogIndex(91), record)), recovered.records)
         }
     }
 
     @Test
-    fun `a job in two parts with live attempts keeps its form`() {
+    fun `the encoding of a job snapshot in two parts with live attempts is unchanged`() {
         val parts = encoded(StoredValue.Job(jobSnapshot), parts = 2)
-        parts.forEachIndexed { part, bytes -> PinnedBytes.assertUnchanged("job-part-$part", bytes) }
-        val snapshot = LogCodec.recoveredState(List(2) { part -> entry("j/j-000412/$part", "job-part-$part") })
-        val read = snapshot.jobs.single()
-        assertEquals(2, read.parts)
-        assertArrayEquals(completedTasks, read.snapshot.completedTasks)
-        assertEquals(jobSnapshot, read.snapshot.copy(completedTasks = completedTasks))
+        parts.forEachIndexed { part, bytes -> GoldenFiles.assertMatches("job-part-$part", bytes) }
+        val recovered = LogCodec.recoveredState(List(2) { part -> entry("j/j-000412/$part", "job-part-$part") })
+        val stored = recovered.jobs.single()
+        assertEquals(2, stored.parts)
+        assertArrayEquals(completedTasks, stored.snapshot.completedTasks)
+        assertEquals(jobSnapshot, stored.snapshot.copy(completedTasks = completedTasks))
     }
 
     @Test
-    fun `rentals and returns keep their form`() {
-        PinnedBytes.assertUnchanged("fleet", encoded(StoredValue.Inventory(inventorySnapshot)).single())
+    fun `the encoding of an inventory snapshot with rentals and returned machines is unchanged`() {
+        GoldenFiles.assertMatches("fleet", encoded(StoredValue.Inventory(inventorySnapshot)).single())
         assertEquals(inventorySnapshot, LogCodec.recoveredState(listOf(entry("fleet", "fleet"))).inventory)
     }
 
     @Test
-    fun `final states keep their form`() {
-        PinnedBytes.assertUnchanged("finals", encoded(StoredValue.FinishedJobs(finishedJobs)).single())
+    fun `the encoding of the final states of jobs is unchanged`() {
+        GoldenFiles.assertMatches("finals", encoded(StoredValue.FinishedJobs(finishedJobs)).single())
         assertEquals(
             listOf(StoredFinishedJobs(4, finishedJobs)),
             LogCodec.recoveredState(listOf(entry("f/0000000000000000004", "finals"))).finishedJobs,
@@ -107,14 +107,14 @@
     }
 
     @Test
-    fun `the head keeps its form`() {
-        PinnedBytes.assertUnchanged("head", encoded(StoredValue.Head(LogIndex(93), Term(812))).single())
-        assertEquals(StoredValue.Head(LogIndex(93), Term(812)), LogCodec.head(MessageCodec.decodeMap(PinnedBytes.read("head"))))
+    fun `the encoding of the head is unchanged`() {
+        GoldenFiles.assertMatches("head", encoded(StoredValue.Head(LogIndex(93), Term(812))).single())
+        assertEquals(StoredValue.Head(LogIndex(93), Term(812)), LogCodec.head(MessageCodec.decodeMap(GoldenFiles.read("head"))))
         assertEquals(LogIndex(93), LogCodec.recoveredState(listOf(entry("head", "head"))).head)
     }
 
     @Test
-    fun `keys keep their form`() {
+    fun `keys are unchanged`() {
         assertEquals("head", LogKeys.HEAD)
         assertEquals("fleet", LogKeys.INVENTORY)
         assertEquals("r/0000000000000000091", LogKeys.record(LogIndex(91)))
--- a/src/test/kotlin/cleathitch/loopback/ConnectionLeakTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/ConnectionLeakTest.kt
@@ -27,8 +27,9 @@
 import kotlin.random.Random
 
 /**
- * Each client of a node, through thousands of calls that time out or are cancelled while they wait for a connection, for
- * the answer's head or for its body. Afterwards no connection is in use, and calls are answered again.
+ * Guards against connection leaks in each of a controller's HTTP clients. Thousands of calls time out or are cancelled while
+ * they wait for a connection, for the response head or for the response body. Afterwards no connection may be in use, and new
+ * calls must be answered.
  */
 class ConnectionLeakTest {
     private val random = Random(SEED)
@@ -47,7 +48,7 @@
     private val cloud =
         CloudClient(vertx, server.address, CallRateLimiter(CLOUD_CALLS_PER_S, ::steadyMs), TIMEOUT_MS, ProcessingTimes(meters), meters)
 
-    /** One call of each client, by the client's name in the metrics. */
+    /** One call of each client, keyed by the client's name in the metrics. */
     private val calls: Map<String, suspend () -> Any?> = mapOf(
         "state" to { state.renewLease(lease = 1) },
         "state-watch" to { state.watch("x", since = 1, waitMs = 0) },
@@ -63,11 +64,11 @@
     }
 
     @TestFactory
-    fun `calls that time out or are cancelled give their connections back`() = calls.map { (client, call) ->
-        DynamicTest.dynamicTest(client) { runBlocking { abandonCallsAndRecover(client, call) } }
+    fun `calls that time out or are cancelled release their connections`() = calls.map { (client, call) ->
+        DynamicTest.dynamicTest(client) { runBlocking { abandonCallsThenExpectAnswer(client, call) } }
     }
 
-    private suspend fun abandonCallsAndRecover(client: String, call: suspend () -> Any?) {
+    private suspend fun abandonCallsThenExpectAnswer(client: String, call: suspend () -> Any?) {
         isFaulty = true
         repeat(CALLS / CONCURRENT_CALLS) {
             val burst = List(CONCURRENT_CALLS) { scope.launch { call() } }
@@ -78,14 +79,14 @@
         }
         isFaulty = false
         server.release()
-        await("$client: all connections free") { connectionsFree(client) }
+        await("$client: no connection in use or awaited") { isIdle(client) }
         val answeredBefore = answered(client)
-        // On a busy machine an answer may take longer than such a call waits, so there may be more than one try.
-        await("$client: calls are answered") {
+        // On a loaded machine a response can take longer than the call's timeout, so the call is repeated.
+        await("$client: a call is answered") {
             scope.launch { call() }
             answered(client) > answeredBefore
         }
-        await("$client: all connections free again") { connectionsFree(client) }
+        await("$client: no connection in use or awaited after an answered call") { isIdle(client) }
     }
 
     private fun cancelLater(call: Job) {
@@ -96,18 +97,20 @@
         }
     }
 
-    private fun connectionsFree(client: String) = gauge(client, "in_use") == 0 && gauge(client, "waiting") == 0
+    private fun isIdle(client: String) = gauge(client, "in_use") == 0 && gauge(client, "waiting") == 0
 
     private fun gauge(client: String, name: String) = meters.get("http.client.$name").tag("client", client).gauge().value().toInt()
 
-    /** Calls that were answered: the server's status counts as refused. */
+    /** How many calls were answered: the stub server's status 503 is counted with the outcome `refused`. */
     private fun answered(client: String) = meters.find("http.client.calls").tag("client", client).tag("outcome", "refused").counter()
         ?.count()?.toInt() ?: 0
 
     private suspend fun await(what: String, condition: () -> Boolean) {
         val endMs = steadyMs() + AWAIT_TIMEOUT_MS
         while (!condition()) {
-            if (steadyMs() > endMs) throw AssertionError("$what: not within $AWAIT_TIMEOUT_MS ms\n${MetricsText.text(meters)}")
+            if (steadyMs() > endMs) {
+                throw AssertionError("timed out after $AWAIT_TIMEOUT_MS ms waiting for: $what\n${MetricsText.text(meters)}")
+            }
             delay(POLL_MS)
         }
     }
--- a/src/test/kotlin/cleathitch/loopback/ControllerBuild.kt
+++ b/src/test/kotlin/cleathitch/loopback/ControllerBuild.kt
@@ -4,13 +4,13 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** The build of the software that a controller's process runs. */
+/** A build of the controller that a test starts as a process. */
 sealed interface ControllerBuild {
-    /** The options of `java` that choose the program. */
+    /** The `java` options that select the program to run. */
     val javaOptions: List<String>
 
-    /** The classes under test. */
-    data object Present : ControllerBuild {
+    /** The build under test, run from its compiled classes. */
+    data object Current : ControllerBuild {
         override val javaOptions: List<String>
             get() {
                 val classes = System.getProperty("surefire.test.class.path") ?: System.getProperty("java.class.path")
@@ -18,18 +18,18 @@
             }
     }
 
-    /** A packaged build; its libraries stand beside it in `lib`, as its manifest says. */
+    /** A packaged build. Its manifest refers to the libraries in the directory `lib` beside the jar. */
     data class Packaged(val jar: Path) : ControllerBuild {
         init {
-            require(Files.isRegularFile(jar)) { "not a file: $jar" }
+            require(Files.isRegularFile(jar)) { "controller build is not a regular file: $jar" }
         }
 
         override val javaOptions get() = listOf("-jar", "$jar")
     }
 
     companion object {
-        /** The build that `-Dprevious.jar=/path/to/cleathitch.jar` names, or else the present one. */
+        /** The build that `-Dprevious.jar=/path/to/cleathitch.jar` names, or the current build if the property is not set. */
         fun previous(): ControllerBuild =
-            System.getProperty("previous.jar")?.let { Packaged(File(it).toPath().toAbsolutePath()) } ?: Present
+            System.getProperty("previous.jar")?.let { Packaged(File(it).toPath().toAbsolutePath()) } ?: Current
     }
 }
--- a/src/test/kotlin/cleathitch/loopback/FaultyProxy.kt
+++ b/src/test/kotlin/cleathitch/loopback/FaultyProxy.kt
@@ -11,8 +11,8 @@
 import kotlin.random.Random
 
 /**
- * A TCP proxy on 127.0.0.1 between one node and a service, with faults that a test switches on and off by [fault]. Its threads and
- * sockets end with [close].
+ * A TCP proxy on 127.0.0.1 between one controller and a service. A test sets [fault] to inject a network fault. [close] closes
+ * the sockets and ends the threads.
  */
 class FaultyProxy(private val targetPort: Int, seed: Int) : AutoCloseable {
     private val random = Random(seed)
@@ -25,7 +25,7 @@
     @Volatile
     private var isOpen = true
 
-    /** Where the node connects to. */
+    /** The port that the controller connects to. */
     val port: Int get() = listener.localPort
 
     init {
@@ -34,62 +34,62 @@
 
     private fun acceptConnections() {
         while (isOpen) {
-            blockWhile { fault == NetworkFault.HOLD }
-            val near = try {
+            blockWhile { fault == NetworkFault.STALL_ALL }
+            val client = try {
                 listener.accept()
             } catch (_: IOException) {
                 return
             }
-            thread(isDaemon = true) { connect(near) }
+            thread(isDaemon = true) { relay(client) }
         }
     }
 
-    private fun connect(near: Socket) {
-        val far = try {
+    private fun relay(client: Socket) {
+        val service = try {
             Socket(InetAddress.getLoopbackAddress(), targetPort)
         } catch (_: IOException) {
-            return near.close()
+            return client.close()
         }
-        sockets += listOf(near, far)
-        thread(isDaemon = true) { pump(near, far, isRequest = true) }
-        pump(far, near, isRequest = false)
+        sockets += listOf(client, service)
+        thread(isDaemon = true) { copy(client, service, isRequest = true) }
+        copy(service, client, isRequest = false)
     }
 
-    private fun pump(from: Socket, to: Socket, isRequest: Boolean) {
+    private fun copy(from: Socket, to: Socket, isRequest: Boolean) {
         val buffer = ByteArray(BUFFER_BYTES)
         try {
             do {
                 val count = from.getInputStream().read(buffer)
             } while (count >= 0 && forward(buffer, count, from, to.getOutputStream(), isRequest))
         } catch (_: IOException) {
-            // The other side's pump, or the end of the proxy, has closed the sockets.
+            // The thread of the other direction, or close(), has closed the sockets.
         }
-        close(from)
-        close(to)
+        closeQuietly(from)
+        closeQuietly(to)
     }
 
-    /** Passes [count] bytes on, as the fault has it. False if the connection ends with them. */
+    /** Forwards [count] bytes subject to the current fault. Returns false if the connection must be closed. */
     private fun forward(buffer: ByteArray, count: Int, from: Socket, to: OutputStream, isRequest: Boolean): Boolean {
-        blockWhile { fault == NetworkFault.HOLD || fault == NetworkFault.HOLD_DATA }
+        blockWhile { fault == NetworkFault.STALL_ALL || fault == NetworkFault.STALL_DATA }
         when (fault) {
             NetworkFault.RESET -> {
                 from.setSoLinger(true, 0)
                 return false
             }
-            NetworkFault.REFUSE -> if (isRequest) {
-                from.getOutputStream().write(REFUSAL)
+            NetworkFault.SERVICE_UNAVAILABLE -> if (isRequest) {
+                from.getOutputStream().write(UNAVAILABLE_RESPONSE)
                 return drainAndClose(from.getInputStream())
             }
             NetworkFault.SLOW -> Thread.sleep(synchronized(random) { random.nextLong(MAX_DELAY_MS) })
-            NetworkFault.NONE, NetworkFault.HOLD, NetworkFault.HOLD_DATA -> Unit
+            NetworkFault.NONE, NetworkFault.STALL_ALL, NetworkFault.STALL_DATA -> Unit
         }
         to.write(buffer, 0, count)
         return true
     }
 
-    /** Lets the client read the refusal before the connection ends. */
+    /** Gives the client time to read the response before the connection is closed. */
     private fun drainAndClose(input: InputStream): Boolean {
-        Thread.sleep(REFUSAL_READ_MS)
+        Thread.sleep(RESPONSE_READ_MS)
         input.skip(input.available().toLong())
         return false
     }
@@ -98,7 +98,7 @@
         while (isOpen && condition()) Thread.sleep(POLL_MS)
     }
 
-    private fun close(socket: Socket) {
+    private fun closeQuietly(socket: Socket) {
         sockets -= socket
         runCatching { socket.close() }
     }
@@ -106,14 +106,14 @@
     override fun close() {
         isOpen = false
         listener.close()
-        sockets.forEach(::close)
+        sockets.forEach(::closeQuietly)
     }
 
     private companion object {
         const val BUFFER_BYTES = 65_536
         const val POLL_MS = 5L
         const val MAX_DELAY_MS = 1000L
-        const val REFUSAL_READ_MS = 20L
-        val REFUSAL = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n".toByteArray()
+        const val RESPONSE_READ_MS = 20L
+        val UNAVAILABLE_RESPONSE = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n".toByteArray()
     }
 }
--- a/src/test/kotlin/cleathitch/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/cleathitch/loopback/LoopbackCluster.kt
@@ -6,27 +6,28 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** Where users and workers reach a member of the cluster: [port] on 127.0.0.1. */
+/** The address of a cluster member for users and workers: [port] on 127.0.0.1. */
 data class ControllerAddress(val member: String, val port: Int)
 
 /**
- * Three controllers, `n0` to `n2`, as processes on 127.0.0.1 that [close] ends. Their settings and logs are files in [dir].
- * [statePort] gives the port where a node finds the state store. Used by the test's thread alone, except [port] and [job].
+ * Three controller processes, `n0` to `n2`, on 127.0.0.1. [close] kills them. Their settings and logs are files in [dir].
+ * [storePort] gives the port at which a controller connects to the key-value store. Only [port] and [submissionBody] are
+ * thread-safe; everything else is confined to the test's thread.
  */
-class LoopbackCluster(private val dir: Path, private val platform: SimulatedPlatform, private val statePort: (node: Int) -> Int) :
+class LoopbackCluster(private val dir: Path, private val platform: SimulatedPlatform, private val storePort: (node: Int) -> Int) :
     AutoCloseable {
     private val ports = LoopbackHttp.freePorts(2 * NODES)
     private val processes = arrayOfNulls<Process>(NODES)
 
     val addresses: List<ControllerAddress> get() = (0 until NODES).map { ControllerAddress("n$it", port(it)) }
 
-    /** The port of [node] for users and workers. */
+    /** The port at which [node] serves users and workers. */
     fun port(node: Int) = ports[node]
 
-    /** The port of [node] for its peers and for its metrics. */
+    /** The port at which [node] serves its peers and its metrics. */
     fun internalPort(node: Int) = ports[NODES + node]
 
-    fun start(node: Int, build: ControllerBuild = ControllerBuild.Present) {
+    fun start(node: Int, build: ControllerBuild = ControllerBuild.Current) {
         val settings = dir.resolve("n$node.json")
         Files.writeString(settings, settings(node))
         val java = Path.of(System.getProperty("java.home"), "bin", "java").toString()
@@ -36,7 +37,7 @@
         processes[node] = ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log).start()
     }
 
-    fun startAll(build: ControllerBuild = ControllerBuild.Present) {
+    fun startAll(build: ControllerBuild = ControllerBuild.Current) {
         (0 until NODES).forEach { start(it, build) }
         (0 until NODES).forEach(::awaitReady)
     }
@@ -49,12 +50,12 @@
         processes[node]?.destroyForcibly()?.waitFor()
     }
 
-    /** The node that holds the leader's key in the state store, as soon as there is one. */
+    /** Waits until a controller holds the leader key in the key-value store, and returns its index. */
     fun awaitLeader(): Int = await("a leader") { platform.leader() }.removePrefix("n").toInt()
 
     /**
-     * The first result of [poll] that isn't null, within [timeoutMs]. The default is far more than anything takes, so that the verdict
-     * doesn't depend on the machine's speed.
+     * Repeats [poll] until it returns a value, and fails after [timeoutMs]. The default is far longer than any operation takes, so
+     * that the test's result does not depend on the machine's speed.
      */
     fun <T : Any> await(what: String, timeoutMs: Long = AWAIT_TIMEOUT_MS, poll: () -> T?): T {
         val endMs = System.nanoTime() / 1_000_000 + timeoutMs
@@ -62,33 +63,33 @@
             poll()?.let { return it }
             Thread.sleep(POLL_MS)
         }
-        throw AssertionError("$what: not within $timeoutMs ms\n" + logs())
+        throw AssertionError("timed out after $timeoutMs ms waiting for: $what\n" + logs())
     }
 
-    /** The end of each node's log. */
+    /** The last [LOG_TAIL_CHARS] characters of each controller's log. */
     fun logs() = (0 until NODES).joinToString("\n") { node ->
         val file = logFile(node)
-        if (Files.exists(file)) Files.readString(file).takeLast(LOG_CHARS) else "n$node: no log"
+        if (Files.exists(file)) Files.readString(file).takeLast(LOG_TAIL_CHARS) else "n$node: no log"
     }
 
-    /** A submission for the one team and class of the settings. */
-    fun job(id: String, tasks: Int = 3): ObjectNode =
+    /** The body of a submission, for the only team and the only job class in the settings. */
+    fun submissionBody(id: String, tasks: Int = 3): ObjectNode =
         MessageCodec.newMap().put("nameId", id).put("cuadrilla", "c").put("ownerCrew", "t").put("oficio", "array")
             .put("urgencia", "normal").put("tareas", tasks).put("vcpus", 1.0).put("gpus", 0.0).put("memoryGb", 1.0)
             .put("imagen", "i").put("pullGb", 1.0).put("oneZone", false).put("scatter", false).put("prestados", false)
             .put("aproxS", 1.0).put("hitoS", 0.0).put("guardadoS", 0.0)
 
-    /** Repeats the submission until [node] accepts it. */
+    /** Repeats the submission of the job [id] until [node] accepts it. */
     fun submit(node: Int, id: String, tasks: Int = 3): ControllerReply = await("submission of $id at n$node") {
-        LoopbackHttp.callOrNull(port(node), "POST", "/submissions", job(id, tasks))?.takeIf { it.isSuccess }
+        LoopbackHttp.callOrNull(port(node), "POST", "/submissions", submissionBody(id, tasks))?.takeIf { it.isSuccess }
     }
 
-    /** Polls [node] until it answers that the job is known. */
-    fun awaitAnswer(node: Int, id: String): ControllerReply = await("an answer about $id at n$node") {
+    /** Polls [node] until it knows the job [id], in whatever state. */
+    fun awaitKnown(node: Int, id: String): ControllerReply = await("$id known at n$node") {
         LoopbackHttp.callOrNull(port(node), "GET", "/submissions/$id")?.takeIf { it.status == 200 }
     }
 
-    /** Polls [node] until it answers that the job is done. */
+    /** Polls [node] until it reports the job [id] as done. */
     fun awaitDone(node: Int, id: String): ControllerReply = await("$id done at n$node") {
         LoopbackHttp.callOrNull(port(node), "GET", "/submissions/$id")?.takeIf { it.status == 200 && it.jobState == "done" }
     }
@@ -102,7 +103,7 @@
         val peers = others.joinToString { """{"member":"n$it","domain":"z","addr":"127.0.0.1:${internalPort(it)}"}""" }
         return """
             {"member":"n$node","domain":"z","bind":"127.0.0.1:${port(node)}","internal_addr":"127.0.0.1:${internalPort(node)}",
-             "seeds":[$peers],"outside":{"cloud":"127.0.0.1:${platform.port}","state":"127.0.0.1:${statePort(node)}"},
+             "seeds":[$peers],"outside":{"cloud":"127.0.0.1:${platform.port}","state":"127.0.0.1:${storePort(node)}"},
              "cluster":{"initial_size":3,"zones":["z"],"objectives":[{"kind":"wait","class":"c","within_s":1,"share":0.9}],
               "teams":[{"name":"t","cpus":0,"cpus_max":0,"gpus":0,"gpus_max":0}],
               "workers":{"report_s":1,"lease_s":48,"cancel_s":90},"state":{"rps":1000,"write_rps":1000,"value_kb":16,"txn_ops":32},
@@ -114,9 +115,9 @@
         const val NODES = 3
         private const val AWAIT_TIMEOUT_MS = 60_000L
         private const val POLL_MS = 100L
-        private const val LOG_CHARS = 3000
+        private const val LOG_TAIL_CHARS = 3000
 
-        /** As the service's own, as far as the test's classes allow. */
+        /** The JVM options of the deployed service, as far as they work with the classes under test. */
         private val JVM_OPTIONS = listOf("-Xmx128m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1")
     }
 }
--- a/src/test/kotlin/cleathitch/loopback/LoopbackHttp.kt
+++ b/src/test/kotlin/cleathitch/loopback/LoopbackHttp.kt
@@ -10,31 +10,31 @@
 import java.net.http.HttpResponse
 import java.time.Duration
 
-/** A controller's reply to a user or worker; [body] is null if the reply has none. */
+/** A controller's reply to a user or worker. [body] is null if the reply has no body. */
 class ControllerReply(val status: Int, val body: JsonNode?) {
-    /** The job's state in a reply about a job. */
+    /** The job's state if the reply is about a job, otherwise null. */
     val jobState: String? get() = body?.get("estado")?.textValue()
 
-    /** A submission was accepted, or accepted before; or a poll was answered. */
+    /** The submission was accepted, now or earlier, or the poll was answered. */
     val isSuccess get() = status == 200 || status == 201
 }
 
-/** HTTP calls to processes on 127.0.0.1, with the time limit of users and workers. May be used by any thread. */
+/** HTTP calls to processes on 127.0.0.1, with the timeouts of users and workers. Thread-safe. */
 object LoopbackHttp {
     private val CONNECT_TIMEOUT = Duration.ofSeconds(1)
     private val CALL_TIMEOUT = Duration.ofSeconds(4)
     private val client: HttpClient = HttpClient.newBuilder().connectTimeout(CONNECT_TIMEOUT).build()
 
-    /** The reply of the server at [port], or null if the connection fails or the time limit passes. */
+    /** The reply of the server at [port], or null if the connection fails or the call times out. */
     fun callOrNull(port: Int, method: String, path: String, body: JsonNode? = null): ControllerReply? =
         sendOrNull(port, method, path, body)?.let { response ->
             ControllerReply(response.statusCode(), response.body().takeIf { it.isNotEmpty() }?.let(MessageCodec::decodeMap))
         }
 
-    /** The text at [path], or null if the connection fails or the time limit passes. */
+    /** The text at [path], or null if the connection fails or the call times out. */
     fun textOrNull(port: Int, path: String): String? = sendOrNull(port, "GET", path, null)?.body()?.decodeToString()
 
-    /** Ports that were free a moment ago: each process that uses one binds it itself. */
+    /** Ports that are free at the time of the call. They are not reserved: the process that uses a port binds it itself. */
     fun freePorts(count: Int): List<Int> = List(count) { ServerSocket(0) }.onEach { it.close() }.map { it.localPort }
 
     private fun sendOrNull(port: Int, method: String, path: String, body: JsonNode?): HttpResponse<ByteArray>? = try {
--- a/src/test/kotlin/cleathitch/loopback/LoopbackTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/LoopbackTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.io.TempDir
 import java.nio.file.Path
 
-/** Failover of three real processes on 127.0.0.1, with simulated platform, worker and user. */
+/** Failover of three controller processes on 127.0.0.1 with a simulated platform and a simulated worker. */
 class LoopbackTest {
     @TempDir
     lateinit var dir: Path
@@ -20,9 +20,9 @@
         platform.close()
     }
 
-    /** The process starts again under the lease of its predecessor, in the middle of the election. */
+    /** The process is restarted during the election, before the lease of the killed process has expired. */
     @Test
-    fun `accepted jobs run once and stay known when the leader is killed and starts again at once`() {
+    fun `accepted jobs run once and stay known when the leader is killed and restarted immediately`() {
         val address = "127.0.0.1:${LoopbackHttp.freePorts(1).single()}"
         platform.addMachine("vm-000001", address)
         cluster.startAll()
@@ -30,7 +30,9 @@
         worker.use {
             cluster.submit(0, "j-000001")
             cluster.awaitDone(1, "j-000001")
-            val unknown = cluster.await("answer") { LoopbackHttp.callOrNull(cluster.port(2), "GET", "/submissions/j-000099") }
+            val unknown = cluster.await("reply about an unknown job") {
+                LoopbackHttp.callOrNull(cluster.port(2), "GET", "/submissions/j-000099")
+            }
             assertEquals(404, unknown.status)
             cluster.submit(2, "j-000002")
 
--- a/src/test/kotlin/cleathitch/loopback/NetworkFault.kt
+++ b/src/test/kotlin/cleathitch/loopback/NetworkFault.kt
@@ -1,21 +1,21 @@
 package cleathitch.loopback
 
-/** What a [FaultyProxy] does to the connections through it. */
+/** The fault that a [FaultyProxy] injects into the connections that it relays. */
 enum class NetworkFault {
     NONE,
 
-    /** Open connections stall and new ones aren't accepted, until the fault is over. */
-    HOLD,
+    /** Open connections stall and new ones are not accepted until the fault ends. */
+    STALL_ALL,
 
-    /** Open connections stall until the fault is over; new ones are accepted at once, and stall as well. */
-    HOLD_DATA,
+    /** New connections are accepted, but no connection transfers data until the fault ends. */
+    STALL_DATA,
 
-    /** Data arrives up to a second late. */
+    /** Data is delayed by up to one second. */
     SLOW,
 
-    /** Connections are reset as soon as data is sent. */
+    /** A connection is reset as soon as data is sent on it. */
     RESET,
 
-    /** Each request is answered with 503, and its connection is closed. */
-    REFUSE,
+    /** Each request is answered with status 503, and its connection is closed. */
+    SERVICE_UNAVAILABLE,
 }
--- a/src/test/kotlin/cleathitch/loopback/SimulatedPlatform.kt
+++ b/src/test/kotlin/cleathitch/loopback/SimulatedPlatform.kt
@@ -10,14 +10,14 @@
 import java.util.concurrent.Executors
 
 /**
- * State store and cloud over HTTP on 127.0.0.1, as far as one small deployment needs them. The cloud lists the machines
- * that [addMachine] names and rents no others.
+ * Serves the parts of the key-value store's and the cloud's HTTP APIs that a small deployment uses, on 127.0.0.1. The cloud
+ * lists the machines added by [addMachine] and rejects every rental.
  */
 class SimulatedPlatform : AutoCloseable {
-    /** The state store, which the leader's key and the log are in. */
+    /** The key-value store, which holds the leader key and the log. */
     val store = SimulatedKeyValueStore()
     private val machineAddresses = ConcurrentHashMap<String, String>()
-    private val threads = Executors.newCachedThreadPool { run -> Thread(run).also { it.isDaemon = true } }
+    private val threads = Executors.newCachedThreadPool { task -> Thread(task).also { it.isDaemon = true } }
     private val server = HttpServer.create(InetSocketAddress("127.0.0.1", 0), BACKLOG).also {
         it.executor = threads
         it.createContext("/", ::serve)
@@ -25,10 +25,10 @@
     }
     val port: Int get() = server.address.port
 
-    /** The member that holds the leader's key; null if there is none. */
+    /** The member that holds the leader key, or null if there is none. */
     fun leader(): String? = store.valueOrNull("leader/cleathitch")?.get("member")?.textValue()
 
-    /** Puts a running machine on the cloud's list; its worker takes commands at [address]. */
+    /** Adds a running machine to the cloud's list. Its worker receives commands at [address]. */
     fun addMachine(machine: String, address: String) {
         machineAddresses[machine] = address
     }
@@ -43,7 +43,7 @@
         val query = it.requestURI.rawQuery.orEmpty().split('&').filter { part -> '=' in part }
             .associate { part -> part.substringBefore('=') to URLDecoder.decode(part.substringAfter('='), Charsets.UTF_8) }
         val bytes = it.requestBody.readAllBytes()
-        if (path == "/follow") Thread.sleep(WATCH_MS)
+        if (path == "/follow") Thread.sleep(WATCH_TIMEOUT_MS)
         val request = if (bytes.isEmpty()) null else MessageCodec.decodeMap(bytes)
         val reply = store.handleOrNull(it.requestMethod, path, query, request) ?: handleCloud(it.requestMethod, path)
         val body = MessageCodec.encode(reply.body)
@@ -78,7 +78,7 @@
     private companion object {
         const val BACKLOG = 50
 
-        /** A watch is answered without changes after this time. */
-        const val WATCH_MS = 100L
+        /** Every watch is answered after this time, without changes. */
+        const val WATCH_TIMEOUT_MS = 100L
     }
 }
--- a/src/test/kotlin/cleathitch/loopback/SimulatedUser.kt
+++ b/src/test/kotlin/cleathitch/loopback/SimulatedUser.kt
@@ -6,10 +6,10 @@
 import kotlin.random.Random
 
 /**
- * A user that submits jobs of one task and polls those that were accepted, at a random controller each time, until [close].
- * The ids are numbered from [firstJob]; after [maxJobs] of them the same submissions are repeated.
+ * A user that submits jobs with one task each and polls accepted jobs, each time at a random controller, until [close].
+ * Job ids are numbered from [firstJob]. After [maxJobs] jobs the same submissions are repeated.
  *
- * Compares each reply with the earlier ones: a job that was accepted must stay known, and a job that was done must stay done.
+ * Checks each reply against the earlier ones: an accepted job must stay known, and a job that was done must stay done.
  */
 class SimulatedUser(
     private val cluster: LoopbackCluster,
@@ -26,17 +26,17 @@
     private var isOpen = true
     private val requests = thread(isDaemon = true) { runRequests() }
 
-    /** Jobs whose submission was confirmed. */
+    /** Jobs that a controller has confirmed as accepted. */
     val accepted: Set<String> get() = acceptedJobs
 
-    /** Replies that took back an earlier one. */
+    /** Descriptions of the replies that contradict an earlier reply. */
     val violations: Set<String> get() = foundViolations
 
     private fun runRequests() {
         var submitted = 0
         while (isOpen) {
             val id = "j-%06d".format(firstJob + submitted % maxJobs)
-            if (request(randomNode(), "POST", "/submissions", id, cluster.job(id, tasks = 1)) != null) submitted++
+            if (request(randomNode(), "POST", "/submissions", id, cluster.submissionBody(id, tasks = 1)) != null) submitted++
             acceptedJobs.randomOrNull(random)?.let { pollOrNull(randomNode(), it) }
             Thread.sleep(pauseMs)
         }
@@ -44,16 +44,18 @@
 
     private fun randomNode() = random.nextInt(LoopbackCluster.NODES)
 
-    /** The reply of [node] about the accepted job [id], or null if it gave none. */
+    /** The reply of [node] about the accepted job [id], or null if the poll was not answered successfully. */
     fun pollOrNull(node: Int, id: String) = request(node, "GET", "/submissions/$id", id)
 
     private fun request(node: Int, method: String, path: String, id: String, body: JsonNode? = null): ControllerReply? {
-        // Read before the call: a poll that overlaps the first confirmation may rightly give the earlier state.
+        // Read before the call: a poll that overlaps the first reply with the state `done` may correctly return the earlier state.
         val wasDone = id in doneJobs
         val reply = LoopbackHttp.callOrNull(cluster.port(node), method, path, body) ?: return null
-        if (reply.status == 404) foundViolations += "forgotten: $id"
+        if (reply.status == 404) foundViolations += "$id: n$node replied 404 to $method $path"
         if (!reply.isSuccess) return null
-        if (wasDone && reply.jobState != "done") foundViolations += "went_back: $id was done, now ${reply.jobState}"
+        if (wasDone && reply.jobState != "done") {
+            foundViolations += "$id: n$node replied with the state ${reply.jobState} although the job was done"
+        }
         if (reply.jobState == "done") doneJobs += id
         acceptedJobs += id
         return reply
--- a/src/test/kotlin/cleathitch/loopback/SimulatedWorker.kt
+++ b/src/test/kotlin/cleathitch/loopback/SimulatedWorker.kt
@@ -7,9 +7,8 @@
 import kotlin.concurrent.thread
 
 /**
- * The worker of one machine: sends heartbeats to the controllers, starts and stops tasks as they command, and follows
- * their redirects. A task runs for [taskMs], and beyond that for as long as [isHeld] says so of its id. [close] ends
- * the heartbeats.
+ * The worker of one machine: sends heartbeats to the controllers, executes the commands in their replies and follows their
+ * redirects. A task runs for [taskMs], and longer while [isHeld] returns true for its id. [close] stops the heartbeats.
  */
 class SimulatedWorker(
     private val machine: String,
@@ -20,39 +19,42 @@
 ) : AutoCloseable {
     private data class Attempt(val task: String, val number: Long)
 
-    /** The earliest end of each attempt that isn't cleared; confined to the worker's thread, as all that isn't concurrent here. */
+    /**
+     * The earliest end of each attempt that has not been cleared. Confined to the heartbeat thread, like all state here that is not
+     * made for concurrent access.
+     */
     private val attemptEndsMs = LinkedHashMap<Attempt, Long>()
     private var fencingToken = 0L
-    private var sequence = 0L
-    private var controller = 0
+    private var sequenceNumber = 0L
+    private var controllerIndex = 0
     private val startsByTask = ConcurrentHashMap<String, Int>()
 
     @Volatile
     private var isOpen = true
     private val heartbeats = thread(isDaemon = true) { runHeartbeats() }
 
-    /** How often each task was started, by its id. */
+    /** The number of starts of each task, by task id. */
     val starts: Map<String, Int> get() = startsByTask
 
     private fun runHeartbeats() {
         while (isOpen) {
-            val reply = LoopbackHttp.callOrNull(controllers[controller].port, "POST", "/agent/beat", heartbeat())
+            val reply = LoopbackHttp.callOrNull(controllers[controllerIndex].port, "POST", "/agent/beat", heartbeat())
             when (reply?.status) {
                 200 -> if (reply.body!!.get("vara").longValue() >= fencingToken) execute(reply.body)
-                421 -> controller = redirect(reply.body?.get("capataz")?.textValue())
-                else -> controller = nextController()
+                421 -> controllerIndex = redirectTarget(reply.body?.get("capataz")?.textValue())
+                else -> controllerIndex = nextController()
             }
-            Thread.sleep(HEARTBEAT_MS)
+            Thread.sleep(HEARTBEAT_PERIOD_MS)
         }
     }
 
-    private fun redirect(member: String?) = controllers.indexOfFirst { it.member == member }.takeIf { it >= 0 } ?: nextController()
+    private fun redirectTarget(member: String?) = controllers.indexOfFirst { it.member == member }.takeIf { it >= 0 } ?: nextController()
 
-    private fun nextController() = (controller + 1) % controllers.size
+    private fun nextController() = (controllerIndex + 1) % controllers.size
 
     private fun heartbeat(): ObjectNode {
         val heartbeat = MessageCodec.newMap().put("burro", machine).put("addr", address).put("hornada", "m").put("comarca", "z")
-            .put("prestados", false).put("jornada", 1).put("folio", ++sequence).put("vara", fencingToken)
+            .put("prestados", false).put("jornada", 1).put("folio", ++sequenceNumber).put("vara", fencingToken)
         val tasks = heartbeat.putArray("tareas")
         for ((attempt, endMs) in attemptEndsMs) {
             val task = tasks.addObject().put("tarea", attempt.task).put("intento", attempt.number)
@@ -93,6 +95,6 @@
     }
 
     private companion object {
-        const val HEARTBEAT_MS = 200L
+        const val HEARTBEAT_PERIOD_MS = 200L
     }
 }
--- a/src/test/kotlin/cleathitch/loopback/SoakTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/SoakTest.kt
@@ -9,11 +9,11 @@
 import kotlin.random.Random
 
 /**
- * Three real processes whose connections to the state store stall, slow down, are reset or refused, for all or for one of
- * them, in seeded order. Once that is over, every accepted job is answered in time, no reply was taken back, and no client
- * has lost a connection.
+ * Injects faults between three controller processes and the key-value store, in an order given by a seed: the connections of
+ * one or all controllers stall, slow down, are reset or are answered with 503. Afterwards every accepted job must be done in
+ * time, no reply may have contradicted an earlier one, and no HTTP client may have leaked a connection.
  *
- * `mvn -Dtest=SoakTest -Dsoak.seconds=1200 -Dsoak.seed=7 test` runs it for longer.
+ * For a longer run: `mvn -Dtest=SoakTest -Dsoak.seconds=1200 -Dsoak.seed=7 test`.
  */
 class SoakTest {
     @TempDir
@@ -33,7 +33,7 @@
     }
 
     @Test
-    fun `after faults of the state store every accepted job is answered and no connection is lost`() {
+    fun `after faults of the key-value store every accepted job finishes and no connection is leaked`() {
         val address = "127.0.0.1:${LoopbackHttp.freePorts(1).single()}"
         platform.addMachine("vm-000001", address)
         cluster.startAll()
@@ -43,16 +43,18 @@
             user.use {
                 val endMs = nowMs() + soakMs
                 while (nowMs() < endMs && user.violations.isEmpty()) injectFault()
-                assertAcceptedJobsAnswered(user)
-                assertConnectionsFree()
+                assertAcceptedJobsDone(user)
+                assertClientsIdle()
             }
         }
         println("soak: seed $seed, ${soakMs / 1000} s, ${user.accepted.size} jobs accepted, ${elections()} elections")
         assertEquals(emptySet<String>(), user.violations.toSet()) { cluster.logs() }
-        assertTrue(user.accepted.size >= MIN_ACCEPTED_JOBS) { "only ${user.accepted.size} jobs were accepted\n" + cluster.logs() }
+        assertTrue(user.accepted.size >= MIN_ACCEPTED_JOBS) {
+            "only ${user.accepted.size} jobs were accepted, expected at least $MIN_ACCEPTED_JOBS\n" + cluster.logs()
+        }
     }
 
-    /** One fault and a pause: for all nodes or for one of them. */
+    /** Injects one fault, into the connections of one controller or all of them, and pauses after it. */
     private fun injectFault() {
         val fault = NetworkFault.entries.random(random)
         val affected = if (random.nextBoolean()) proxies else listOf(proxies.random(random))
@@ -62,20 +64,20 @@
         Thread.sleep(random.nextLong(MIN_PAUSE_MS, MAX_PAUSE_MS))
     }
 
-    /** The time limit for the first answer about each job counts from the last fault. */
-    private fun assertAcceptedJobsAnswered(user: SimulatedUser) {
-        val faultsOverMs = nowMs()
+    /** The time limit for the first reply about each job starts when the last fault has ended. */
+    private fun assertAcceptedJobsDone(user: SimulatedUser) {
+        val lastFaultEndMs = nowMs()
         for (id in user.accepted.toList()) {
-            val leftMs = faultsOverMs + ANSWER_TIMEOUT_MS - nowMs()
-            cluster.await("an answer about $id", leftMs) { user.pollOrNull(randomNode(), id) }
+            val remainingMs = lastFaultEndMs + REPLY_TIMEOUT_MS - nowMs()
+            cluster.await("reply about $id", remainingMs) { user.pollOrNull(randomNode(), id) }
         }
         for (id in user.accepted.toList()) cluster.awaitDone(randomNode(), id)
     }
 
-    /** A watch of the leader's key is always under way, so the clients that watch hold a connection each. */
-    private fun assertConnectionsFree() {
+    /** A watch of the leader key is always in progress, so the clients that watch keep a connection in use and are not checked. */
+    private fun assertClientsIdle() {
         for (node in 0 until LoopbackCluster.NODES) {
-            cluster.await("free connections at n$node") {
+            cluster.await("idle clients at n$node") {
                 val metrics = LoopbackHttp.textOrNull(cluster.internalPort(node), "/metrics")
                 metrics?.takeIf { IDLE_CLIENTS.all { client -> gauge(it, "in_use", client) == 0 && gauge(it, "waiting", client) == 0 } }
             }
@@ -96,14 +98,14 @@
     private fun nowMs() = System.nanoTime() / 1_000_000
 
     private companion object {
-        const val ANSWER_TIMEOUT_MS = 75_000L
+        const val REPLY_TIMEOUT_MS = 75_000L
         const val MIN_ACCEPTED_JOBS = 20
         const val MIN_FAULT_MS = 300L
         const val MAX_FAULT_MS = 3500L
         const val MIN_PAUSE_MS = 200L
         const val MAX_PAUSE_MS = 3000L
 
-        /** The clients that have nothing under way while no fault is on. */
+        /** The HTTP clients that have no call in progress while there is no fault. */
         val IDLE_CLIENTS = listOf("state", "lease", "cloud", "workers")
     }
 }
--- a/src/test/kotlin/cleathitch/loopback/UpgradeTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/UpgradeTest.kt
@@ -9,11 +9,11 @@
 import kotlin.random.Random
 
 /**
- * A rolling upgrade from a previous build to the present one and the rollback, of three real processes on 127.0.0.1 with
- * the same members and the same stored state, while users submit and poll and workers report. The leader is replaced last, so
- * each build leads followers of the other and takes over the log that the other has written.
+ * A rolling upgrade of three controller processes on 127.0.0.1 from a previous build to the current one, and the rollback. The
+ * members and the stored state stay the same, while users submit and poll jobs and workers send heartbeats. The leader is
+ * replaced last, so that each build leads followers that run the other build and recovers from the log that the other wrote.
  *
- * `mvn -Dtest=UpgradeTest -Dprevious.jar=/path/to/cleathitch.jar test`; without the property the previous build is the present one.
+ * `mvn -Dtest=UpgradeTest -Dprevious.jar=/path/to/cleathitch.jar test`; without the property the previous build is the current one.
  */
 class UpgradeTest {
     @TempDir
@@ -23,7 +23,7 @@
     private val cluster by lazy { LoopbackCluster(dir, platform) { platform.port } }
     private val random = Random(SEED)
 
-    /** Jobs whose tasks run until their job is removed from here. */
+    /** Jobs whose tasks keep running until the job is removed from this set. */
     private val heldJobs = ConcurrentHashMap.newKeySet<String>()
     private val submitted = ArrayList<String>()
 
@@ -34,7 +34,7 @@
     }
 
     @Test
-    fun `accepted jobs finish and confirmed results stand through a rolling upgrade and its rollback`() {
+    fun `accepted jobs finish and done jobs stay done during a rolling upgrade and its rollback`() {
         val startMs = nowMs()
         val machines = LoopbackHttp.freePorts(2).mapIndexed { i, port -> "vm-00000${i + 1}" to "127.0.0.1:$port" }
         machines.forEach { (machine, address) -> platform.addMachine(machine, address) }
@@ -43,16 +43,16 @@
             SimulatedWorker(machine, address, cluster.addresses) { task -> task.substringBefore('/') in heldJobs }
         }
         val users = List(2) {
-            SimulatedUser(cluster, Random(SEED + it), firstJob = (it + 1) * USER_JOBS, maxJobs = USER_JOBS, USER_PAUSE_MS)
+            SimulatedUser(cluster, Random(SEED + it), firstJob = (it + 1) * MAX_JOBS_PER_USER, maxJobs = MAX_JOBS_PER_USER, USER_PAUSE_MS)
         }
         try {
-            submitHeld(UPGRADED_JOB, workers)
-            replaceAll(ControllerBuild.Present)
-            releaseHeld(UPGRADED_JOB)
+            submitHeld(JOB_HELD_DURING_UPGRADE, workers)
+            replaceAll(ControllerBuild.Current)
+            releaseHeld(JOB_HELD_DURING_UPGRADE)
 
-            submitHeld(ROLLED_BACK_JOB, workers)
+            submitHeld(JOB_HELD_DURING_ROLLBACK, workers)
             replaceAll(previous)
-            releaseHeld(ROLLED_BACK_JOB)
+            releaseHeld(JOB_HELD_DURING_ROLLBACK)
 
             for (id in submitted + users.flatMap { it.accepted }) cluster.awaitDone(random.nextInt(LoopbackCluster.NODES), id)
         } finally {
@@ -63,7 +63,7 @@
         assertTasksStartedOnce(workers)
     }
 
-    /** Submits a job of one task and waits until a worker runs it; it goes on until [releaseHeld]. */
+    /** Submits a job with one task and waits until a worker starts it. The task runs until [releaseHeld]. */
     private fun submitHeld(id: String, workers: List<SimulatedWorker>) {
         heldJobs += id
         cluster.submit(0, id, tasks = 1)
@@ -72,29 +72,29 @@
     }
 
     private fun releaseHeld(id: String) {
-        for (node in 0 until LoopbackCluster.NODES) assertEquals("running", cluster.awaitAnswer(node, id).jobState)
+        for (node in 0 until LoopbackCluster.NODES) assertEquals("running", cluster.awaitKnown(node, id).jobState)
         heldJobs -= id
         for (node in 0 until LoopbackCluster.NODES) cluster.awaitDone(node, id)
     }
 
-    /** Ends the processes one after the other, the leader's last, and starts [build] in their place. */
+    /** Replaces the processes one after the other, the leader last, by processes that run [build]. */
     private fun replaceAll(build: ControllerBuild) {
         val pending = (0 until LoopbackCluster.NODES).toMutableSet()
         while (pending.isNotEmpty()) {
             val leader = cluster.awaitLeader()
             val node = pending.firstOrNull { it != leader } ?: leader
-            val endedMs = nowMs()
+            val killedMs = nowMs()
             cluster.kill(node)
             cluster.start(node, build)
             cluster.awaitReady(node)
             pending -= node
             val readyMs = nowMs()
             assertEachNodeServes()
-            println("upgrade: n$node runs $build, ready in ${readyMs - endedMs} ms, served after ${nowMs() - readyMs} ms")
+            println("upgrade: n$node runs $build, ready in ${readyMs - killedMs} ms, served after ${nowMs() - readyMs} ms")
         }
     }
 
-    /** A job that one node accepts is done at the next one. */
+    /** Submits a job to each controller and waits until the next controller reports it as done. */
     private fun assertEachNodeServes() {
         val ids = (0 until LoopbackCluster.NODES).associateWith { "j-%06d".format(submitted.size + it) }
         ids.forEach { (node, id) -> cluster.submit(node, id, tasks = 1) }
@@ -111,13 +111,13 @@
 
     private companion object {
         const val SEED = 23
-        const val USER_JOBS = 100_000
+        const val MAX_JOBS_PER_USER = 100_000
         const val USER_PAUSE_MS = 400L
 
-        /** Accepted under the previous build, finished under the present one. */
-        const val UPGRADED_JOB = "j-090001"
+        /** Accepted while the previous build runs, finished while the current build runs. */
+        const val JOB_HELD_DURING_UPGRADE = "j-090001"
 
-        /** Accepted under the present build, finished under the previous one. */
-        const val ROLLED_BACK_JOB = "j-090002"
+        /** Accepted while the current build runs, finished while the previous build runs. */
+        const val JOB_HELD_DURING_ROLLBACK = "j-090002"
     }
 }
