--- a/src/main/kotlin/cleathitch/cli/Application.kt
+++ b/src/main/kotlin/cleathitch/cli/Application.kt
@@ -42,7 +42,7 @@
     private val leaseVertx = newEventLoop()
     private val scope = CoroutineScope(vertx.dispatcher() + SupervisorJob())
     private val leaseScope = CoroutineScope(leaseVertx.dispatcher() + SupervisorJob())
-    private val meters: MeterRegistry = SimpleMeterRegistry()
+    private val meterRegistry: MeterRegistry = SimpleMeterRegistry()
     private val clocks = Clocks()
     private val deployment = settings.deployment
     private val timings = SchedulerTimings.of(deployment, operator.compactionPeriodS)
@@ -71,22 +71,22 @@
     private fun newController() = Controller(
         settings,
         newDependencies(),
-        store = KeyValueStoreClient(vertx, settings.state, storeTimeoutMs, name = "state", meters),
+        store = KeyValueStoreClient(vertx, settings.state, storeTimeoutMs, name = "state", meterRegistry),
         newElection(),
         leaseScope,
-        PeerClient(vertx, meters),
+        PeerClient(vertx, meterRegistry),
         scope,
     )
 
     private fun newDependencies(): LeaderDependencies {
-        val processingTimes = ProcessingTimes(meters)
+        val processingTimes = ProcessingTimes(meterRegistry)
         return LeaderDependencies(
             deployment,
             timings,
             newWorkerClient(),
             newCloudClient(processingTimes),
             clocks,
-            meters,
+            meterRegistry,
             processingTimes,
             // Each queued request occupies a connection, to this controller or to a follower.
             maxQueuedRequests = settings.maxSockets,
@@ -96,27 +96,27 @@
     private fun newWorkerClient() = WorkerClient(
         vertx,
         commandTimeoutMs = deployment.heartbeatPeriodMs,
-        probeTimeoutMs = timings.probeGapMs,
+        probeTimeoutMs = timings.minProbeIntervalMs,
         maxConcurrentCalls = sockets.maxDirectCalls,
-        meters,
+        meterRegistry,
     )
 
     private fun newCloudClient(processingTimes: ProcessingTimes): CloudClient {
-        val rateLimiter = CallRateLimiter(deployment.cloudRps * (operator.cloudShare ?: DEFAULT_CLOUD_SHARE), clocks::steadyMs)
-        return CloudClient(vertx, settings.cloud, rateLimiter, timeoutMs = deployment.heartbeatPeriodMs * 2, processingTimes, meters)
+        val rateLimiter = CallRateLimiter(deployment.cloudCallsPerS * (operator.cloudShare ?: DEFAULT_CLOUD_SHARE), clocks::monotonicMs)
+        return CloudClient(vertx, settings.cloud, rateLimiter, timeoutMs = deployment.heartbeatPeriodMs * 2, processingTimes, meterRegistry)
     }
 
     private fun newElection() = LeaderElection(
-        KeyValueStoreClient(leaseVertx, settings.state, storeTimeoutMs, name = "lease", meters),
+        KeyValueStoreClient(leaseVertx, settings.state, storeTimeoutMs, name = "lease", meterRegistry),
         settings.member,
         UUID.randomUUID().toString(),
         timings.leaderLeaseMs,
         Controller.LEADER_KEY,
-        clocks::steadyMs,
+        clocks::monotonicMs,
     )
 
     private fun internalEndpoint(controller: Controller): HttpEndpoint {
-        val router = InternalRouter(controller.peerRequests, meters)
+        val router = InternalRouter(controller.peerRequests, meterRegistry)
         return newEndpoint(PeerClient.MAX_BODY, sockets.maxInternalConnections, router::handle)
     }
 
@@ -125,7 +125,7 @@
 
     private fun newEndpoint(maxBodyBytes: Int, maxConnections: Int, handle: RequestHandler): HttpEndpoint {
         // Workers send heartbeats and users poll at shorter intervals.
-        val idleTimeoutS = ceil(deployment.reportS * IDLE_HEARTBEAT_PERIODS).toInt()
+        val idleTimeoutS = ceil(deployment.heartbeatPeriodS * IDLE_HEARTBEAT_PERIODS).toInt()
         return HttpEndpoint(vertx, scope, maxBodyBytes, idleTimeoutS, ConnectionLimit(maxConnections), handle)
     }
 
--- a/src/main/kotlin/cleathitch/cli/ClassArchiveTraining.kt
+++ b/src/main/kotlin/cleathitch/cli/ClassArchiveTraining.kt
@@ -39,9 +39,9 @@
 class ClassArchiveTraining : Runnable {
     private val vertx = Vertx.vertx()
     private val scope = CoroutineScope(vertx.dispatcher() + SupervisorJob())
-    private val meters = SimpleMeterRegistry()
-    private val client = PooledHttpClient(vertx, "class-archive-training", maxConnections = 4, meters)
-    private val peers = PeerClient(vertx, meters)
+    private val meterRegistry = SimpleMeterRegistry()
+    private val client = PooledHttpClient(vertx, "class-archive-training", maxConnections = 4, meterRegistry)
+    private val peers = PeerClient(vertx, meterRegistry)
     private var leaderTerm = 0L
 
     override fun run() {
@@ -111,7 +111,7 @@
         val outgoing = OutgoingBatch(batch, listOf(JobId("j-000001")), emptyList())
         val reply = peers.ask(controller, PeerRequest.FollowerBatch.of("n1", outgoing), TIMEOUT_MS).reply ?: return
         leaderTerm = reply.term
-        queue.completeDecided(batch, reply.decisions.orEmpty().map { it.toDecision() }, reply.term, nowMs = 0)
+        queue.completeWithDecisions(batch, reply.decisions.orEmpty().map { it.toDecision() }, reply.term, nowMs = 0)
     }
 
     private fun settings(publicPort: Int, internalPort: Int, platformPort: Int) = """
--- a/src/main/kotlin/cleathitch/cli/InternalRouter.kt
+++ b/src/main/kotlin/cleathitch/cli/InternalRouter.kt
@@ -11,11 +11,11 @@
 import org.slf4j.LoggerFactory
 
 /** Routes requests that arrive at the internal address: those of other controllers, and those for the metrics. */
-internal class InternalRouter(private val peerRequests: PeerRequestHandler, private val meters: MeterRegistry) {
+internal class InternalRouter(private val peerRequests: PeerRequestHandler, private val meterRegistry: MeterRegistry) {
     /** Handles one request. */
     suspend fun handle(method: String, path: String, body: ByteArray): HttpReply = when {
         path == PeerClient.PATH && method == "POST" -> handlePeerRequest(body)
-        path == METRICS_PATH && method == "GET" -> HttpReply(200, MetricsText.text(meters).toByteArray())
+        path == METRICS_PATH && method == "GET" -> HttpReply(200, MetricsText.text(meterRegistry).toByteArray())
         else -> HttpReply(404)
     }
 
--- a/src/main/kotlin/cleathitch/cli/Main.kt
+++ b/src/main/kotlin/cleathitch/cli/Main.kt
@@ -71,7 +71,7 @@
     override fun run() {
         val settings = files.readSettings()
         files.readOperatorSettings()
-        println("${files.config}: ok, member ${settings.member} of ${settings.deployment.nodes}")
+        println("${files.config}: ok, member ${settings.member} of ${settings.deployment.controllerCount}")
     }
 }
 
--- a/src/main/kotlin/cleathitch/cloud/CloudClient.kt
+++ b/src/main/kotlin/cleathitch/cloud/CloudClient.kt
@@ -32,9 +32,9 @@
     private val rateLimiter: CallRateLimiter,
     private val timeoutMs: Long,
     private val processingTimes: ProcessingTimes,
-    meters: MeterRegistry,
+    meterRegistry: MeterRegistry,
 ) {
-    private val client = PooledHttpClient(vertx, "cloud", maxConnections = 4, meters)
+    private val client = PooledHttpClient(vertx, "cloud", maxConnections = 4, meterRegistry)
 
     /** Fetches the machine types that can be rented. */
     suspend fun machineTypes(): ServiceResult<List<MachineType>> =
--- a/src/main/kotlin/cleathitch/config/Settings.kt
+++ b/src/main/kotlin/cleathitch/config/Settings.kt
@@ -88,23 +88,26 @@
                 zones = cluster.texts("zones"),
                 teams = cluster.sections("teams").map(::team).associateBy { it.name },
                 objectives = cluster.sections("objectives").mapNotNull(::objective),
-                reportS = workers.positiveNumber("report_s"),
-                leaseS = workers.positiveNumber("lease_s"),
-                cancelS = workers.positiveNumber("cancel_s"),
-                stateRps = state.positiveNumber("rps"),
-                stateWriteRps = state.positiveNumber("write_rps"),
-                stateValueBytes = (state.positiveNumber("value_kb") * BYTES_PER_KB).toInt(),
-                stateTxnOps = state.positiveNumber("txn_ops").toInt(),
-                cloudRps = cloud.positiveNumber("rps"),
-                listLagS = cloud.nonNegativeNumber("list_lag_s"),
-                nodes = cluster.positiveNumber("initial_size").toInt(),
+                heartbeatPeriodS = workers.positiveNumber("report_s"),
+                workerLeaseS = workers.positiveNumber("lease_s"),
+                cancellationDeadlineS = workers.positiveNumber("cancel_s"),
+                storeRequestsPerS = state.positiveNumber("rps"),
+                storeWritesPerS = state.positiveNumber("write_rps"),
+                maxStoredValueBytes = (state.positiveNumber("value_kb") * BYTES_PER_KB).toInt(),
+                maxTransactionOps = state.positiveNumber("txn_ops").toInt(),
+                cloudCallsPerS = cloud.positiveNumber("rps"),
+                machineListLagS = cloud.nonNegativeNumber("list_lag_s"),
+                controllerCount = cluster.positiveNumber("initial_size").toInt(),
             )
             // A cancelled task on an unreachable machine ends only when the machine's lease expires, which must be within cancel_s.
-            if (deployment.cancelS <= deployment.leaseS) {
-                workers.fail("cancel_s", "must be longer than lease_s (${deployment.leaseS}), but is ${deployment.cancelS}")
+            if (deployment.cancellationDeadlineS <= deployment.workerLeaseS) {
+                workers.fail(
+                    "cancel_s",
+                    "must be longer than lease_s (${deployment.workerLeaseS}), but is ${deployment.cancellationDeadlineS}",
+                )
             }
-            if (deployment.stateTxnOps < MIN_TRANSACTION_OPERATIONS) {
-                state.fail("txn_ops", "must be at least $MIN_TRANSACTION_OPERATIONS, but is ${deployment.stateTxnOps}")
+            if (deployment.maxTransactionOps < MIN_TRANSACTION_OPERATIONS) {
+                state.fail("txn_ops", "must be at least $MIN_TRANSACTION_OPERATIONS, but is ${deployment.maxTransactionOps}")
             }
             return deployment
         }
@@ -119,8 +122,8 @@
         )
 
         private fun objective(section: SettingsSection): Objective? = when (section.text("kind")) {
-            "finished" -> Objective.Finished(section.text("class"), section.positiveNumber("within_s"), section.positiveNumber("share"))
-            "wait" -> Objective.Wait(section.text("class"), section.positiveNumber("within_s"), section.positiveNumber("share"))
+            "finished" -> Objective.Completion(section.text("class"), section.positiveNumber("within_s"), section.positiveNumber("share"))
+            "wait" -> Objective.StartDelay(section.text("class"), section.positiveNumber("within_s"), section.positiveNumber("share"))
             "guarantee" -> Objective.Guarantee(section.positiveNumber("within_s"), section.positiveNumber("share"))
             // A kind that this version doesn't know is ignored.
             else -> null
--- a/src/main/kotlin/cleathitch/controller/Controller.kt
+++ b/src/main/kotlin/cleathitch/controller/Controller.kt
@@ -33,7 +33,7 @@
     private val scope: CoroutineScope,
 ) {
     private val member = settings.member
-    private val steadyMs = dependencies.clocks::steadyMs
+    private val monotonicMs = dependencies.clocks::monotonicMs
     private val processingTimes = dependencies.processingTimes
     private val heartbeatPeriodMs = settings.deployment.heartbeatPeriodMs
     private val leaderLeaseMs = dependencies.timings.leaderLeaseMs
@@ -41,14 +41,14 @@
 
     private val machineTypes = MachineTypeDiscovery(dependencies.cloud, retryMs = heartbeatPeriodMs / 3)
     private val imageCacheHints = ImageCacheHintSharing(settings.peers, peers, processingTimes, timeoutMs = heartbeatPeriodMs / 3, scope)
-    private val contacts = FollowerContacts(steadyMs, reachableMs = leaderLeaseMs)
-    private val role = ControllerRole(member, steadyMs, scope, dependencies.meters, ::newTerm)
+    private val contacts = FollowerContacts(monotonicMs, reachableMs = leaderLeaseMs)
+    private val role = ControllerRole(member, monotonicMs, scope, dependencies.meterRegistry, ::newTerm)
     private val announcer = LeaderAnnouncer(member, settings.peers, peers, role, contacts, leaderLeaseMs, scope)
     private val processingTimesLog = ProcessingTimesLog(role, processingTimes, periodMs = heartbeatPeriodMs * LOG_PERIOD_HEARTBEATS)
     private val batches = LeaderBatcher(
         intervalMs = dependencies.timings.forwardIntervalMs,
         unreachableMs = leaderLeaseMs,
-        nowMs = steadyMs,
+        nowMs = monotonicMs,
         leader = role::knownLeader,
         send = BatchForwarder(member, peerAddresses, peers, role, processingTimes)::send,
     )
@@ -56,8 +56,8 @@
 
     /** Answers the requests of the load balancer, users and workers. */
     val requests = RequestRouter(
-        Readiness(role, contacts, settings.peers.size, leaderLeaseMs, steadyMs),
-        HeartbeatRouter(member, role, contacts, batches, WorkerDistribution(heartbeatPeriodMs), processingTimes, steadyMs),
+        Readiness(role, contacts, settings.peers.size, leaderLeaseMs, monotonicMs),
+        HeartbeatRouter(member, role, contacts, batches, WorkerDistribution(heartbeatPeriodMs), processingTimes, monotonicMs),
         userRequests,
     )
 
@@ -90,10 +90,10 @@
         return LeaderTerm(
             lease,
             dependencies,
-            LogStorage(store, LOG_KEY_PREFIX, LEADER_KEY, term, processingTimes, steadyMs),
+            LogStorage(store, LOG_KEY_PREFIX, LEADER_KEY, term, processingTimes, monotonicMs),
             machineTypes.machineTypes,
             imageCacheHints.snapshot(),
-            newDelivery = { enqueue -> WorkerCommandDelivery(routes, resultTimeoutMs = heartbeatPeriodMs, steadyMs, enqueue) },
+            newDelivery = { enqueue -> WorkerCommandDelivery(routes, resultTimeoutMs = heartbeatPeriodMs, monotonicMs, enqueue) },
             imageCacheHints::share,
             stepDown,
         )
--- a/src/main/kotlin/cleathitch/controller/ControllerRole.kt
+++ b/src/main/kotlin/cleathitch/controller/ControllerRole.kt
@@ -22,13 +22,13 @@
  */
 internal class ControllerRole(
     private val member: String,
-    private val steadyMs: () -> Long,
+    private val monotonicMs: () -> Long,
     private val scope: CoroutineScope,
-    meters: MeterRegistry,
+    meterRegistry: MeterRegistry,
     private val newTerm: (LeaderLease, stepDown: (Effect.StepDown) -> Unit) -> LeaderTerm,
 ) : ElectionListener {
-    private val elections = meters.counter("leader.elections")
-    private val replays = meters.counter("leader.replays")
+    private val elections = meterRegistry.counter("leader.elections")
+    private val replays = meterRegistry.counter("leader.replays")
     private val leaderFound = CompletableDeferred<Unit>()
     private var activeTermJob: Job? = null
 
@@ -49,7 +49,7 @@
         private set
 
     init {
-        meters.gauge("leader.term", this) { (it.activeTerm?.revision ?: 0).toDouble() }
+        meterRegistry.gauge("leader.term", this) { (it.activeTerm?.revision ?: 0).toDouble() }
     }
 
     /** The leader to which requests are forwarded; null if none is known or if this controller is the leader. */
@@ -62,7 +62,7 @@
 
     // The election runs on its own event loop; its results are handled on the controller's.
     override fun onElected(lease: LeaderLease) = post { startTerm(lease) }
-    override fun onDeposed(lease: LeaderLease, reason: TermEndReason) = post { stepDown(lease.term, reason.toString()) }
+    override fun onTermEnded(lease: LeaderLease, reason: TermEndReason) = post { stepDown(lease.term, reason.toString()) }
     override fun onLeaderObserved(member: String?, term: Long) = post { updateObservedLeader(member, term) }
 
     private fun post(action: () -> Unit) {
@@ -93,8 +93,8 @@
             "term={} event=stepped_down reason={} after_ms={} {}",
             term.revision,
             logValue(reason),
-            steadyMs() - ended.electedAtMs,
-            ended.activity,
+            monotonicMs() - ended.electedAtMs,
+            ended.describePhase(),
         )
         activeTerm = null
         if (leader == member) leader = null
@@ -115,7 +115,7 @@
         if (member != leader) {
             log.info("event=leader_changed leader={} term={} source=key", member ?: "none", term)
             // A new leader announces itself only after its log replay; until then it is assumed to be alive.
-            if (member != null) lastLeaderContactMs = steadyMs()
+            if (member != null) lastLeaderContactMs = monotonicMs()
         }
         leader = member
         leaderTerm = term
@@ -130,7 +130,7 @@
         if (leader != from) log.info("event=leader_changed leader={} term={} source=announcement", from, term)
         leader = from
         leaderTerm = term
-        lastLeaderContactMs = steadyMs()
+        lastLeaderContactMs = monotonicMs()
     }
 
     private companion object {
--- a/src/main/kotlin/cleathitch/controller/HeartbeatRouter.kt
+++ b/src/main/kotlin/cleathitch/controller/HeartbeatRouter.kt
@@ -26,7 +26,7 @@
     private val batches: LeaderBatcher,
     private val distribution: WorkerDistribution,
     private val processingTimes: ProcessingTimes,
-    private val steadyMs: () -> Long,
+    private val monotonicMs: () -> Long,
 ) {
     /** Answers the heartbeat in the request body [body]. */
     suspend fun handle(body: ByteArray): HttpReply {
@@ -43,7 +43,7 @@
     }
 
     private suspend fun answer(term: LeaderTerm, heartbeat: Heartbeat): HttpReply {
-        val follower = distribution.followerFor(heartbeat.machine, contacts.reachableFollowers(), steadyMs())
+        val follower = distribution.followerFor(heartbeat.machine, contacts.reachableFollowers(), monotonicMs())
         if (follower != null) return redirectTo(follower)
         return when (val outcome = term.requests.heartbeat(heartbeat)) {
             is RequestOutcome.Answered -> HttpReply(200, WorkerProtocol.answer(outcome.answer.token, outcome.answer.commands))
--- a/src/main/kotlin/cleathitch/controller/Readiness.kt
+++ b/src/main/kotlin/cleathitch/controller/Readiness.kt
@@ -12,19 +12,19 @@
     private val contacts: FollowerContacts,
     private val peerCount: Int,
     private val leaderLeaseMs: Long,
-    private val steadyMs: () -> Long,
+    private val monotonicMs: () -> Long,
 ) {
     /** The result of the load balancer's readiness check. */
     fun isReady(): Boolean = role.activeTerm?.let(::isReadyAsLeader) ?: isReadyAsFollower()
 
     private fun isReadyAsLeader(term: LeaderTerm): Boolean {
-        val now = steadyMs()
+        val now = monotonicMs()
         if (!term.isReady) return now - term.electedAtMs < leaderLeaseMs
         return now < term.lease.validUntilMs + leaderLeaseMs || contacts.reachableFollowers().size * 2 >= peerCount
     }
 
     private fun isReadyAsFollower(): Boolean {
-        val silentMs = steadyMs() - (role.lastLeaderContactMs ?: return false)
+        val silentMs = monotonicMs() - (role.lastLeaderContactMs ?: return false)
         // The leader's key expires with its lease. While the key exists, the leader is alive, but slow or cut off by a partition.
         return silentMs < leaderLeaseMs * if (role.leader == null) ELECTION_LEASES else LEADER_SILENCE_LEASES
     }
--- a/src/main/kotlin/cleathitch/election/ElectionListener.kt
+++ b/src/main/kotlin/cleathitch/election/ElectionListener.kt
@@ -6,7 +6,7 @@
     fun onElected(lease: LeaderLease)
 
     /** This controller no longer leads the term of [lease], for [reason]. */
-    fun onDeposed(lease: LeaderLease, reason: TermEndReason)
+    fun onTermEnded(lease: LeaderLease, reason: TermEndReason)
 
     /**
      * Another controller, [member], leads in [term]. If [member] is null there is no leader, or the leader's record is malformed;
--- a/src/main/kotlin/cleathitch/election/LeaderElection.kt
+++ b/src/main/kotlin/cleathitch/election/LeaderElection.kt
@@ -21,7 +21,7 @@
  *
  * @param incarnation distinguishes this process from earlier processes of the same [member]
  * @param ttlMs the lease's time to live, that is, how long it lasts without renewal
- * @param steadyMs the monotonic clock, in milliseconds
+ * @param monotonicMs the monotonic clock, in milliseconds
  */
 class LeaderElection(
     private val store: KeyValueStoreClient,
@@ -29,7 +29,7 @@
     private val incarnation: String,
     private val ttlMs: Long,
     private val leaderKey: String,
-    private val steadyMs: () -> Long,
+    private val monotonicMs: () -> Long,
 ) {
     /** No campaign starts before this time; set when leadership is handed over to another controller. */
     private var noCampaignBeforeMs = 0L
@@ -67,7 +67,7 @@
 
     private suspend fun onLeaderKeyAbsent(revision: Long, listener: ElectionListener) {
         listener.onLeaderObserved(null, revision)
-        if (steadyMs() < noCampaignBeforeMs) delayBeforeRetry() else campaign(listener)
+        if (monotonicMs() < noCampaignBeforeMs) delayBeforeRetry() else campaign(listener)
     }
 
     /**
@@ -75,7 +75,7 @@
      * zero if the process was paused, so the lease is renewed first and its validity counted from that renewal, not from the read.
      */
     private suspend fun resumeTerm(entry: KeyValueStoreProtocol.Entry, leader: LeaderRecord, listener: ElectionListener) {
-        val sentAtMs = steadyMs()
+        val sentAtMs = monotonicMs()
         when (store.renewLease(leader.lease)) {
             LeaseRenewal.Renewed -> lead(listener, Term(entry.revision), leader.lease, sentAtMs)
             LeaseRenewal.Expired, is LeaseRenewal.Unknown -> delayBeforeRetry()
@@ -95,7 +95,7 @@
     private suspend fun delayBeforeRetry() = delay(ttlMs / RETRIES_PER_TTL)
 
     private suspend fun campaign(listener: ElectionListener) {
-        val sentAtMs = steadyMs()
+        val sentAtMs = monotonicMs()
         val lease = when (val granted = store.grantLease(ttlMs)) {
             is ServiceResult.Success -> granted.value
             is ServiceResult.Failure -> return delayBeforeRetry()
@@ -117,7 +117,7 @@
     /** Leads [term] under the lease [leaseId] until the term ends. */
     private suspend fun lead(listener: ElectionListener, term: Term, leaseId: Long, renewalSentAtMs: Long) {
         lastLedTerm = term.revision
-        val lease = LeaderLease(term, validUntilMs(renewalSentAtMs), electedAtMs = steadyMs())
+        val lease = LeaderLease(term, validUntilMs(renewalSentAtMs), electedAtMs = monotonicMs())
         listener.onElected(lease)
         while (true) {
             delay(ttlMs / RENEWALS_PER_TTL)
@@ -129,8 +129,8 @@
 
     private suspend fun endedByResignation(lease: LeaderLease, leaseId: Long, listener: ElectionListener): Boolean {
         val resignation = lease.resignation ?: return false
-        if (resignation.transferLeadership) noCampaignBeforeMs = steadyMs() + ttlMs * TRANSFER_COOLDOWN_TTLS
-        listener.onDeposed(lease, TermEndReason.Resigned(resignation.reason))
+        if (resignation.transferLeadership) noCampaignBeforeMs = monotonicMs() + ttlMs * TRANSFER_COOLDOWN_TTLS
+        listener.onTermEnded(lease, TermEndReason.Resigned(resignation.reason))
         store.revokeLease(leaseId)
         return true
     }
@@ -140,22 +140,22 @@
      * loop may be in the middle of sending a reply, which it is allowed to do until the lease's validity ends by its clock.
      */
     private suspend fun endedByStall(lease: LeaderLease, listener: ElectionListener): Boolean {
-        if (steadyMs() - lease.lastProgressMs <= ttlMs * STALL_TIMEOUT_TTLS) return false
-        listener.onDeposed(lease, TermEndReason.Stalled)
+        if (monotonicMs() - lease.lastProgressMs <= ttlMs * STALL_TIMEOUT_TTLS) return false
+        listener.onTermEnded(lease, TermEndReason.Stalled)
         delay(ttlMs)
         return true
     }
 
     /** Renews the lease, and ends the term if the lease no longer exists in the store. */
     private suspend fun endedByExpiry(lease: LeaderLease, leaseId: Long, listener: ElectionListener): Boolean {
-        val sentAtMs = steadyMs()
+        val sentAtMs = monotonicMs()
         when (val renewal = store.renewLease(leaseId)) {
             LeaseRenewal.Renewed -> lease.recordRenewal(validUntilMs(sentAtMs))
             LeaseRenewal.Expired -> {
-                listener.onDeposed(lease, TermEndReason.LeaseExpired)
+                listener.onTermEnded(lease, TermEndReason.LeaseExpired)
                 return true
             }
-            is LeaseRenewal.Unknown -> if (steadyMs() > lease.validUntilMs) {
+            is LeaseRenewal.Unknown -> if (monotonicMs() > lease.validUntilMs) {
                 log.info("term={} event=lease_renewal_unknown failure=\"{}\"", lease.term.revision, renewal.failure)
             }
         }
--- a/src/main/kotlin/cleathitch/http/ClientMeters.kt
+++ b/src/main/kotlin/cleathitch/http/ClientMeters.kt
@@ -9,15 +9,15 @@
  * The meters of one HTTP client: its calls by outcome, the calls that wait for a connection, and the connections in use.
  * Updated on the client's event loop; the two gauges may be read from any thread.
  */
-internal class ClientMeters(private val client: String, private val meters: MeterRegistry) {
+internal class ClientMeters(private val client: String, private val meterRegistry: MeterRegistry) {
     private val waiting = AtomicInteger()
     private val inUse = AtomicInteger()
     private val calls = HashMap<String, Counter>()
 
     init {
         val tags = Tags.of("client", client)
-        meters.gauge("http.client.waiting", tags, waiting)
-        meters.gauge("http.client.in_use", tags, inUse)
+        meterRegistry.gauge("http.client.waiting", tags, waiting)
+        meterRegistry.gauge("http.client.in_use", tags, inUse)
     }
 
     /** Records that a call has requested a connection from the pool. */
@@ -39,6 +39,6 @@
     /** Records the outcome of a call that has ended. */
     fun recordCall(outcome: CallOutcome) {
         val tag = outcome.metricTag
-        calls.getOrPut(tag) { meters.counter("http.client.calls", "client", client, "outcome", tag) }.increment()
+        calls.getOrPut(tag) { meterRegistry.counter("http.client.calls", "client", client, "outcome", tag) }.increment()
     }
 }
--- a/src/main/kotlin/cleathitch/http/PooledHttpClient.kt
+++ b/src/main/kotlin/cleathitch/http/PooledHttpClient.kt
@@ -25,7 +25,7 @@
     vertx: Vertx,
     name: String,
     maxConnections: Int,
-    private val meters: MeterRegistry,
+    private val meterRegistry: MeterRegistry,
     private val connectTimeoutMs: Int = DEFAULT_CONNECT_TIMEOUT_MS,
     keepAlive: Boolean = true,
     logsOutages: Boolean = true,
@@ -34,8 +34,8 @@
         .with(clientOptions(keepAlive))
         .with(PoolOptions().setHttp1MaxSize(maxConnections))
         .build()
-    private val clientMeters = ClientMeters(name, meters)
-    private val outages = if (logsOutages) OutageLog(name, ::steadyMs) else null
+    private val clientMeters = ClientMeters(name, meterRegistry)
+    private val outages = if (logsOutages) OutageLog(name, ::monotonicMs) else null
 
     /** Sends a request and waits for the complete response. [timeoutMs] bounds the whole call, including the wait for a connection. */
     suspend fun call(server: Address, method: HttpMethod, path: String, body: ByteArray?, timeoutMs: Long): CallResult {
@@ -94,7 +94,7 @@
         .setConnectTimeout(connectTimeoutMs.toLong())
 
     /** Reads the registry's clock, which is the system's unless a test replaces it. */
-    private fun steadyMs() = TimeUnit.NANOSECONDS.toMillis(meters.config().clock().monotonicTime())
+    private fun monotonicMs() = TimeUnit.NANOSECONDS.toMillis(meterRegistry.config().clock().monotonicTime())
 
     private companion object {
         const val DEFAULT_CONNECT_TIMEOUT_MS = 1000
--- a/src/main/kotlin/cleathitch/leader/Clocks.kt
+++ b/src/main/kotlin/cleathitch/leader/Clocks.kt
@@ -9,8 +9,8 @@
  */
 class Clocks {
     /** The monotonic clock in milliseconds; its readings are comparable only within this process. */
-    fun steadyMs() = TimeUnit.NANOSECONDS.toMillis(System.nanoTime())
+    fun monotonicMs() = TimeUnit.NANOSECONDS.toMillis(System.nanoTime())
 
     /** A reading of the monotonic clock and the wall clock, taken together. */
-    fun clockReading() = ClockReading(steadyMs(), System.currentTimeMillis())
+    fun clockReading() = ClockReading(monotonicMs(), System.currentTimeMillis())
 }
--- a/src/main/kotlin/cleathitch/leader/DeploymentPeriods.kt
+++ b/src/main/kotlin/cleathitch/leader/DeploymentPeriods.kt
@@ -5,12 +5,12 @@
 // The deployment's periods in milliseconds, the unit of clocks, timers and timeouts.
 
 /** The interval between two heartbeats of a worker. */
-val Deployment.heartbeatPeriodMs get() = toMs(reportS)
+val Deployment.heartbeatPeriodMs get() = toMs(heartbeatPeriodS)
 
 /** How long a worker's lease is valid after its last renewal. */
-val Deployment.workerLeaseMs get() = toMs(leaseS)
+val Deployment.workerLeaseMs get() = toMs(workerLeaseS)
 
 /** How far the cloud's list of machines may lag behind its actual state. */
-val Deployment.listLagMs get() = toMs(listLagS)
+val Deployment.listLagMs get() = toMs(machineListLagS)
 
 private fun toMs(seconds: Double) = (seconds * 1000).toLong()
--- a/src/main/kotlin/cleathitch/leader/EffectExecutor.kt
+++ b/src/main/kotlin/cleathitch/leader/EffectExecutor.kt
@@ -17,7 +17,7 @@
 
 /**
  * Executes the scheduler's effects and returns their results to it as inputs through [enqueue]. Runs on the event loop; the
- * coroutines that it launches belong to [scope] and are cancelled at the end of the term. [steadyMs] is the monotonic clock.
+ * coroutines that it launches belong to [scope] and are cancelled at the end of the term. [monotonicMs] is the monotonic clock.
  */
 // Each parameter is the target of one kind of effect; grouping them would only add types without a meaning of their own.
 @Suppress("LongParameterList")
@@ -28,7 +28,7 @@
     private val cloud: CloudClient,
     private val delivery: WorkerCommandDelivery,
     private val requests: TermRequests,
-    private val steadyMs: () -> Long,
+    private val monotonicMs: () -> Long,
     private val enqueue: (Input) -> Unit,
     private val shareImageCacheHints: (Map<MachineId, ImageCache>) -> Unit,
     private val stepDown: (Effect.StepDown) -> Unit,
@@ -60,7 +60,7 @@
      * Whether a reply to a user may be sent. After the scheduler decided on the reply, the process may have been paused for longer
      * than the lease; another controller may lead by now, and the reply could contradict its replies.
      */
-    private fun isLeaseValid() = steadyMs() < lease.validUntilMs
+    private fun isLeaseValid() = monotonicMs() < lease.validUntilMs
 
     private fun withValidStatuses(answer: Effect.AnswerFollower): Effect.AnswerFollower =
         if (isLeaseValid()) answer else answer.copy(statuses = answer.statuses.map { NO_LEASE })
--- a/src/main/kotlin/cleathitch/leader/LeaderDependencies.kt
+++ b/src/main/kotlin/cleathitch/leader/LeaderDependencies.kt
@@ -14,7 +14,7 @@
     val workers: WorkerClient,
     val cloud: CloudClient,
     val clocks: Clocks,
-    val meters: MeterRegistry,
+    val meterRegistry: MeterRegistry,
     val processingTimes: ProcessingTimes,
 
     /** The maximum number of requests queued for the scheduler; further requests are refused immediately. */
--- a/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
+++ b/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
@@ -47,7 +47,7 @@
     private val cloudPolling = CloudPolling(dependencies.cloud, dependencies.deployment, ::enqueue)
 
     /** The requests that are answered by the scheduler during this term. */
-    val requests = TermRequests(queue, clocks::steadyMs, wakeUp = { wakeUp.trySend(Unit) })
+    val requests = TermRequests(queue, clocks::monotonicMs, wakeUp = { wakeUp.trySend(Unit) })
 
     val term get() = lease.term
 
@@ -55,17 +55,16 @@
     val revision get() = term.revision
 
     /** When this term began, by the monotonic clock. */
-    val electedAtMs = clocks.steadyMs()
+    val electedAtMs = clocks.monotonicMs()
 
     /** Whether requests are answered: the log has been replayed and the term has not ended. */
     val isReady get() = requests.isOpen
 
     /** The term's current phase and its details, as key-value pairs for a log line. */
-    val activity: String
-        get() = when {
-            isReady -> "phase=leading queued_requests=${queue.queuedRequests}"
-            else -> "phase=recovering storage=${logValue(storage.loadProgress.toString())}"
-        }
+    fun describePhase(): String = when {
+        isReady -> "phase=leading queued_requests=${queue.queuedRequests}"
+        else -> "phase=recovering storage=${logValue(storage.loadProgress.toString())}"
+    }
 
     /** Records the workers' answers to commands that a follower delivered. */
     fun recordDeliveryResults(results: List<DeliveryResultMessage>) = delivery.onDeliveryResults(results)
@@ -85,12 +84,12 @@
             dependencies.cloud,
             delivery,
             requests,
-            clocks::steadyMs,
+            clocks::monotonicMs,
             ::enqueue,
             shareImageCacheHints,
             stepDown,
         )
-        val batchSizes = dependencies.meters.summary("scheduler.batch")
+        val batchSizes = dependencies.meterRegistry.summary("scheduler.batch")
         while (true) {
             wakeUp.receive()
             while (!queue.isEmpty) {
@@ -104,7 +103,7 @@
     }
 
     private suspend fun recover(onRecovered: () -> Unit): Scheduler {
-        val startMs = clocks.steadyMs()
+        val startMs = clocks.monotonicMs()
         val recovered = storage.load()
         val scheduler = newScheduler(recovered)
         if (initialMachineTypes.isNotEmpty()) enqueue(Input.MachineTypesListed(initialMachineTypes))
@@ -114,8 +113,8 @@
         log.info(
             "term={} event=recovered duration_ms={} jobs_open={} records={}",
             revision,
-            clocks.steadyMs() - startMs,
-            scheduler.openJobs,
+            clocks.monotonicMs() - startMs,
+            scheduler.openJobCount,
             recovered.records.size,
         )
         return scheduler
@@ -137,7 +136,7 @@
 
     /** The next batch of inputs, which always includes the current expiry time of the lease. */
     private fun nextBatch(): List<Input> {
-        lease.recordProgress(clocks.steadyMs())
+        lease.recordProgress(clocks.monotonicMs())
         enqueue(Input.LeaseRenewed(lease.validUntilMs))
         return queue.nextBatch(requests::isAwaited)
     }
@@ -158,7 +157,7 @@
 
     private suspend fun tick() {
         while (true) {
-            delay(dependencies.timings.roundMs)
+            delay(dependencies.timings.roundPeriodMs)
             requests.expire()
             enqueue(Input.Tick)
         }
--- a/src/main/kotlin/cleathitch/leader/PendingRequests.kt
+++ b/src/main/kotlin/cleathitch/leader/PendingRequests.kt
@@ -9,7 +9,7 @@
  * Requests are timed out by [expire], which the term's periodic tick calls. A timer for each request would cost a tenth of the
  * work of handling a heartbeat.
  */
-internal class PendingRequests<T>(private val steadyMs: () -> Long) {
+internal class PendingRequests<T>(private val monotonicMs: () -> Long) {
     private class Pending<T>(val sinceMs: Long) {
         val outcome = CompletableDeferred<RequestOutcome<T>>()
     }
@@ -23,7 +23,7 @@
      * because [onRegistered] may run the scheduler immediately.
      */
     suspend fun await(request: RequestId, onRegistered: () -> Unit): RequestOutcome<T> {
-        val entry = Pending<T>(steadyMs())
+        val entry = Pending<T>(monotonicMs())
         pending[request] = entry
         onRegistered()
         return try {
@@ -45,7 +45,7 @@
 
     /** Times out the requests that have been pending for [timeoutMs] or longer. */
     fun expire(timeoutMs: Long) {
-        val newestExpiredMs = steadyMs() - timeoutMs
+        val newestExpiredMs = monotonicMs() - timeoutMs
         pending.values.takeWhile { it.sinceMs <= newestExpiredMs }
             .forEach { it.outcome.complete(RequestOutcome.Unanswered(UnansweredReason.TIMED_OUT)) }
     }
--- a/src/main/kotlin/cleathitch/leader/TermRequests.kt
+++ b/src/main/kotlin/cleathitch/leader/TermRequests.kt
@@ -13,12 +13,12 @@
  * The requests of users, workers and followers during one term: enqueues them in [queue] and keeps track of those that await the
  * scheduler's answer. Confined to the event loop.
  *
- * [wakeUp] makes the term's loop process the queue; [steadyMs] is the monotonic clock.
+ * [wakeUp] makes the term's loop process the queue; [monotonicMs] is the monotonic clock.
  */
-class TermRequests internal constructor(private val queue: InputQueue, steadyMs: () -> Long, private val wakeUp: () -> Unit) {
-    internal val userRequests = PendingRequests<UserReply>(steadyMs)
-    internal val heartbeats = PendingRequests<Effect.AnswerHeartbeat>(steadyMs)
-    internal val followerBatches = PendingRequests<Effect.AnswerFollower>(steadyMs)
+class TermRequests internal constructor(private val queue: InputQueue, monotonicMs: () -> Long, private val wakeUp: () -> Unit) {
+    internal val userRequests = PendingRequests<UserReply>(monotonicMs)
+    internal val heartbeats = PendingRequests<Effect.AnswerHeartbeat>(monotonicMs)
+    internal val followerBatches = PendingRequests<Effect.AnswerFollower>(monotonicMs)
     private var lastRequest = 0L
 
     /** Whether requests are accepted, which is from the end of the log replay to the end of the term. */
--- a/src/main/kotlin/cleathitch/metrics/MetricsText.kt
+++ b/src/main/kotlin/cleathitch/metrics/MetricsText.kt
@@ -7,7 +7,7 @@
 /** Formats metrics as text with one line per measurement: name and statistic, tags, value. */
 object MetricsText {
     /** Formats the current values of all meters, ordered by name. */
-    fun text(meters: MeterRegistry): String = meters.meters.sortedBy { it.id.name }.joinToString("", transform = ::lines)
+    fun text(meterRegistry: MeterRegistry): String = meterRegistry.meters.sortedBy { it.id.name }.joinToString("", transform = ::lines)
 
     private fun lines(meter: Meter): String = meter.measure().joinToString("") { line(meter.id, it) }
 
--- a/src/main/kotlin/cleathitch/metrics/ProcessingTimes.kt
+++ b/src/main/kotlin/cleathitch/metrics/ProcessingTimes.kt
@@ -11,8 +11,8 @@
  * The longest single run matters as much as the total: on a machine with a tenth of a core, 30 ms of CPU time delay every
  * request by about a third of a second.
  */
-class ProcessingTimes(meters: MeterRegistry) {
-    private val stages = ProcessingStage.entries.associateWith { StageTimes(meters.timer("processing", "stage", it.label)) }
+class ProcessingTimes(meterRegistry: MeterRegistry) {
+    private val stages = ProcessingStage.entries.associateWith { StageTimes(meterRegistry.timer("processing", "stage", it.label)) }
 
     /** Runs [work] and records its duration for [stage]. */
     fun <T> measure(stage: ProcessingStage, work: () -> T): T {
--- a/src/main/kotlin/cleathitch/peers/JobStatusMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/JobStatusMessage.kt
@@ -42,7 +42,7 @@
         Kind.DONE -> UserReply.Status(job, JobState.DONE, done, running)
         Kind.CANCELLED -> UserReply.Status(job, JobState.CANCELLED, done, running)
         Kind.NOT_FOUND -> UserReply.NotFound
-        Kind.UNAVAILABLE -> UserReply.Unavailable("the leader can't tell now")
+        Kind.UNAVAILABLE -> UserReply.Unavailable("the leader can't report the job's state at present")
     }
 
     companion object {
--- a/src/main/kotlin/cleathitch/peers/LeaderBatcher.kt
+++ b/src/main/kotlin/cleathitch/peers/LeaderBatcher.kt
@@ -99,7 +99,7 @@
     /** Completes [batch] with [answer], or as unanswered if the leader has changed since. */
     private fun complete(batch: OutgoingBatch, answer: BatchResult.Answered, term: Long) {
         val currentTerm = leader()?.term
-        heartbeats.completeDecided(batch.heartbeats, answer.decisions, currentTerm, nowMs())
+        heartbeats.completeWithDecisions(batch.heartbeats, answer.decisions, currentTerm, nowMs())
         polls.completeAnswered(batch.polls, if (currentTerm == term) answer.statuses else emptyList(), nowMs())
     }
 
--- a/src/main/kotlin/cleathitch/peers/PeerClient.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerClient.kt
@@ -12,8 +12,9 @@
 import org.slf4j.LoggerFactory
 
 /** Sends requests to other controllers. Failures are returned, not thrown. Confined to the event loop of its `vertx`. */
-class PeerClient(vertx: Vertx, meters: MeterRegistry) {
-    private val client = PooledHttpClient(vertx, "peers", maxConnections = CONNECTIONS, meters, connectTimeoutMs = CONNECT_TIMEOUT_MS)
+class PeerClient(vertx: Vertx, meterRegistry: MeterRegistry) {
+    private val client =
+        PooledHttpClient(vertx, "peers", maxConnections = CONNECTIONS, meterRegistry, connectTimeoutMs = CONNECT_TIMEOUT_MS)
 
     /** Sends [request] and waits for the answer, for at most [timeoutMs]. */
     suspend fun ask(peer: Address, request: PeerRequest, timeoutMs: Long): PeerResult = ask(peer, PeerCodec.encode(request), timeoutMs)
--- a/src/main/kotlin/cleathitch/protocol/KeyValueStoreProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/KeyValueStoreProtocol.kt
@@ -15,7 +15,7 @@
     class Page(val entries: List<Entry>, val more: Boolean, val revision: Long)
 
     /** The result of a watch: the keys that were written or deleted up to [revision]. */
-    class Watched(val revision: Long, val changes: List<String>)
+    class WatchResult(val revision: Long, val changes: List<String>)
 
     /** One change of a transaction. */
     sealed interface Write {
@@ -48,9 +48,9 @@
     fun errorText(body: ByteArray): String? = MessageCodec.decodeMap(body).optionalText("error")
 
     /** Decodes the response to a watch. */
-    fun watched(body: ByteArray): Watched {
+    fun watchResult(body: ByteArray): WatchResult {
         val map = MessageCodec.decodeMap(body)
-        return Watched(
+        return WatchResult(
             map.requiredLong("asiento"),
             map.requiredList("log").mapNotNull {
                 it.optionalText("put") ?: it.optionalText("delete")
--- a/src/main/kotlin/cleathitch/scheduler/LogWriter.kt
+++ b/src/main/kotlin/cleathitch/scheduler/LogWriter.kt
@@ -28,19 +28,19 @@
     private val inventory: Inventory,
     start: ClockReading,
 ) {
-    private val budget = WriteBudget(deployment.stateWriteRps * WRITE_SHARE, start.steadyMs)
+    private val budget = WriteBudget(deployment.storeWritesPerS * WRITE_SHARE, start.monotonicMs)
 
     /** When the commit in flight was emitted, null if none is in flight. */
     private var inFlightSinceMs: Long? = null
     private var lastWriteMs = 0L
-    private var lastCompactionMs = start.steadyMs
+    private var lastCompactionMs = start.monotonicMs
 
     /** Whether a reply or a command waits for a queued event; its commit then doesn't wait for the next round. */
     private var isUrgent = false
     private var isCompacting = false
 
     /** Whether the commit in flight has been unanswered for longer than [SchedulerTimings.commitStallMs]. */
-    fun isStalled(): Boolean = inFlightSinceMs?.let { context.now.steadyMs - it > timings.commitStallMs } == true
+    fun isCommitStalled(): Boolean = inFlightSinceMs?.let { context.now.monotonicMs - it > timings.commitStallMs } == true
 
     /** Applies [event] in memory and queues it for the next commit; returns the index of the record that will contain it. */
     fun append(event: Event): LogIndex {
@@ -59,15 +59,15 @@
      */
     fun write() {
         if (!decisionLog.isIdle) return
-        val nowMs = context.now.steadyMs
-        if (nowMs - lastCompactionMs >= timings.compactionMs) {
+        val nowMs = context.now.monotonicMs
+        if (nowMs - lastCompactionMs >= timings.compactionPeriodMs) {
             lastCompactionMs = nowMs
             isCompacting = true
         }
         val allowed = budget.available(nowMs)
-        val compactionChanges = if (isCompacting) minOf(deployment.stateTxnOps / 2, allowed - budget.burst / 2) else 0
+        val compactionChanges = if (isCompacting) minOf(deployment.maxTransactionOps / 2, allowed - budget.burst / 2) else 0
         val mayCompact = compactionChanges >= MIN_COMPACTION_CHANGES
-        val isDue = isUrgent || nowMs - lastWriteMs >= timings.roundMs
+        val isDue = isUrgent || nowMs - lastWriteMs >= timings.roundPeriodMs
         val mayWriteEvents = decisionLog.hasPendingRecords && isDue && allowed >= EVENT_COMMIT_CHANGES
         if (!mayWriteEvents && !mayCompact) return
         val commit = decisionLog.nextCommit(term, jobTable, inventory::snapshot, if (mayCompact) compactionChanges else 0) ?: return
--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -6,9 +6,9 @@
 import cleathitch.scheduler.api.SchedulerContext
 import cleathitch.scheduler.api.SchedulerTimings
 import cleathitch.scheduler.api.UserReply
-import cleathitch.scheduler.capacity.CloudInventoryIntake
+import cleathitch.scheduler.capacity.CloudInventoryHandler
 import cleathitch.scheduler.capacity.CloudRequests
-import cleathitch.scheduler.capacity.FleetScaling
+import cleathitch.scheduler.capacity.FleetScaler
 import cleathitch.scheduler.capacity.ScaleInCandidates
 import cleathitch.scheduler.jobs.JobTable
 import cleathitch.scheduler.jobs.Quota
@@ -20,12 +20,12 @@
 import cleathitch.scheduler.machines.CommandDispatcher
 import cleathitch.scheduler.machines.DirectReachability
 import cleathitch.scheduler.machines.FailureDetector
-import cleathitch.scheduler.machines.HeartbeatIntake
+import cleathitch.scheduler.machines.FleetMonitor
+import cleathitch.scheduler.machines.HeartbeatHandler
 import cleathitch.scheduler.machines.HeartbeatReconciler
 import cleathitch.scheduler.machines.ImageCacheHints
 import cleathitch.scheduler.machines.Inventory
 import cleathitch.scheduler.machines.MachineRegistry
-import cleathitch.scheduler.machines.MachineWatch
 import cleathitch.scheduler.machines.WorkerReconciler
 import cleathitch.scheduler.model.ClockReading
 import cleathitch.scheduler.model.Deployment
@@ -74,20 +74,29 @@
         decisionLog,
         term,
         isTerminated = registry::isTerminated,
-        register = { id, offer -> registry.register(id, offer, now.steadyMs) },
+        register = { id, offer -> registry.register(id, offer, now.monotonicMs) },
     )
-    private val failureDetector = FailureDetector(context, inventory, jobTable, timings, start.steadyMs, cloudRequests::requestTermination)
+    private val failureDetector =
+        FailureDetector(context, inventory, jobTable, timings, start.monotonicMs, cloudRequests::requestTermination)
     private val workerReconciler = WorkerReconciler(jobTable, decisionLog)
     private val dispatcher = CommandDispatcher(context, term, jobTable, inventory, decisionLog, workerReconciler, failureDetector)
-    private val jobRequests =
-        JobRequests(context, jobTable, decisionLog, inventory, quota, deployment.teams, timings.maxCommitWaitMs, dispatcher::stopAfter)
+    private val jobRequests = JobRequests(
+        context,
+        jobTable,
+        decisionLog,
+        inventory,
+        quota,
+        deployment.teams,
+        timings.maxCommitWaitMs,
+        dispatcher::stopOnceCommitted,
+    )
     private val reconciler =
         HeartbeatReconciler(context, deployment, timings, inventory, jobTable, workerReconciler, failureDetector)
-    private val directReachability = DirectReachability(timings.probeMs)
+    private val directReachability = DirectReachability(timings.probeAfterMs)
     private val imageCacheHints = ImageCacheHints(context, timings, inventory, start)
-    private val heartbeats =
-        HeartbeatIntake(context, inventory, jobTable, registry, reconciler, dispatcher, directReachability, imageCacheHints)
-    private val machineWatch = MachineWatch(
+    private val heartbeatHandler =
+        HeartbeatHandler(context, inventory, jobTable, registry, reconciler, dispatcher, directReachability, imageCacheHints)
+    private val fleetMonitor = FleetMonitor(
         context,
         timings,
         inventory,
@@ -97,12 +106,12 @@
         failureDetector,
         directReachability,
         start,
-        findOverdueBoots = { scaleInCandidates.overdueBoots(this.now.steadyMs, lease.listeningSinceMs) },
+        findOverdueBoots = { scaleInCandidates.overdueBootingMachines(this.now.monotonicMs, lease.listeningSinceMs) },
         terminate = cloudRequests::requestTermination,
     )
 
-    private val cloudInventory = CloudInventoryIntake(context, inventory, registry, reconciler, failureDetector, cloudRequests)
-    private val fleetScaling = FleetScaling(context, deployment, inventory, scaleInCandidates, cloudInventory, cloudRequests)
+    private val cloudInventoryHandler = CloudInventoryHandler(context, inventory, registry, reconciler, failureDetector, cloudRequests)
+    private val fleetScaler = FleetScaler(context, deployment, inventory, scaleInCandidates, cloudInventoryHandler, cloudRequests)
     private val schedulingRound =
         SchedulingRound(context, deployment, timings, jobTable, inventory, quota, decisionLog, dispatcher, failureDetector)
 
@@ -111,7 +120,7 @@
     }
 
     /** Number of jobs that aren't archived: those that aren't in a terminal state, have live attempts or await compaction. */
-    val openJobs: Int get() = jobTable.jobs.size
+    val openJobCount: Int get() = jobTable.jobs.size
 
     /** Number of machines known to be rented. */
     val machineCount: Int get() = inventory.machines.size
@@ -127,8 +136,8 @@
         for (input in batch) if (!hasSteppedDown) dispatch(input)
         if (!hasSteppedDown) {
             checkFleetIfDue()
-            if (lease.mayPlace()) schedulingRound.runIfDue()
-            fleetScaling.scale(schedulingRound.demands)
+            if (lease.mayPlaceTasks()) schedulingRound.runIfDue()
+            fleetScaler.scale(schedulingRound.demands)
             jobRequests.expirePendingReplies()
             logWriter.write()
         }
@@ -140,23 +149,23 @@
             is Input.Submit -> jobRequests.submit(input)
             is Input.Poll -> jobRequests.poll(input)
             is Input.Cancel -> jobRequests.cancel(input)
-            is Input.HeartbeatReceived -> heartbeats.heartbeatReceived(input)
+            is Input.HeartbeatReceived -> heartbeatHandler.heartbeatReceived(input)
             is Input.FollowerBatchReceived -> followerBatchReceived(input)
-            is Input.ProbeAnswered -> heartbeats.probeAnswered(input.heartbeat)
-            is Input.DirectCallUnanswered -> heartbeats.directCallUnanswered(input.machine)
+            is Input.ProbeAnswered -> heartbeatHandler.probeAnswered(input.heartbeat)
+            is Input.DirectCallUnanswered -> heartbeatHandler.directCallUnanswered(input.machine)
             is Input.LeaseRenewed -> lease.renew(input.untilMs)
             is Input.CommitSucceeded -> commitSucceeded(input)
-            is Input.MachineTypesListed -> cloudInventory.machineTypesListed(input.types)
-            is Input.MachinesListed -> cloudInventory.machinesListed(input.machines)
+            is Input.MachineTypesListed -> cloudInventoryHandler.onMachineTypesListed(input.types)
+            is Input.MachinesListed -> cloudInventoryHandler.onMachinesListed(input.machines)
             is Input.RentalCompleted -> cloudRequests.onRentalAnswer(input)
-            is Input.MachinesTerminated -> cloudInventory.machinesTerminated(input.machines)
+            is Input.MachinesTerminated -> cloudInventoryHandler.onMachinesTerminated(input.machines)
             is Input.ImageCacheHintsReceived -> imageCacheHints.receive(input.images)
             Input.Tick -> Unit
         }
     }
 
     private fun followerBatchReceived(input: Input.FollowerBatchReceived) {
-        val decisions = input.heartbeats.map(heartbeats::decideForwarded)
+        val decisions = input.heartbeats.map(heartbeatHandler::decideForwarded)
         val statuses = input.polls.map {
             if (hasSteppedDown) UserReply.Unavailable("not the leader any more") else jobRequests.currentStatus(it)
         }
@@ -175,9 +184,9 @@
 
     /** Runs the checks that iterate over all machines once per period, so that the cost of a batch depends only on its inputs. */
     private fun checkFleetIfDue() {
-        if (now.steadyMs - lastFleetCheckMs < timings.fleetCheckMs) return
-        lastFleetCheckMs = now.steadyMs
-        machineWatch.watch()
+        if (now.monotonicMs - lastFleetCheckMs < timings.fleetCheckPeriodMs) return
+        lastFleetCheckMs = now.monotonicMs
+        fleetMonitor.checkFleet()
         if (lease.isHeld()) dispatcher.sendPendingStops()
         cloudRequests.sendDue()
         imageCacheHints.shareIfDue()
@@ -191,9 +200,9 @@
 
         override fun isLeaseHeld() = lease.isHeld()
         override fun mayAnswerMachines() = lease.mayAnswerMachines()
-        override fun mayPlace() = lease.mayPlace()
-        override fun isSettled() = lease.isSettled()
-        override fun isStalled() = logWriter.isStalled()
+        override fun mayPlaceTasks() = lease.mayPlaceTasks()
+        override fun isFleetObserved() = lease.isFleetObserved()
+        override fun isCommitStalled() = logWriter.isCommitStalled()
         override fun append(event: Event) = logWriter.append(event)
         override fun isLogged(level: LogLevel) = level <= logLevel
 
--- a/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
+++ b/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
@@ -44,7 +44,7 @@
     private val failureDetector: FailureDetector,
 ) {
     /** Completion-time objectives in seconds, ascending, by job class name. */
-    private val completionObjectives = deployment.objectives.filterIsInstance<Objective.Finished>().sortedBy { it.deadlineS }
+    private val completionObjectives = deployment.objectives.filterIsInstance<Objective.Completion>().sortedBy { it.deadlineS }
         .groupBy({ it.className }, { it.deadlineS })
     private var lastRoundMs = 0L
 
@@ -58,19 +58,19 @@
 
     /** Runs a round once per period, unless commits are behind: a decision could be outdated by the time its record is committed. */
     fun runIfDue() {
-        if (context.now.steadyMs - lastRoundMs < timings.roundMs ||
+        if (context.now.monotonicMs - lastRoundMs < timings.roundPeriodMs ||
             !decisionLog.isIdle ||
             decisionLog.pendingRecordCount > MAX_PENDING_RECORDS
         ) {
             return
         }
-        lastRoundMs = context.now.steadyMs
-        val waiting = jobTable.jobs.filter { it.waitingTasks > 0 && it.retryNotBeforeMs <= context.now.steadyMs }
+        lastRoundMs = context.now.monotonicMs
+        val waiting = jobTable.jobs.filter { it.waitingTasks > 0 && it.retryNotBeforeMs <= context.now.monotonicMs }
         if (waiting.isEmpty()) demands = emptyList() else run(waiting)
     }
 
     private fun run(waiting: List<Job>) {
-        val candidates = PlacementRound(inventory, jobTable, inventory.machines.values.filter(::isUsable), context.now.steadyMs)
+        val candidates = PlacementRound(inventory, jobTable, inventory.machines.values.filter(::isUsable), context.now.monotonicMs)
         val round = Round(candidates)
         val jobs = SchedulingOrder(completionObjectives, quota, context.now.wallMs).order(waiting)
         // Overdue jobs get their first task before all others, so that every job starts in time however long the queue is.
@@ -83,10 +83,10 @@
 
     private fun isUsable(machine: Machine) = machine.state == MachineState.UP &&
         machine.preemptionAtMs == null &&
-        machine.fullUntilMs <= context.now.steadyMs &&
-        machine.isConfirmed &&
+        machine.fullUntilMs <= context.now.monotonicMs &&
+        machine.isExistenceConfirmed &&
         failureDetector.isReachable(machine) &&
-        failureDetector.silentForMs(machine) < timings.probeMs
+        failureDetector.timeSinceContactMs(machine) < timings.probeAfterMs
 
     /** The state of one round: the remaining capacity, and the tasks that couldn't be placed. */
     private inner class Round(private val candidates: PlacementRound) {
@@ -117,7 +117,7 @@
 
         /** Preempts lower-priority tasks for up to [count] tasks of a production job; returns how many of these will fit as a result. */
         private fun preempt(job: Job, count: Int): Int {
-            if (job.spec.priority != Priority.PRODUCTION || !context.isSettled()) return 0
+            if (job.spec.priority != Priority.PRODUCTION || !context.isFleetObserved()) return 0
             val plan = candidates.planPreemption(job, count)
             val machines = LinkedHashSet<Machine>()
             for (victim in plan.victims) {
@@ -148,8 +148,8 @@
 
     private fun start(job: Job, index: Int, machine: Machine, number: Long = job.lastAttemptNumber + 1) {
         val recordIndex = context.append(Event.AttemptStarted(job.id, index, number, machine.id))
-        machine.recordUse(context.now.steadyMs)
-        dispatcher.pushAfter(recordIndex, machine.id)
+        machine.recordUse(context.now.monotonicMs)
+        dispatcher.pushOnceCommitted(recordIndex, machine.id)
         context.logEvent(LogLevel.DEBUG) {
             "event=attempt_started attempt=${job.id}/$index#${job.lastAttemptNumber} machine=${machine.id} record=${recordIndex.number}"
         }
--- a/src/main/kotlin/cleathitch/scheduler/StateRecovery.kt
+++ b/src/main/kotlin/cleathitch/scheduler/StateRecovery.kt
@@ -35,8 +35,8 @@
         jobTable.jobs.forEach { job ->
             // Commands of an earlier leader may still be in flight, with tokens below the first token of this term.
             job.liveAttempts.values.forEach { it.inherit(firstToken) }
-            job.liveAttempts.values.forEach { if (job.isDone(it.id.task.index)) it.requestStop(StopCause.STRAY) }
-            job.stopIfOver()
+            job.liveAttempts.values.forEach { if (job.isTaskCompleted(it.id.task.index)) it.requestStop(StopCause.SUPERSEDED) }
+            job.stopIfTerminal()
         }
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/TermLease.kt
+++ b/src/main/kotlin/cleathitch/scheduler/TermLease.kt
@@ -14,7 +14,7 @@
     /** Whether the cluster never had a leader before, so that there are no machines whose heartbeats to wait for. */
     private val isFirstTerm: Boolean,
 ) {
-    private val startedMs = start.steadyMs
+    private val startedMs = start.monotonicMs
     private var validUntilMs = startedMs
 
     /**
@@ -26,7 +26,7 @@
 
     /** Restarts the listening period while heartbeats can't be answered. Called once per batch of inputs. */
     fun updateListeningPeriod() {
-        if (!mayAnswerMachines()) listeningSinceMs = context.now.steadyMs
+        if (!mayAnswerMachines()) listeningSinceMs = context.now.monotonicMs
     }
 
     /** Called when the key-value store has extended the lease to [untilMs]. */
@@ -35,21 +35,21 @@
     }
 
     /** Whether the lease is valid. Without it the leader must neither make decisions nor answer users. */
-    fun isHeld(): Boolean = context.now.steadyMs < validUntilMs
+    fun isHeld(): Boolean = context.now.monotonicMs < validUntilMs
 
     /**
      * Whether heartbeats may be answered: while the lease is valid, and for a grace period after it, so that a short outage doesn't
      * expire the workers' leases.
      */
-    fun mayAnswerMachines(): Boolean = context.now.steadyMs < validUntilMs + timings.graceMs
+    fun mayAnswerMachines(): Boolean = context.now.monotonicMs < validUntilMs + timings.graceMs
 
     /**
      * Whether tasks may be placed. There is no need to wait for the whole fleet: a machine's first heartbeat in this term and the job
      * table together show what may be running on it, so tasks may be placed on it from then on.
      */
-    fun mayPlace(): Boolean = isHeld() && inventory.types.isNotEmpty()
+    fun mayPlaceTasks(): Boolean = isHeld() && inventory.types.isNotEmpty()
 
     /** Whether all machines have had time to send a heartbeat. Decisions that depend on absent machines, such as scaling, wait for this. */
-    fun isSettled(): Boolean = mayPlace() &&
-        (isFirstTerm && listeningSinceMs == startedMs || context.now.steadyMs - listeningSinceMs >= timings.failoverMs)
+    fun isFleetObserved(): Boolean = mayPlaceTasks() &&
+        (isFirstTerm && listeningSinceMs == startedMs || context.now.monotonicMs - listeningSinceMs >= timings.failoverSettleMs)
 }
--- a/src/main/kotlin/cleathitch/scheduler/api/Input.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/Input.kt
@@ -37,7 +37,7 @@
     /** The machine didn't answer a probe or a direct command call. */
     data class DirectCallUnanswered(val machine: MachineId) : Input
 
-    /** The key-value store renewed this leader's lease until [untilMs] on the steady clock. */
+    /** The key-value store renewed this leader's lease until [untilMs] on the monotonic clock. */
     data class LeaseRenewed(val untilMs: Long) : Input
 
     /** The commit whose last record is [index] is durable; new fencing tokens are derived from the store's [revision]. */
--- a/src/main/kotlin/cleathitch/scheduler/api/SchedulerContext.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerContext.kt
@@ -9,7 +9,7 @@
     /** The time of the input batch that is being handled. */
     val now: ClockReading
 
-    /** The steady-clock time since which heartbeats have been received continuously. */
+    /** The monotonic-clock time since which heartbeats have been received continuously. */
     val listeningSinceMs: Long
 
     /** Whether the leader has ended this term, after which no input is handled. */
@@ -22,13 +22,13 @@
     fun mayAnswerMachines(): Boolean
 
     /** Whether tasks may be placed. */
-    fun mayPlace(): Boolean
+    fun mayPlaceTasks(): Boolean
 
     /** Whether all machines have had time to send a heartbeat, so that decisions may rely on missing heartbeats. */
-    fun isSettled(): Boolean
+    fun isFleetObserved(): Boolean
 
     /** Whether a commit has been waiting for the key-value store's answer for too long. */
-    fun isStalled(): Boolean
+    fun isCommitStalled(): Boolean
 
     /** Applies the event in memory and queues it for the log; returns the index of the record that will hold it. */
     fun append(event: Event): LogIndex
--- a/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
@@ -12,10 +12,10 @@
  */
 data class SchedulerTimings(
     /** Period of scheduling rounds and of writes that no request waits for; also the initial backoff of a job whose tasks fail. */
-    val roundMs: Long,
+    val roundPeriodMs: Long,
 
     /** Period of the decision log's compaction. */
-    val compactionMs: Long,
+    val compactionPeriodMs: Long,
 
     /**
      * How long a leader still answers heartbeats after the end of its own lease. A new leader waits for this time plus a worker's lease
@@ -30,22 +30,22 @@
     val leaderLeaseMs: Long,
 
     /** Period at which the whole fleet is checked for machines that are silent, have lost their lease or never booted. */
-    val fleetCheckMs: Long,
+    val fleetCheckPeriodMs: Long,
 
     /** Time without a heartbeat after which a machine is probed and gets no new tasks; over one period, as some heartbeats are late. */
-    val probeMs: Long,
+    val probeAfterMs: Long,
 
     /** Minimum time between two probes of a machine, and the timeout of a probe. */
-    val probeGapMs: Long,
+    val minProbeIntervalMs: Long,
 
     /** Time without a heartbeat or an answer to a probe after which a machine is terminated: two heartbeat periods. */
-    val silentMs: Long,
+    val silentAfterMs: Long,
 
     /** Time without an answered heartbeat after which a machine has certainly lost its lease. */
-    val leaseLossMs: Long,
+    val leaseLostAfterMs: Long,
 
     /** Minimum time between two termination calls to the cloud; terminations requested in between are batched into one call. */
-    val terminationGapMs: Long,
+    val minTerminationIntervalMs: Long,
 
     /** Period at which the leader sends the contents of the machines' image caches to the followers. */
     val imageHintPeriodMs: Long,
@@ -54,7 +54,7 @@
      * How long a new leader waits before it makes decisions that rely on missing heartbeats, such as rentals and terminations. Longer
      * than one heartbeat period, so that every live machine has had time to send a heartbeat.
      */
-    val failoverMs: Long,
+    val failoverSettleMs: Long,
 
     /** How long a follower collects heartbeats into a batch before it forwards them to the leader. */
     val forwardIntervalMs: Long,
@@ -82,27 +82,27 @@
         /** The fraction of the time between the end of a worker's lease and the cancellation deadline that is used for [graceMs]. */
         private const val GRACE_SHARE = 0.25
 
-        /** The bound on the relative drift between two steady clocks: twice the bound for one clock. */
+        /** The bound on the relative drift between two monotonic clocks: twice the bound for one clock. */
         const val MAX_CLOCK_DRIFT = 0.001
 
         /** Derives the timings from [deployment]; [compactionS] overrides the compaction period, in seconds. */
         fun of(deployment: Deployment, compactionS: Double? = null): SchedulerTimings {
-            val heartbeatPeriodMs = deployment.reportS * MS_PER_S
-            val roundMs = roundMs(deployment)
+            val heartbeatPeriodMs = deployment.heartbeatPeriodS * MS_PER_S
+            val roundPeriodMs = roundPeriodMs(deployment)
             return SchedulerTimings(
-                roundMs = roundMs,
-                fleetCheckMs = max(roundMs, (heartbeatPeriodMs / FLEET_CHECKS_PER_HEARTBEAT).toLong()),
-                compactionMs = compactionS?.let { (it * MS_PER_S).toLong() } ?: DEFAULT_COMPACTION_MS,
+                roundPeriodMs = roundPeriodMs,
+                fleetCheckPeriodMs = max(roundPeriodMs, (heartbeatPeriodMs / FLEET_CHECKS_PER_HEARTBEAT).toLong()),
+                compactionPeriodMs = compactionS?.let { (it * MS_PER_S).toLong() } ?: DEFAULT_COMPACTION_MS,
                 graceMs = graceMs(deployment),
-                leaseMarginMs = (deployment.leaseS * MS_PER_S * MAX_CLOCK_DRIFT + heartbeatPeriodMs / 4).toLong(),
-                leaderLeaseMs = (deployment.leaseS * MS_PER_S / 24).toLong(),
-                probeMs = (heartbeatPeriodMs * 1.35).toLong(),
-                probeGapMs = (heartbeatPeriodMs / 4).toLong(),
-                silentMs = (heartbeatPeriodMs * 2).toLong(),
-                leaseLossMs = (deployment.leaseS * MS_PER_S + heartbeatPeriodMs).toLong(),
-                terminationGapMs = (2000 / deployment.cloudRps).toLong(),
+                leaseMarginMs = (deployment.workerLeaseS * MS_PER_S * MAX_CLOCK_DRIFT + heartbeatPeriodMs / 4).toLong(),
+                leaderLeaseMs = (deployment.workerLeaseS * MS_PER_S / 24).toLong(),
+                probeAfterMs = (heartbeatPeriodMs * 1.35).toLong(),
+                minProbeIntervalMs = (heartbeatPeriodMs / 4).toLong(),
+                silentAfterMs = (heartbeatPeriodMs * 2).toLong(),
+                leaseLostAfterMs = (deployment.workerLeaseS * MS_PER_S + heartbeatPeriodMs).toLong(),
+                minTerminationIntervalMs = (2000 / deployment.cloudCallsPerS).toLong(),
                 imageHintPeriodMs = (heartbeatPeriodMs * 1.5).toLong(),
-                failoverMs = (heartbeatPeriodMs * 1.25).toLong(),
+                failoverSettleMs = (heartbeatPeriodMs * 1.25).toLong(),
                 forwardIntervalMs = (heartbeatPeriodMs / 80).toLong(),
                 commitStallMs = (heartbeatPeriodMs / 4).toLong(),
                 maxCommitWaitMs = (heartbeatPeriodMs / 2).toLong(),
@@ -110,28 +110,28 @@
         }
 
         /** Short enough for the shortest wait objective, but using at most half of the store's write rate limit. */
-        private fun roundMs(deployment: Deployment): Long {
+        private fun roundPeriodMs(deployment: Deployment): Long {
             val shortestWaitS = shortestWaitS(deployment.objectives)
             val byObjectiveMs = if (shortestWaitS == null) {
                 MAX_ROUND_MS
             } else {
                 min(MAX_ROUND_MS, shortestWaitS * MS_PER_S / ROUNDS_PER_WAIT)
             }
-            val byWriteBudgetMs = MS_PER_S * CHANGES_PER_ROUND / (deployment.stateWriteRps / 2)
+            val byWriteBudgetMs = MS_PER_S * CHANGES_PER_ROUND / (deployment.storeWritesPerS / 2)
             return max(byObjectiveMs, byWriteBudgetMs).toLong()
         }
 
         private fun shortestWaitS(objectives: List<Objective>): Double? = objectives.mapNotNull {
             when (it) {
-                is Objective.Wait -> it.deadlineS
+                is Objective.StartDelay -> it.deadlineS
                 is Objective.Guarantee -> it.deadlineS
-                is Objective.Finished -> null
+                is Objective.Completion -> null
             }
         }.minOrNull()
 
         /** Cancelled tasks have to end by the cancellation deadline even if a former leader answers until its grace period ends. */
         private fun graceMs(deployment: Deployment): Long {
-            val spareMs = (deployment.cancelS - deployment.leaseS) * MS_PER_S
+            val spareMs = (deployment.cancellationDeadlineS - deployment.workerLeaseS) * MS_PER_S
             return (spareMs * GRACE_SHARE).toLong().coerceAtLeast(0)
         }
     }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CapacityPlanner.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CapacityPlanner.kt
@@ -89,7 +89,7 @@
     private fun cheapestOffer(demand: MachineDemand, tasks: Int, nowMs: Long, plan: RentalPlan, spotOnly: Boolean): Offer? {
         val placementClass = demand.placementClass
         return inventory.types.values.asSequence()
-            .filter { it.canHold(placementClass) }
+            .filter { it.fits(placementClass) }
             .flatMap(::offersOf)
             .filter { placementClass.permits(it) && (it.spot || !spotOnly) && it.zone !in inventory.partitionedZones }
             .filter { !inventory.isRefused(it, nowMs) && plan.remainingMachines(it) > 0 }
@@ -106,7 +106,7 @@
 
     /** The price per task, with the boot time amortized over the expected lifetime of the machine. */
     private fun costPerTask(type: MachineType, spot: Boolean, tasks: Int): Double =
-        type.priceOf(spot) / tasks * (1 + type.bootS / (deployment.leaseS * EXPECTED_LIFETIME_IN_LEASES))
+        type.priceOf(spot) / tasks * (1 + type.bootS / (deployment.workerLeaseS * EXPECTED_LIFETIME_IN_LEASES))
 
     private companion object {
         /** The expected lifetime of a machine in lease durations, over which its boot time is amortized. */
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudInventoryIntake.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudInventoryHandler.kt
@@ -14,7 +14,7 @@
 import cleathitch.scheduler.model.MachineType
 
 /** Applies the cloud's machine types, machine list and terminations to the inventory. Confined to the leader's event loop. */
-internal class CloudInventoryIntake(
+internal class CloudInventoryHandler(
     private val context: SchedulerContext,
     private val inventory: Inventory,
     private val registry: MachineRegistry,
@@ -27,18 +27,18 @@
         private set
 
     /** Handles a list of the machine types and their prices. */
-    fun machineTypesListed(types: List<MachineType>) {
+    fun onMachineTypesListed(types: List<MachineType>) {
         inventory.updateTypes(types)
     }
 
     /** Handles a list of the rented machines. */
-    fun machinesListed(machines: List<ListedMachine>) {
+    fun onMachinesListed(machines: List<ListedMachine>) {
         machines.forEach(::recordListed)
         areMachinesListed = true
     }
 
     /** Handles the cloud's confirmation that these machines are terminated, so that nothing runs on them any more. */
-    fun machinesTerminated(machines: List<MachineId>) {
+    fun onMachinesTerminated(machines: List<MachineId>) {
         for (id in machines) if (id in inventory.terminatingMachines) recordTerminated(id)
     }
 
@@ -47,13 +47,13 @@
         val machine = inventory.machines[listed.machine] ?: register(listed)
         machine.recordListing(isRunning = listed.state == ListedState.RUNNING, listed.address)
         failureDetector.expectIfRunning(machine)
-        if (listed.state == ListedState.FAILED && machine.state != MachineState.TERMINATING && context.isSettled()) {
+        if (listed.state == ListedState.FAILED && machine.state != MachineState.TERMINATING && context.isFleetObserved()) {
             cloudRequests.requestTermination(machine.id, TerminationReason.FAILED)
         }
     }
 
     private fun register(listed: ListedMachine) =
-        registry.register(listed.machine, listed.offer, context.now.steadyMs - (listed.ageS * 1000).toLong())
+        registry.register(listed.machine, listed.offer, context.now.monotonicMs - (listed.ageS * 1000).toLong())
 
     private fun recordTerminated(id: MachineId) {
         reconciler.recordTerminationOfAll(id)
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
@@ -55,7 +55,7 @@
     /** Records the termination of the machine; the call is made once the record is committed. */
     fun requestTermination(id: MachineId, reason: TerminationReason) {
         // Unconfirmed terminations have to fit into one stored value; the next round retries.
-        if (inventory.terminatingMachines.size >= deployment.stateValueBytes / BYTES_PER_TERMINATION) return
+        if (inventory.terminatingMachines.size >= deployment.maxStoredValueBytes / BYTES_PER_TERMINATION) return
         recordByRequest[id.text] = context.append(Event.MachineTerminationRequested(id))
         context.logEvent(LogLevel.INFO) { "event=termination_requested machine=$id reason=${reason.logName}" }
     }
@@ -73,20 +73,20 @@
         when (val answer = completed.answer) {
             is RentalAnswer.Rented -> recordRented(rental, answer.machines)
             RentalAnswer.NoCapacity, RentalAnswer.Rejected -> recordRefused(rental)
-            RentalAnswer.Unknown -> rentalSentMs[request] = context.now.steadyMs
+            RentalAnswer.Unknown -> rentalSentMs[request] = context.now.monotonicMs
         }
     }
 
     /** The cloud may rent out fewer machines than requested; the missing ones aren't requested again under this name. */
     private fun recordRented(rental: Event.RentalRequested, rented: List<MachineId>) {
-        rented.filter { !isTerminated(it) }.forEach { register(it, rental.offer).confirm() }
-        if (rented.size < rental.count) inventory.recordRefusal(rental.offer, context.now.steadyMs)
+        rented.filter { !isTerminated(it) }.forEach { register(it, rental.offer).confirmExistence() }
+        if (rented.size < rental.count) inventory.recordRefusal(rental.offer, context.now.monotonicMs)
         context.append(Event.RentalResolved(rental.request))
         context.logEvent(LogLevel.INFO) { "event=rental_completed ${describe(rental)} rented=${rented.size}" }
     }
 
     private fun recordRefused(rental: Event.RentalRequested) {
-        inventory.recordRefusal(rental.offer, context.now.steadyMs)
+        inventory.recordRefusal(rental.offer, context.now.monotonicMs)
         context.append(Event.RentalResolved(rental.request))
         context.logEvent(LogLevel.INFO) { "event=rental_refused ${describe(rental)}" }
     }
@@ -104,20 +104,22 @@
     private fun sendRentals() {
         for (rental in inventory.pendingRentals.values) {
             if (!isCommitted(rental.request) || !isDue(rentalSentMs[rental.request])) continue
-            rentalSentMs[rental.request] = context.now.steadyMs
+            rentalSentMs[rental.request] = context.now.monotonicMs
             context.emit(Effect.Rent(rental))
         }
     }
 
     /** Batches terminations: those requested within the gap between two calls share one call. */
     private fun sendTerminations() {
-        if (inventory.terminatingMachines.isNotEmpty() && context.now.steadyMs - lastTerminationCallMs >= timings.terminationGapMs) {
+        if (inventory.terminatingMachines.isNotEmpty() &&
+            context.now.monotonicMs - lastTerminationCallMs >= timings.minTerminationIntervalMs
+        ) {
             val due = inventory.terminatingMachines.filter {
                 isCommitted(it.text) && isDue(terminationSentMs[it])
             }.take(MAX_TERMINATIONS_PER_CALL)
             if (due.isNotEmpty()) {
-                lastTerminationCallMs = context.now.steadyMs
-                due.forEach { terminationSentMs[it] = context.now.steadyMs }
+                lastTerminationCallMs = context.now.monotonicMs
+                due.forEach { terminationSentMs[it] = context.now.monotonicMs }
                 context.emit(Effect.TerminateMachines(due))
             }
         }
@@ -125,8 +127,8 @@
     }
 
     private fun isDue(sentMs: Long?): Boolean {
-        val retryAfterMs = (deployment.reportS * MS_PER_S).toLong()
-        return sentMs == null || context.now.steadyMs - sentMs >= retryAfterMs
+        val retryAfterMs = (deployment.heartbeatPeriodS * MS_PER_S).toLong()
+        return sentMs == null || context.now.monotonicMs - sentMs >= retryAfterMs
     }
 
     /** Whether the request's record is committed. Requests of earlier terms have no entry here; their records are committed. */
--- a/src/main/kotlin/cleathitch/scheduler/capacity/FleetScaling.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/FleetScaler.kt
@@ -6,12 +6,12 @@
 import cleathitch.scheduler.model.Deployment
 
 /** Autoscaling: rents machines for tasks that don't fit and terminates idle machines. Confined to the leader's event loop. */
-internal class FleetScaling(
+internal class FleetScaler(
     private val context: SchedulerContext,
     private val deployment: Deployment,
     private val inventory: Inventory,
     private val scaleInCandidates: ScaleInCandidates,
-    private val cloudInventory: CloudInventoryIntake,
+    private val cloudInventoryHandler: CloudInventoryHandler,
     private val cloudRequests: CloudRequests,
 ) {
     private val planner = CapacityPlanner(deployment, inventory)
@@ -19,27 +19,27 @@
 
     /** Scales out for [demands] and scales in idle machines, at most once per scaling period. */
     fun scale(demands: List<MachineDemand>) {
-        if (!mayScaleOut() || context.now.steadyMs - lastScalingMs < SCALING_PERIOD_MS) return
-        lastScalingMs = context.now.steadyMs
+        if (!mayScaleOut() || context.now.monotonicMs - lastScalingMs < SCALING_PERIOD_MS) return
+        lastScalingMs = context.now.monotonicMs
         scaleOut(demands)
-        if (context.isSettled()) scaleIn()
+        if (context.isFleetObserved()) scaleIn()
     }
 
     /**
      * The cloud's machine list is as good a basis for scaling out as heartbeats are: listed machines without a heartbeat count as
      * booting.
      */
-    private fun mayScaleOut() = context.isSettled() || (context.mayPlace() && cloudInventory.areMachinesListed)
+    private fun mayScaleOut() = context.isFleetObserved() || (context.mayPlaceTasks() && cloudInventoryHandler.areMachinesListed)
 
     private fun scaleOut(demands: List<MachineDemand>) {
         // Half of the permitted call rate is kept free for terminations and list calls.
-        val maxCalls = (deployment.cloudRps / 2).toInt().coerceAtLeast(1) - inventory.pendingRentals.size
+        val maxCalls = (deployment.cloudCallsPerS / 2).toInt().coerceAtLeast(1) - inventory.pendingRentals.size
         if (maxCalls <= 0) return
-        for ((offer, count) in planner.plan(demands, context.now.steadyMs, maxCalls)) cloudRequests.requestRental(offer, count)
+        for ((offer, count) in planner.plan(demands, context.now.monotonicMs, maxCalls)) cloudRequests.requestRental(offer, count)
     }
 
     private fun scaleIn() {
-        scaleInCandidates.idleMachines(context.now.steadyMs, context.listeningSinceMs).forEach {
+        scaleInCandidates.idleMachines(context.now.monotonicMs, context.listeningSinceMs).forEach {
             cloudRequests.requestTermination(it.id, TerminationReason.IDLE)
         }
     }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/ScaleInCandidates.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/ScaleInCandidates.kt
@@ -28,11 +28,11 @@
      * Machines whose boot is long overdue. Excludes machines that the cloud lists as running, even if this leader hasn't received a
      * heartbeat from them yet, because the failure detector handles those.
      */
-    fun overdueBoots(nowMs: Long, listeningSinceMs: Long): List<Machine> = inventory.machines.values.filter { machine ->
+    fun overdueBootingMachines(nowMs: Long, listeningSinceMs: Long): List<Machine> = inventory.machines.values.filter { machine ->
         machine.state == MachineState.STARTING &&
             !machine.isListedRunning &&
             nowMs - max(machine.rentedAtMs, listeningSinceMs) >=
-            (machine.type?.bootS ?: deployment.leaseS) * MS_PER_S * MAX_BOOT_FACTOR
+            (machine.type?.bootS ?: deployment.workerLeaseS) * MS_PER_S * MAX_BOOT_FACTOR
     }
 
     private companion object {
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
@@ -39,13 +39,13 @@
         private set
 
     /** The record that contains the completion of the last task, null while tasks are incomplete. */
-    var finishedIndex: LogIndex? = null
+    var completedIndex: LogIndex? = null
         private set
 
     /** Task failures since the last task completion. */
     private var consecutiveFailures = 0
 
-    /** Backoff after a task failure: no task of the job is started before this time of the steady clock. */
+    /** Backoff after a task failure: no task of the job is started before this time of the monotonic clock. */
     var retryNotBeforeMs = 0L
         private set
 
@@ -58,13 +58,13 @@
     val isCancelled: Boolean get() = cancelledIndex != null
 
     /** Whether the job is cancelled or completed, so that none of its tasks is started any more. */
-    val isTerminal: Boolean get() = isCancelled || finishedIndex != null
+    val isTerminal: Boolean get() = isCancelled || completedIndex != null
 
     /** The number of tasks that wait to be started. */
     val waitingTasks: Int get() = if (isTerminal) 0 else spec.tasks - completedCount - attemptsByTask.size
 
     /** Whether the task is completed. */
-    fun isDone(index: Int): Boolean = completedTasks[index]
+    fun isTaskCompleted(index: Int): Boolean = completedTasks[index]
 
     /** The indexes of the completed tasks as a bit set, in the format that [restoreProgress] reads. */
     fun completedTaskBits(): ByteArray = completedTasks.toByteArray()
@@ -80,7 +80,7 @@
     }
 
     /** Requests a stop of all live attempts if the job is in a terminal state. */
-    fun stopIfOver() {
+    fun stopIfTerminal() {
         if (isTerminal) attemptsByTask.values.forEach { it.requestStop(StopCause.CANCELLED) }
     }
 
@@ -117,14 +117,14 @@
         completedTasks.set(index)
         completedCount++
         retryIndexes.remove(index)
-        if (completedCount == spec.tasks && !isCancelled) finishedIndex = recordIndex
+        if (completedCount == spec.tasks && !isCancelled) completedIndex = recordIndex
     }
 
     /** Restores the progress stored in a snapshot. */
     internal fun restoreProgress(completedTaskBits: ByteArray, lastAttemptNumber: Long) {
         completedTasks.or(BitSet.valueOf(completedTaskBits))
         completedCount = completedTasks.cardinality()
-        if (completedCount == spec.tasks) finishedIndex = LogIndex.NONE
+        if (completedCount == spec.tasks) completedIndex = LogIndex.NONE
         this.lastAttemptNumber = lastAttemptNumber
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/jobs/StopCause.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/StopCause.kt
@@ -12,5 +12,5 @@
     PREEMPTED,
 
     /** Its task was completed by another attempt: it is stopped without a checkpoint. */
-    STRAY,
+    SUPERSEDED,
 }
--- a/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
@@ -25,7 +25,7 @@
 
     private class InFlightCommit(val index: LogIndex, val records: Map<LogIndex, RetainedRecord>, val compaction: CompactionPlan?)
 
-    private val recordBytes = deployment.stateValueBytes * RECORD_FILL
+    private val recordBytes = deployment.maxStoredValueBytes * RECORD_FILL
     private val pendingRecords = ArrayDeque<PendingRecord>()
     private var inFlight: InFlightCommit? = null
     private var lastIndex = LogIndex.NONE
@@ -113,7 +113,7 @@
     private fun takePendingRecords(): List<PendingRecord> {
         val records = ArrayList<PendingRecord>()
         var bytes = 0
-        while (pendingRecords.isNotEmpty() && records.size < deployment.stateTxnOps / RECORD_OPS_DIVISOR) {
+        while (pendingRecords.isNotEmpty() && records.size < deployment.maxTransactionOps / RECORD_OPS_DIVISOR) {
             bytes += pendingRecords.first().bytes
             if (records.isNotEmpty() && bytes > MAX_COMMIT_BYTES) break
             records += pendingRecords.removeFirst()
@@ -131,7 +131,7 @@
             changes = maxChanges,
             totalBytes = MAX_COMMIT_BYTES,
             valueBytes = recordBytes,
-            chunkBytes = deployment.stateValueBytes * CHUNK_FILL,
+            chunkBytes = deployment.maxStoredValueBytes * CHUNK_FILL,
         )
         val plan = CompactionPlan(index, limits, jobs, sizes, inventorySnapshot, storedSnapshots)
         // Only records of earlier commits are compacted, not those that this commit writes.
--- a/src/main/kotlin/cleathitch/scheduler/log/WriteBudget.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/WriteBudget.kt
@@ -2,7 +2,7 @@
 
 /**
  * Limits the rate of changes sent to the key-value store: a token bucket that is refilled at [changesPerSecond] and holds the tokens
- * of one second. Times are readings of the steady clock.
+ * of one second. Times are readings of the monotonic clock.
  */
 class WriteBudget(private val changesPerSecond: Double, startMs: Long) {
     private var tokens = changesPerSecond
--- a/src/main/kotlin/cleathitch/scheduler/machines/CommandDispatcher.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/CommandDispatcher.kt
@@ -76,12 +76,12 @@
     }
 
     /** Pushes the machine's commands once record [recordIndex] is committed. */
-    fun pushAfter(recordIndex: LogIndex, machine: MachineId) {
+    fun pushOnceCommitted(recordIndex: LogIndex, machine: MachineId) {
         pushesAwaitingCommit.getOrPut(recordIndex) { LinkedHashSet() } += machine
     }
 
     /** Sends the stop commands for [attempts] once record [recordIndex] is committed. */
-    fun stopAfter(recordIndex: LogIndex, attempts: Collection<Attempt>) {
+    fun stopOnceCommitted(recordIndex: LogIndex, attempts: Collection<Attempt>) {
         stopsAwaitingCommit.getOrPut(recordIndex) { ArrayList() } += attempts
     }
 
@@ -117,7 +117,7 @@
     }
 
     /** Empty when the current range of tokens is exhausted, because a message without a new token couldn't be fenced. */
-    private fun commandsFor(machine: Machine) = if (token.countLeft == 0L) emptyList() else workerReconciler.commandsFor(machine)
+    private fun commandsFor(machine: Machine) = if (token.remainingCount == 0L) emptyList() else workerReconciler.commandsFor(machine)
 
     private fun recordSent(machine: Machine, commands: List<WorkerCommand>) {
         for (command in commands) {
--- a/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
@@ -19,12 +19,12 @@
     private val startedMs: Long,
     private val terminate: (MachineId, TerminationReason) -> Unit,
 ) {
-    private val nowMs get() = context.now.steadyMs
+    private val nowMs get() = context.now.monotonicMs
 
     /** Probes listed machines without contact in this term, so that a failover doesn't have to wait for their heartbeats. */
     fun probeUncontacted() {
         inventory.machines.values.asSequence()
-            .filter { it.lastContactMs == null && it.isListedRunning && nowMs - it.lastProbeMs >= timings.probeGapMs }
+            .filter { it.lastContactMs == null && it.isListedRunning && nowMs - it.lastProbeMs >= timings.minProbeIntervalMs }
             .take(MAX_DIRECT_CALLS).forEach(::probe)
     }
 
@@ -48,11 +48,11 @@
     }
 
     private fun terminateSuspects(up: List<Machine>) {
-        val partition = PartitionDetector(up) { silentForMs(it) >= timings.probeMs }
+        val partition = PartitionDetector(up) { timeSinceContactMs(it) >= timings.probeAfterMs }
         inventory.updatePartitionedZones(partition.partitionedZones)
-        val silent = partition.suspects.filter { hasFailedProbes(it) && silentForMs(it) >= timings.silentMs }
+        val silent = partition.suspects.filter { hasFailedProbes(it) && timeSinceContactMs(it) >= timings.silentAfterMs }
         silent.forEach { if (!partition.isPartitioned(it)) terminate(it.id, TerminationReason.SILENT) }
-        partition.suspects.filter { it.state == MachineState.UP && nowMs - it.lastProbeMs >= timings.probeGapMs }
+        partition.suspects.filter { it.state == MachineState.UP && nowMs - it.lastProbeMs >= timings.minProbeIntervalMs }
             .take(MAX_DIRECT_CALLS).forEach(::probe)
     }
 
@@ -64,17 +64,17 @@
      * time.
      */
     private fun terminateWithoutHeartbeats(up: List<Machine>) {
-        val partition = PartitionDetector(up) { timeSinceHeartbeatMs(it) >= timings.silentMs }
+        val partition = PartitionDetector(up) { timeSinceHeartbeatMs(it) >= timings.silentAfterMs }
         for (machine in partition.suspects) {
             if (machine.state != MachineState.UP) continue
-            val timeoutMs = if (partition.isPartitioned(machine)) timings.leaseLossMs * 2 else timings.leaseLossMs
+            val timeoutMs = if (partition.isPartitioned(machine)) timings.leaseLostAfterMs * 2 else timings.leaseLostAfterMs
             if (timeSinceHeartbeatMs(machine) >= timeoutMs) terminate(machine.id, TerminationReason.NO_HEARTBEATS)
         }
     }
 
     /** Terminates machines with attempts in the job table that have neither reported nor been listed since the failover. */
     private fun terminateUnseenSinceFailover() {
-        if (nowMs - startedMs < timings.leaseLossMs) return
+        if (nowMs - startedMs < timings.leaseLostAfterMs) return
         jobTable.machinesInUse.filter { it !in inventory.machines && it !in inventory.terminatingMachines }
             .forEach { terminate(it, TerminationReason.UNSEEN_SINCE_FAILOVER) }
     }
@@ -97,10 +97,11 @@
      * Whether heartbeats and replies pass between the machine and the leader, as far as is known. Otherwise the machine's lease
      * expires even if direct commands arrive, and tasks started on the machine are killed when it does.
      */
-    fun isReachable(machine: Machine): Boolean = !machine.missesReplies && timeSinceHeartbeatMs(machine) < timings.silentMs
+    fun isReachable(machine: Machine): Boolean = !machine.missesReplies && timeSinceHeartbeatMs(machine) < timings.silentAfterMs
 
     /** Time since the last heartbeat or probe response of the machine; time in which none was expected or processed doesn't count. */
-    fun silentForMs(machine: Machine): Long = nowMs - maxOf(machine.lastContactMs ?: machine.expectedSinceMs, context.listeningSinceMs)
+    fun timeSinceContactMs(machine: Machine): Long =
+        nowMs - maxOf(machine.lastContactMs ?: machine.expectedSinceMs, context.listeningSinceMs)
 
     /**
      * Expects heartbeats from a machine that the cloud provider lists as running but that hasn't reported in this term:
@@ -109,7 +110,7 @@
      */
     fun expectIfRunning(machine: Machine) {
         if (machine.state != MachineState.STARTING || !machine.isListedRunning) return
-        if (jobTable.attemptsOn(machine.id).isEmpty() && nowMs - startedMs < timings.leaseLossMs) return
+        if (jobTable.attemptsOn(machine.id).isEmpty() && nowMs - startedMs < timings.leaseLostAfterMs) return
         machine.expectHeartbeats(nowMs)
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/machines/MachineWatch.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/FleetMonitor.kt
@@ -12,7 +12,7 @@
  */
 // Grouping the collaborators into a parameter object would only hide the dependencies of the check.
 @Suppress("LongParameterList")
-internal class MachineWatch(
+internal class FleetMonitor(
     private val context: SchedulerContext,
     private val timings: SchedulerTimings,
     private val inventory: Inventory,
@@ -25,13 +25,13 @@
     private val findOverdueBoots: () -> List<Machine>,
     private val terminate: (MachineId, TerminationReason) -> Unit,
 ) {
-    private val startedMs = start.steadyMs
+    private val startedMs = start.monotonicMs
 
     /** Checks every machine once; the caller is responsible for the period. */
-    fun watch() {
+    fun checkFleet() {
         endExpiredLeases()
-        if (context.isLeaseHeld() && context.now.steadyMs - startedMs < timings.failoverMs) failureDetector.probeUncontacted()
-        if (!context.isSettled()) return
+        if (context.isLeaseHeld() && context.now.monotonicMs - startedMs < timings.failoverSettleMs) failureDetector.probeUncontacted()
+        if (!context.isFleetObserved()) return
         inventory.machines.values.forEach(failureDetector::expectIfRunning)
         transferLeadershipIfUnreachable()
         if (context.hasSteppedDown) return
@@ -42,7 +42,7 @@
 
     /** A worker kills its tasks when its lease expires, so they may be started elsewhere from then on. */
     private fun endExpiredLeases() {
-        val nowMs = context.now.steadyMs
+        val nowMs = context.now.monotonicMs
         for (machine in inventory.machines.values.toList()) {
             if (nowMs >= machine.leaseEndMs) reconciler.recordTerminationOfAll(machine.id)
         }
@@ -57,7 +57,7 @@
      * them silent and terminate them.
      */
     private fun transferLeadershipIfUnreachable() {
-        if (!directReachability.isDirectPathDown(context.now.steadyMs)) return
+        if (!directReachability.isDirectPathDown(context.now.monotonicMs)) return
         context.stepDown("direct commands don't reach machines that report to others", transferLeadership = true)
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatIntake.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatHandler.kt
@@ -18,7 +18,7 @@
  * them. An answer renews the worker's lease, so stale heartbeats and those of terminated machines aren't answered. Confined to
  * the leader's event loop.
  */
-internal class HeartbeatIntake(
+internal class HeartbeatHandler(
     private val context: SchedulerContext,
     private val inventory: Inventory,
     private val jobTable: JobTable,
@@ -59,14 +59,14 @@
         val isFirstContact = inventory.machines[heartbeat.machine]?.lastContactMs == null
         if (!applyHeartbeat(heartbeat)) return
         val machine = inventory.machines.getValue(heartbeat.machine)
-        machine.confirm()
+        machine.confirmExistence()
         directReachability.recordDirectContact()
         if (isFirstContact) dispatcher.push(machine)
     }
 
     /** Handles a direct call to the machine that wasn't answered. */
     fun directCallUnanswered(id: MachineId) {
-        inventory.machines[id]?.let { directReachability.recordUnansweredCall(it, context.now.steadyMs) }
+        inventory.machines[id]?.let { directReachability.recordUnansweredCall(it, context.now.monotonicMs) }
     }
 
     /** An unchanged heartbeat is reconstructed from its base and then handled as a full one. */
@@ -80,7 +80,7 @@
     private fun decide(heartbeat: Heartbeat): HeartbeatDecision {
         if (!context.mayAnswerMachines() || !applyHeartbeat(heartbeat)) return HeartbeatDecision.Refuse
         val machine = inventory.machines.getValue(heartbeat.machine)
-        machine.recordAnswerableHeartbeat(heartbeat, context.now.steadyMs)
+        machine.recordAnswerableHeartbeat(heartbeat, context.now.monotonicMs)
         return dispatcher.replyTo(machine)
     }
 
@@ -107,18 +107,18 @@
     }
 
     private fun register(heartbeat: Heartbeat) =
-        registry.register(heartbeat.machine, Offer(heartbeat.type, heartbeat.zone, heartbeat.spot), context.now.steadyMs)
+        registry.register(heartbeat.machine, Offer(heartbeat.type, heartbeat.zone, heartbeat.spot), context.now.monotonicMs)
 
     private fun recordHeartbeat(machine: Machine, heartbeat: Heartbeat) {
         val isFirstContact = machine.lastContactMs == null
-        machine.recordHeartbeat(heartbeat, context.now.steadyMs)
+        machine.recordHeartbeat(heartbeat, context.now.monotonicMs)
         machine.extendLease(registry.leaseEndFromNowMs())
-        if (heartbeat.token >= dispatcher.firstToken) machine.confirm()
+        if (heartbeat.token >= dispatcher.firstToken) machine.confirmExistence()
         if (isFirstContact) imageCacheHints.applyTo(machine)
     }
 
     private fun recordUp(machine: Machine) {
-        machine.recordUp(context.now.steadyMs)
+        machine.recordUp(context.now.monotonicMs)
         context.logEvent(LogLevel.INFO) {
             "event=machine_up machine=${machine.id} type=${machine.offer.type} zone=${machine.offer.zone} spot=${machine.offer.spot}"
         }
--- a/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatReconciler.kt
@@ -38,7 +38,7 @@
             if (attempt.id !in reported) reconcileMissing(machine, attempt)
         }
         workerReconciler.removeCommittedOutcomes(machine.id, reported)
-        if (jobTable.attemptsOn(machine.id).isNotEmpty()) machine.recordUse(context.now.steadyMs)
+        if (jobTable.attemptsOn(machine.id).isNotEmpty()) machine.recordUse(context.now.monotonicMs)
     }
 
     /** Records that the attempt can't be running any more, which allows its task to be started again. */
@@ -46,7 +46,7 @@
         val event = Event.AttemptTerminated(attempt.id.task.job, attempt.id.task.index, attempt.id.number)
         workerReconciler.recordOutcome(attempt.machine, attempt.id, context.append(event))
         val machine = inventory.machines[attempt.machine] ?: return
-        if (jobTable.attemptsOn(machine.id).isEmpty()) machine.recordUse(context.now.steadyMs)
+        if (jobTable.attemptsOn(machine.id).isEmpty()) machine.recordUse(context.now.monotonicMs)
     }
 
     /** Records the termination of all attempts on the machine. */
@@ -83,14 +83,14 @@
     private fun recordRunning(machine: Machine, attempt: Attempt) {
         machine.recordImage(attempt.job.spec.image, attempt.job.spec.imageGb)
         if (attempt.runningSinceMs != null) return
-        attempt.recordRunning(context.now.steadyMs)
+        attempt.recordRunning(context.now.monotonicMs)
         context.logEvent(LogLevel.DEBUG) { "event=attempt_running attempt=${attempt.id} machine=${machine.id}" }
     }
 
     private fun recordExit(machine: Machine, attempt: Attempt, task: TaskStatus) {
         val job = attempt.job
         when (task.exitReason) {
-            ExitReason.DONE -> if (!job.isDone(attempt.id.task.index)) return recordCompletion(machine, job, attempt.id)
+            ExitReason.DONE -> if (!job.isTaskCompleted(attempt.id.task.index)) return recordCompletion(machine, job, attempt.id)
             ExitReason.ERROR -> {
                 machine.recordTaskFailure()
                 delayRetry(job)
@@ -99,7 +99,7 @@
                 }
             }
             ExitReason.UNKNOWN -> delayRetry(job)
-            ExitReason.NO_ROOM -> machine.recordFull(context.now.steadyMs + (deployment.reportS * 1000).toLong())
+            ExitReason.NO_ROOM -> machine.recordFull(context.now.monotonicMs + (deployment.heartbeatPeriodS * 1000).toLong())
             ExitReason.BUSY, ExitReason.STOPPED, ExitReason.PEERS_MISSING, null -> Unit
         }
         if (task.exitReason != ExitReason.DONE) {
@@ -113,18 +113,22 @@
     /** Records that [attempt] has produced the task's result, and stops the task's live attempt if that is another one. */
     private fun recordCompletion(machine: Machine, job: Job, attempt: AttemptId) {
         val index = attempt.task.index
-        if (job.isDone(index)) return
+        if (job.isTaskCompleted(index)) return
         context.logEvent(LogLevel.DEBUG) { "event=task_completed attempt=$attempt machine=${machine.id}" }
         workerReconciler.recordOutcome(machine.id, attempt, context.append(Event.TaskCompleted(job.id, index, attempt.number)))
         job.recordSuccess()
-        job.liveAttempts[index]?.requestStop(StopCause.STRAY)
-        if (jobTable.attemptsOn(machine.id).isEmpty()) machine.recordUse(context.now.steadyMs)
-        job.stopIfOver()
-        if (job.finishedIndex != null) context.logEvent(LogLevel.DEBUG) { "event=job_completed job=${job.id}" }
+        job.liveAttempts[index]?.requestStop(StopCause.SUPERSEDED)
+        if (jobTable.attemptsOn(machine.id).isEmpty()) machine.recordUse(context.now.monotonicMs)
+        job.stopIfTerminal()
+        if (job.completedIndex != null) context.logEvent(LogLevel.DEBUG) { "event=job_completed job=${job.id}" }
     }
 
     /** Increases the job's retry delay with each failure, up to the duration of a worker's lease. */
     private fun delayRetry(job: Job) {
-        job.recordFailure(context.now.steadyMs, firstDelayMs = timings.roundMs, limitMs = (deployment.leaseS * 1000).toLong())
+        job.recordFailure(
+            context.now.monotonicMs,
+            firstDelayMs = timings.roundPeriodMs,
+            limitMs = (deployment.workerLeaseS * 1000).toLong(),
+        )
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/ImageCacheHints.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/ImageCacheHints.kt
@@ -19,7 +19,7 @@
     start: ClockReading,
 ) {
     private var received: Map<MachineId, ImageCache> = emptyMap()
-    private var lastSharedMs = start.steadyMs
+    private var lastSharedMs = start.monotonicMs
 
     /** Stores the hints that an earlier leader has shared. */
     fun receive(hints: Map<MachineId, ImageCache>) {
@@ -33,8 +33,8 @@
 
     /** Shares the contents of the image caches with the followers once per period. */
     fun shareIfDue() {
-        if (context.now.steadyMs - lastSharedMs < timings.imageHintPeriodMs) return
-        lastSharedMs = context.now.steadyMs
+        if (context.now.monotonicMs - lastSharedMs < timings.imageHintPeriodMs) return
+        lastSharedMs = context.now.monotonicMs
         val up = inventory.machines.values.filter { it.state == MachineState.UP && it.lastContactMs != null }
         context.emit(Effect.ShareImageCacheHints(up.associate { it.id to it.imageCache() }))
     }
--- a/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
@@ -85,7 +85,7 @@
 
     /** Records that the cloud provider rented out fewer machines of [offer] than requested; suspends requests for it for some time. */
     fun recordRefusal(offer: Offer, nowMs: Long) {
-        refusedUntilMs[offer] = nowMs + (deployment.reportS * REFUSAL_BACKOFF_PERIODS * MS_PER_S).toLong()
+        refusedUntilMs[offer] = nowMs + (deployment.heartbeatPeriodS * REFUSAL_BACKOFF_PERIODS * MS_PER_S).toLong()
     }
 
     /** Whether [offer] was refused so recently that it must not be requested again yet. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/Machine.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Machine.kt
@@ -64,7 +64,7 @@
      * probe. The first heartbeat that a new leader receives is no proof, as it may be a delayed duplicate from a machine that
      * was terminated long ago.
      */
-    var isConfirmed = false
+    var isExistenceConfirmed = false
         private set
 
     /** Number of probes sent since the last contact. */
@@ -154,8 +154,8 @@
     }
 
     /** Records that the machine is known to exist. */
-    fun confirm() {
-        isConfirmed = true
+    fun confirmExistence() {
+        isExistenceConfirmed = true
     }
 
     /** Raises the upper bound on the end of the worker's lease to [untilMs], if that is later. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/MachineRegistry.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/MachineRegistry.kt
@@ -21,7 +21,7 @@
     private val terminatedMachines = LinkedHashSet<MachineId>()
 
     /** Until this time a machine that this leader never answered may still run tasks under a lease granted by an earlier leader. */
-    val inheritedLeaseEndMs = start.steadyMs + timings.graceMs + leaseMs()
+    val inheritedLeaseEndMs = start.monotonicMs + timings.graceMs + leaseMs()
 
     /** Whether the cloud provider has confirmed the machine's termination. */
     fun isTerminated(id: MachineId): Boolean = id in terminatedMachines
@@ -38,9 +38,9 @@
     }
 
     /** The time by which a lease that is renewed now has certainly expired. */
-    fun leaseEndFromNowMs(): Long = context.now.steadyMs + leaseMs()
+    fun leaseEndFromNowMs(): Long = context.now.monotonicMs + leaseMs()
 
-    private fun leaseMs() = (deployment.leaseS * 1000).toLong() + timings.leaseMarginMs
+    private fun leaseMs() = (deployment.workerLeaseS * 1000).toLong() + timings.leaseMarginMs
 
     private companion object {
         /** Number of terminated machines that are remembered to distinguish their delayed heartbeats from those of new machines. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
@@ -92,11 +92,12 @@
 
     /** A cancelled attempt is stopped only once the record is committed: a stop can't be undone if the record never is. */
     private fun mayStop(attempt: Attempt) = attempt.stopCause != StopCause.CANCELLED ||
-        (attempt.job.cancelledIndex ?: attempt.job.finishedIndex ?: LogIndex.NONE) <= decisionLog.committedIndex
+        (attempt.job.cancelledIndex ?: attempt.job.completedIndex ?: LogIndex.NONE) <= decisionLog.committedIndex
 
     private fun stopCommandFor(attempt: Attempt, state: TaskState): WorkerCommand? {
         val spec = attempt.job.spec
-        val savesProgress = attempt.stopCause != StopCause.CANCELLED && attempt.stopCause != StopCause.STRAY && spec.checkpointIntervalS > 0
+        val savesProgress =
+            attempt.stopCause != StopCause.CANCELLED && attempt.stopCause != StopCause.SUPERSEDED && spec.checkpointIntervalS > 0
         if (savesProgress && state == TaskState.SAVING) return null
         return WorkerCommand.Stop(attempt.id, if (savesProgress) spec.checkpointWriteS else 0.0)
     }
--- a/src/main/kotlin/cleathitch/scheduler/model/ClockReading.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/ClockReading.kt
@@ -1,7 +1,7 @@
 package cleathitch.scheduler.model
 
 /**
- * A point in time on the controller's steady (monotonic) clock, for durations, and on the wall clock, which may jump but is roughly
+ * A point in time on the controller's monotonic clock, for durations, and on the wall clock, which may jump but is roughly
  * synchronized between controllers.
  */
-data class ClockReading(val steadyMs: Long, val wallMs: Long)
+data class ClockReading(val monotonicMs: Long, val wallMs: Long)
--- a/src/main/kotlin/cleathitch/scheduler/model/Deployment.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/Deployment.kt
@@ -8,23 +8,23 @@
     /** Service-level objectives. */
     val objectives: List<Objective>,
     /** Period of the workers' heartbeats, in seconds. */
-    val reportS: Double,
+    val heartbeatPeriodS: Double,
     /** Lease duration of a worker, in seconds: how long it runs its tasks without a new answer to its heartbeats. */
-    val leaseS: Double,
-    /** Time in seconds after the confirmed cancellation of a job by which none of its tasks may run any more; longer than [leaseS]. */
-    val cancelS: Double,
+    val workerLeaseS: Double,
+    /** Seconds after the confirmed cancellation of a job by which none of its tasks may run any more; longer than [workerLeaseS]. */
+    val cancellationDeadlineS: Double,
     /** Rate limit of the key-value store, in requests per second. */
-    val stateRps: Double,
+    val storeRequestsPerS: Double,
     /** Write rate limit of the key-value store, in key changes per second. */
-    val stateWriteRps: Double,
+    val storeWritesPerS: Double,
     /** Size limit of a stored value, in bytes. */
-    val stateValueBytes: Int,
+    val maxStoredValueBytes: Int,
     /** Limit on the operations of one compare-and-swap transaction. */
-    val stateTxnOps: Int,
+    val maxTransactionOps: Int,
     /** Rate limit of the cloud, in calls per second. */
-    val cloudRps: Double,
+    val cloudCallsPerS: Double,
     /** Maximum lag of the cloud's machine list, in seconds. */
-    val listLagS: Double,
+    val machineListLagS: Double,
     /** Number of controllers. */
-    val nodes: Int,
+    val controllerCount: Int,
 )
--- a/src/main/kotlin/cleathitch/scheduler/model/FencingToken.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/FencingToken.kt
@@ -15,11 +15,11 @@
 value class FencingToken(val packed: Long) : Comparable<FencingToken> {
     override fun compareTo(other: FencingToken) = packed.compareTo(other.packed)
 
-    /** The token with the next count; the caller has to ensure that [countLeft] is positive. */
+    /** The token with the next count; the caller has to ensure that [remainingCount] is positive. */
     fun next() = FencingToken(packed + 1)
 
     /** The number of times that [next] may be called before another record has to be committed. */
-    val countLeft: Long get() = MAX_COUNT - (packed and MAX_COUNT)
+    val remainingCount: Long get() = MAX_COUNT - (packed and MAX_COUNT)
 
     override fun toString() = "${packed shr COUNT_BITS}.${packed and MAX_COUNT}"
 
--- a/src/main/kotlin/cleathitch/scheduler/model/MachineType.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/MachineType.kt
@@ -21,7 +21,7 @@
     val zones: List<String>,
 ) {
     /** Whether a task of the class fits on an empty machine of this type. */
-    fun canHold(placementClass: PlacementClass) =
+    fun fits(placementClass: PlacementClass) =
         placementClass.cpus <= cpus && placementClass.gpus <= gpus && placementClass.memoryGb <= memoryGb
 
     /** The price of a machine of this type per unit of time, as a spot or an on-demand machine. */
--- a/src/main/kotlin/cleathitch/scheduler/model/Objective.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/Objective.kt
@@ -6,10 +6,10 @@
     val share: Double
 
     /** Jobs of the class complete within the deadline after submission. */
-    data class Finished(val className: String, override val deadlineS: Double, override val share: Double) : Objective
+    data class Completion(val className: String, override val deadlineS: Double, override val share: Double) : Objective
 
     /** Jobs of the class start within the deadline after submission. */
-    data class Wait(val className: String, override val deadlineS: Double, override val share: Double) : Objective
+    data class StartDelay(val className: String, override val deadlineS: Double, override val share: Double) : Objective
 
     /** Tasks within their team's guaranteed quota start within the deadline. */
     data class Guarantee(override val deadlineS: Double, override val share: Double) : Objective
--- a/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
@@ -36,9 +36,9 @@
     private val teams: Map<String, Team>,
     private val maxCommitWaitMs: Long,
     /** Sends stop commands for the attempts once the record is committed. */
-    private val stopAfter: (LogIndex, Collection<Attempt>) -> Unit,
+    private val stopOnceCommitted: (LogIndex, Collection<Attempt>) -> Unit,
 ) {
-    /** A reply that waits for [record] to be committed, until [expiresMs] of the steady clock. */
+    /** A reply that waits for [record] to be committed, until [expiresMs] of the monotonic clock. */
     private class PendingReply(val record: LogIndex, val answer: Effect.Answer, val expiresMs: Long)
 
     private val pendingReplies = ArrayList<PendingReply>()
@@ -61,7 +61,7 @@
         when {
             inventory.types.isEmpty() -> answer(request, UserReply.Unavailable("machine types aren't known yet"))
             unsatisfiableReason != null -> answer(request, UserReply.Unsatisfiable(unsatisfiableReason))
-            context.isStalled() -> answer(request, UserReply.Unavailable("the key-value store doesn't answer"))
+            context.isCommitStalled() -> answer(request, UserReply.Unavailable("the key-value store doesn't answer"))
             else -> accept(request, spec)
         }
     }
@@ -85,7 +85,7 @@
     private fun fitsSomeMachineType(spec: JobSpec): Boolean {
         val placementClass = spec.placementClass
         return inventory.types.values.any { type ->
-            type.canHold(placementClass) && type.zones.any { placementClass.permits(Offer(type.name, it, spot = false)) }
+            type.fits(placementClass) && type.zones.any { placementClass.permits(Offer(type.name, it, spot = false)) }
         }
     }
 
@@ -117,7 +117,7 @@
         val job = jobTable.job(id) ?: return UserReply.NotFound
         val running = job.liveAttempts.values.count { it.observedState == TaskState.RUNNING }
         val state = committedState(job)
-        logFinalState(id, state, job.cancelledIndex ?: job.finishedIndex)
+        logFinalState(id, state, job.cancelledIndex ?: job.completedIndex)
         return UserReply.Status(id, state, job.completedCount, running)
     }
 
@@ -130,7 +130,7 @@
             !context.isLeaseHeld() -> answer(request, UserReply.Unavailable("no lease"))
             archived != null -> answer(request, UserReply.Cancelled(id, jobState(archived)))
             job == null -> answer(request, UserReply.NotFound)
-            !job.isTerminal && context.isStalled() -> answer(request, UserReply.Unavailable("the key-value store doesn't answer"))
+            !job.isTerminal && context.isCommitStalled() -> answer(request, UserReply.Unavailable("the key-value store doesn't answer"))
             else -> cancel(request, job)
         }
     }
@@ -138,7 +138,7 @@
     private fun cancel(request: RequestId, job: Job) {
         if (!job.isTerminal) recordCancellation(job)
         val state = if (job.isCancelled) JobState.CANCELLED else JobState.DONE
-        val record = checkNotNull(job.cancelledIndex ?: job.finishedIndex) {
+        val record = checkNotNull(job.cancelledIndex ?: job.completedIndex) {
             "terminal job ${job.id} has neither a cancellation nor a completion record"
         }
         logFinalState(job.id, state, record)
@@ -147,8 +147,8 @@
 
     private fun recordCancellation(job: Job) {
         val record = context.append(Event.JobCancelled(job.id))
-        job.stopIfOver()
-        stopAfter(record, job.liveAttempts.values)
+        job.stopIfTerminal()
+        stopOnceCommitted(record, job.liveAttempts.values)
         context.logEvent(LogLevel.DEBUG) { "event=job_cancelled job=${job.id}" }
     }
 
@@ -162,7 +162,7 @@
 
     /** Answers requests whose commits take too long as unavailable; users may retry them. */
     fun expirePendingReplies() {
-        val expired = pendingReplies.filter { it.expiresMs <= context.now.steadyMs }
+        val expired = pendingReplies.filter { it.expiresMs <= context.now.monotonicMs }
         if (expired.isEmpty()) return
         pendingReplies.removeAll(expired.toSet())
         expired.forEach { answer(it.answer.request, UserReply.Unavailable("not committed within $maxCommitWaitMs ms")) }
@@ -174,7 +174,7 @@
 
     private fun answerAfter(record: LogIndex, request: RequestId, reply: UserReply) {
         if (record <= decisionLog.committedIndex) return answer(request, reply)
-        pendingReplies += PendingReply(record, Effect.Answer(request, reply), context.now.steadyMs + maxCommitWaitMs)
+        pendingReplies += PendingReply(record, Effect.Answer(request, reply), context.now.monotonicMs + maxCommitWaitMs)
     }
 
     /**
@@ -197,7 +197,7 @@
     /** The job's state as visible to users: a terminal state is visible only once its record is committed. */
     private fun committedState(job: Job): JobState {
         job.cancelledIndex?.let { if (it <= decisionLog.committedIndex) return JobState.CANCELLED }
-        job.finishedIndex?.let { if (it <= decisionLog.committedIndex) return JobState.DONE }
+        job.completedIndex?.let { if (it <= decisionLog.committedIndex) return JobState.DONE }
         return if (job.liveAttempts.values.any { it.observedState == TaskState.RUNNING }) JobState.RUNNING else JobState.QUEUED
     }
 }
--- a/src/main/kotlin/cleathitch/storage/KeyValueStoreClient.kt
+++ b/src/main/kotlin/cleathitch/storage/KeyValueStoreClient.kt
@@ -26,12 +26,12 @@
     private val address: Address,
     private val timeoutMs: Long,
     private val name: String = "state",
-    meters: MeterRegistry = SimpleMeterRegistry(),
+    meterRegistry: MeterRegistry = SimpleMeterRegistry(),
 ) {
-    private val client = PooledHttpClient(vertx, name, maxConnections = REQUEST_CONNECTIONS, meters = meters)
+    private val client = PooledHttpClient(vertx, name, maxConnections = REQUEST_CONNECTIONS, meterRegistry = meterRegistry)
 
     /** Watches are long-lived, so they have their own connections and cannot exhaust those of other requests. */
-    private val watchClient = PooledHttpClient(vertx, "$name-watch", maxConnections = WATCH_CONNECTIONS, meters = meters)
+    private val watchClient = PooledHttpClient(vertx, "$name-watch", maxConnections = WATCH_CONNECTIONS, meterRegistry = meterRegistry)
 
     /** Reads one page of the entries whose keys start with [prefix], in key order, starting after the key [after] if it is given. */
     suspend fun list(prefix: String, after: String?): ServiceResult<KeyValueStoreProtocol.Page> {
@@ -95,10 +95,10 @@
      * Waits up to [waitMs] for a change after revision [since] to a key that starts with [prefix]. Also fails if the store no longer
      * holds the changes since that revision.
      */
-    suspend fun watch(prefix: String, since: Long, waitMs: Long): ServiceResult<KeyValueStoreProtocol.Watched> {
+    suspend fun watch(prefix: String, since: Long, waitMs: Long): ServiceResult<KeyValueStoreProtocol.WatchResult> {
         val path = "/follow?under=${encodeQuery(prefix)}&since=$since&blockMs=$waitMs"
         val result = watchClient.call(address, HttpMethod.GET, path, null, waitMs + timeoutMs)
-        return read(result) { KeyValueStoreProtocol.watched(it) }
+        return read(result) { KeyValueStoreProtocol.watchResult(it) }
     }
 
     private suspend fun call(method: HttpMethod, path: String, body: ByteArray?, timeoutMs: Long): CallResult =
--- a/src/main/kotlin/cleathitch/storage/LogCodec.kt
+++ b/src/main/kotlin/cleathitch/storage/LogCodec.kt
@@ -57,17 +57,18 @@
     }
 
     /** Decodes the head from [node]; throws [MalformedMessageException] if it is malformed. */
-    fun head(node: JsonNode) = StoredValue.Head(LogIndex(node.requiredLong(HEAD_INDEX_FIELD)), Term(node.requiredLong(HEAD_TERM_FIELD)))
+    fun decodeHead(node: JsonNode) =
+        StoredValue.Head(LogIndex(node.requiredLong(HEAD_INDEX_FIELD)), Term(node.requiredLong(HEAD_TERM_FIELD)))
 
     /**
      * Decodes the state of a deployment from all of its stored [entries], whose keys are those of [cleathitch.scheduler.log.LogKeys].
      * Throws [MalformedMessageException] if a key or a field of a value is malformed, and the decoder's exceptions if the content of
      * the field cannot be decoded.
      */
-    fun recoveredState(entries: List<KeyValueStoreProtocol.Entry>): RecoveredState {
-        val reader = RecoveredStateReader()
-        entries.forEach(reader::add)
-        return reader.result()
+    fun decodeRecoveredState(entries: List<KeyValueStoreProtocol.Entry>): RecoveredState {
+        val builder = RecoveredStateBuilder()
+        entries.forEach(builder::add)
+        return builder.result()
     }
 
     /** Decodes a value that is stored in one part. */
--- a/src/main/kotlin/cleathitch/storage/LogStorage.kt
+++ b/src/main/kotlin/cleathitch/storage/LogStorage.kt
@@ -20,7 +20,7 @@
  *
  * Every commit is a compare-and-swap on the revisions of the leader's key and of the head key, and rewrites the head key. Therefore
  * a deposed leader cannot commit, and a delayed duplicate of a commit is refused even after compaction has deleted the entries that
- * the commit wrote. [steadyMs] is the monotonic clock.
+ * the commit wrote. [monotonicMs] is the monotonic clock.
  */
 class LogStorage(
     private val store: KeyValueStoreClient,
@@ -28,7 +28,7 @@
     private val leaderKey: String,
     private val term: Term,
     private val processingTimes: ProcessingTimes,
-    private val steadyMs: () -> Long,
+    private val monotonicMs: () -> Long,
 ) {
     private class LogContents(val entries: List<KeyValueStoreProtocol.Entry>, val pages: Int)
 
@@ -41,10 +41,10 @@
 
     /**
      * Reads the whole log, retrying until all pages have been read in one attempt. There are no concurrent writes, because this
-     * controller holds the leader's key. Throws the exceptions of [LogCodec.recoveredState] if a stored value cannot be decoded.
+     * controller holds the leader's key. Throws the exceptions of [LogCodec.decodeRecoveredState] if a stored value cannot be decoded.
      */
     suspend fun load(): RecoveredState {
-        val startedAtMs = steadyMs()
+        val startedAtMs = monotonicMs()
         var attempt = 1
         while (true) {
             when (val read = readPages(attempt)) {
@@ -82,7 +82,7 @@
             term.revision,
             contents.entries.size,
             contents.pages,
-            steadyMs() - startedAtMs,
+            monotonicMs() - startedAtMs,
             attempt,
         )
         loadProgress = LoadProgress.Complete
@@ -92,14 +92,14 @@
     private fun decode(entries: List<KeyValueStoreProtocol.Entry>): RecoveredState {
         headRevision = entries.firstOrNull { it.key == headKey }?.revision ?: KEY_ABSENT
         val relativeEntries = entries.map { KeyValueStoreProtocol.Entry(it.key.removePrefix(keyPrefix), it.value, it.revision) }
-        return processingTimes.measure(ProcessingStage.REPLAY) { LogCodec.recoveredState(relativeEntries) }
+        return processingTimes.measure(ProcessingStage.REPLAY) { LogCodec.decodeRecoveredState(relativeEntries) }
     }
 
     /** Writes [commit], resending the same content until it is certain whether it was applied. */
     suspend fun commit(commit: Commit): CommitResult {
         val expectedRevisions = mapOf(leaderKey to term.revision, headKey to headRevision)
         val writes = processingTimes.measure(ProcessingStage.COMMIT_ENCODING) { commit.changes.flatMap(::writesOf) }
-        val startedAtMs = steadyMs()
+        val startedAtMs = monotonicMs()
         var attempt = 1
         while (true) {
             when (val result = store.compareAndSwap(expectedRevisions, writes)) {
@@ -120,7 +120,7 @@
     private fun committed(commit: Commit, revision: Long, attempt: Int, startedAtMs: Long): CommitResult {
         headRevision = revision
         if (attempt > 1) {
-            val durationMs = steadyMs() - startedAtMs
+            val durationMs = monotonicMs() - startedAtMs
             log.info("term={} event=committed index={} attempt={} duration_ms={}", term.revision, commit.index.number, attempt, durationMs)
         }
         return CommitResult.Committed(revision)
@@ -133,7 +133,7 @@
     private suspend fun revisionOfEarlierAttempt(commit: Commit): Long? {
         val entry = readHead() ?: return null
         val head = try {
-            LogCodec.head(entry.value)
+            LogCodec.decodeHead(entry.value)
         } catch (e: MalformedMessageException) {
             log.error("term={} event=malformed_head error=\"{}\"", term.revision, e.message)
             return null
--- a/src/main/kotlin/cleathitch/storage/RecoveredStateReader.kt
+++ b/src/main/kotlin/cleathitch/storage/RecoveredStateBuilder.kt
@@ -14,7 +14,7 @@
 import cleathitch.scheduler.log.StoredRecord
 
 /** Assembles a [RecoveredState] from the entries of the key-value store: call [add] for each entry, then [result]. */
-internal class RecoveredStateReader {
+internal class RecoveredStateBuilder {
     private var head = LogIndex.NONE
     private var inventory: InventorySnapshot? = null
     private val records = ArrayList<StoredRecord>()
@@ -27,7 +27,7 @@
     fun add(entry: KeyValueStoreProtocol.Entry) {
         val key = entry.key
         when {
-            key == LogKeys.HEAD -> head = LogCodec.head(entry.value).index
+            key == LogKeys.HEAD -> head = LogCodec.decodeHead(entry.value).index
             key == LogKeys.INVENTORY -> inventory = LogCodec.decode(InventorySnapshot.serializer(), entry.value)
             key.startsWith(LogKeys.RECORD_PREFIX) -> addRecord(entry)
             key.startsWith(LogKeys.FINISHED_JOBS_PREFIX) -> addFinishedJobs(entry)
--- a/src/main/kotlin/cleathitch/workers/HeartbeatQueue.kt
+++ b/src/main/kotlin/cleathitch/workers/HeartbeatQueue.kt
@@ -86,7 +86,7 @@
      * Completes [batch] with the leader's [decisions], in the same order. The decisions are discarded if the known leader's
      * [currentTerm] is no longer the batch's term, since a newer leader may have decided differently.
      */
-    fun completeDecided(batch: Batch, decisions: List<HeartbeatDecision>, currentTerm: Long?, nowMs: Long) {
+    fun completeWithDecisions(batch: Batch, decisions: List<HeartbeatDecision>, currentTerm: Long?, nowMs: Long) {
         if (currentTerm != batch.term || decisions.size != batch.entries.size) return completeUnanswered(batch)
         for ((entry, decision) in batch.entries.zip(decisions)) {
             when (decision) {
--- a/src/main/kotlin/cleathitch/workers/WorkerClient.kt
+++ b/src/main/kotlin/cleathitch/workers/WorkerClient.kt
@@ -30,9 +30,9 @@
     private val commandTimeoutMs: Long,
     private val probeTimeoutMs: Long,
     maxConcurrentCalls: Int,
-    meters: MeterRegistry,
+    meterRegistry: MeterRegistry,
 ) {
-    private val client = PooledHttpClient(vertx, "workers", maxConnections = 2, meters, keepAlive = false, logsOutages = false)
+    private val client = PooledHttpClient(vertx, "workers", maxConnections = 2, meterRegistry, keepAlive = false, logsOutages = false)
     private val permits = Semaphore(maxConcurrentCalls)
 
     /** Sends [command]; the result is the worker's heartbeat, which it returns whether or not it executed the command. */
--- a/src/test/kotlin/cleathitch/controller/FollowerContactsTest.kt
+++ b/src/test/kotlin/cleathitch/controller/FollowerContactsTest.kt
@@ -8,7 +8,7 @@
 
 class FollowerContactsTest {
     private var nowMs = 1000L
-    private val contacts = FollowerContacts(steadyMs = { nowMs }, reachableMs = 100)
+    private val contacts = FollowerContacts(monotonicMs = { nowMs }, reachableMs = 100)
 
     @Test
     fun `a follower is reachable for reachableMs after its last contact`() {
--- a/src/test/kotlin/cleathitch/election/LeaderElectionTest.kt
+++ b/src/test/kotlin/cleathitch/election/LeaderElectionTest.kt
@@ -35,13 +35,13 @@
             incarnation = "one",
             ttlMs = 1000,
             leaderKey = "leader/cleathitch",
-            ::steadyMs,
+            ::monotonicMs,
         )
         val listener = object : ElectionListener {
             override fun onElected(lease: LeaderLease) {
                 elected += lease
             }
-            override fun onDeposed(lease: LeaderLease, reason: TermEndReason) = Unit
+            override fun onTermEnded(lease: LeaderLease, reason: TermEndReason) = Unit
             override fun onLeaderObserved(member: String?, term: Long) = Unit
         }
         scope.launch { election.run(listener) }
@@ -59,7 +59,7 @@
     fun `a controller does not resume a term from which it resigned`() {
         campaign()
         val first = awaitElection()
-        platform.store.rejectsReleases = true
+        platform.store.rejectsLeaseRevocations = true
         first.resign("for the test", transferLeadership = false)
         val second = awaitElection()
         assertTrue(second.term.revision > first.term.revision) { "${second.term} after ${first.term}" }
@@ -73,10 +73,10 @@
         // The test never calls recordProgress on the lease.
         val second = awaitElection()
         assertTrue(second.term.revision > first.term.revision)
-        assertTrue(first.validUntilMs <= steadyMs())
+        assertTrue(first.validUntilMs <= monotonicMs())
     }
 
-    private fun steadyMs() = TimeUnit.NANOSECONDS.toMillis(System.nanoTime())
+    private fun monotonicMs() = TimeUnit.NANOSECONDS.toMillis(System.nanoTime())
 
     private companion object {
         const val ELECTION_TIMEOUT_S = 30L
--- a/src/test/kotlin/cleathitch/formats/StoredFormatTest.kt
+++ b/src/test/kotlin/cleathitch/formats/StoredFormatTest.kt
@@ -75,7 +75,7 @@
     fun `the encoding of log records is unchanged`() = records.map { (name, record) ->
         DynamicTest.dynamicTest(name) {
             GoldenFiles.assertMatches(name, encoded(StoredValue.Record(record)).single())
-            val recovered = LogCodec.recoveredState(listOf(entry("r/0000000000000000091", name)))
+            val recovered = LogCodec.decodeRecoveredState(listOf(entry("r/0000000000000000091", name)))
             assertEquals(listOf(StoredRecord(LogIndex(91), record)), recovered.records)
         }
     }
@@ -84,7 +84,7 @@
     fun `the encoding of a job snapshot in two parts with live attempts is unchanged`() {
         val parts = encoded(StoredValue.Job(jobSnapshot), parts = 2)
         parts.forEachIndexed { part, bytes -> GoldenFiles.assertMatches("job-part-$part", bytes) }
-        val recovered = LogCodec.recoveredState(List(2) { part -> entry("j/j-000412/$part", "job-part-$part") })
+        val recovered = LogCodec.decodeRecoveredState(List(2) { part -> entry("j/j-000412/$part", "job-part-$part") })
         val stored = recovered.jobs.single()
         assertEquals(2, stored.parts)
         assertArrayEquals(completedTasks, stored.snapshot.completedTasks)
@@ -94,7 +94,7 @@
     @Test
     fun `the encoding of an inventory snapshot with rentals and returned machines is unchanged`() {
         GoldenFiles.assertMatches("fleet", encoded(StoredValue.Inventory(inventorySnapshot)).single())
-        assertEquals(inventorySnapshot, LogCodec.recoveredState(listOf(entry("fleet", "fleet"))).inventory)
+        assertEquals(inventorySnapshot, LogCodec.decodeRecoveredState(listOf(entry("fleet", "fleet"))).inventory)
     }
 
     @Test
@@ -102,15 +102,15 @@
         GoldenFiles.assertMatches("finals", encoded(StoredValue.FinishedJobs(finishedJobs)).single())
         assertEquals(
             listOf(StoredFinishedJobs(4, finishedJobs)),
-            LogCodec.recoveredState(listOf(entry("f/0000000000000000004", "finals"))).finishedJobs,
+            LogCodec.decodeRecoveredState(listOf(entry("f/0000000000000000004", "finals"))).finishedJobs,
         )
     }
 
     @Test
     fun `the encoding of the head is unchanged`() {
         GoldenFiles.assertMatches("head", encoded(StoredValue.Head(LogIndex(93), Term(812))).single())
-        assertEquals(StoredValue.Head(LogIndex(93), Term(812)), LogCodec.head(MessageCodec.decodeMap(GoldenFiles.read("head"))))
-        assertEquals(LogIndex(93), LogCodec.recoveredState(listOf(entry("head", "head"))).head)
+        assertEquals(StoredValue.Head(LogIndex(93), Term(812)), LogCodec.decodeHead(MessageCodec.decodeMap(GoldenFiles.read("head"))))
+        assertEquals(LogIndex(93), LogCodec.decodeRecoveredState(listOf(entry("head", "head"))).head)
     }
 
     @Test
--- a/src/test/kotlin/cleathitch/http/PooledHttpClientTest.kt
+++ b/src/test/kotlin/cleathitch/http/PooledHttpClientTest.kt
@@ -23,8 +23,8 @@
     private val server = StubServer()
     private val vertx = Vertx.vertx()
     private val scope = CoroutineScope(vertx.dispatcher() + SupervisorJob())
-    private val meters = SimpleMeterRegistry()
-    private val client = PooledHttpClient(vertx, "test", maxConnections = CONNECTIONS, meters, connectTimeoutMs = 5000)
+    private val meterRegistry = SimpleMeterRegistry()
+    private val client = PooledHttpClient(vertx, "test", maxConnections = CONNECTIONS, meterRegistry, connectTimeoutMs = 5000)
 
     @AfterEach
     fun close() {
@@ -36,7 +36,7 @@
         client.call(to, HttpMethod.GET, path, null, timeoutMs)
     }
 
-    private fun gauge(name: String) = meters.get(name).tag("client", "test").gauge().value().toInt()
+    private fun gauge(name: String) = meterRegistry.get(name).tag("client", "test").gauge().value().toInt()
 
     private suspend fun awaitCondition(description: String, condition: () -> Boolean) {
         repeat(TIMEOUT_MS / 10) {
--- a/src/test/kotlin/cleathitch/leader/PendingRequestsTest.kt
+++ b/src/test/kotlin/cleathitch/leader/PendingRequestsTest.kt
@@ -14,7 +14,7 @@
 
 class PendingRequestsTest {
     private var nowMs = 1000L
-    private val pending = PendingRequests<String>(steadyMs = { nowMs })
+    private val pending = PendingRequests<String>(monotonicMs = { nowMs })
     private val first = RequestId(1)
     private val second = RequestId(2)
 
--- a/src/test/kotlin/cleathitch/leader/TermRequestsTest.kt
+++ b/src/test/kotlin/cleathitch/leader/TermRequestsTest.kt
@@ -16,7 +16,7 @@
 class TermRequestsTest {
     private var nowMs = 0L
     private val queue = InputQueue(maxQueuedRequests = 2)
-    private val requests = TermRequests(queue, steadyMs = { nowMs }, wakeUp = {})
+    private val requests = TermRequests(queue, monotonicMs = { nowMs }, wakeUp = {})
     private val job = JobId("j-000001")
 
     private fun CoroutineScope.polling() = async(start = CoroutineStart.UNDISPATCHED) { requests.poll(job) }
--- a/src/test/kotlin/cleathitch/loopback/ConnectionLeakTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/ConnectionLeakTest.kt
@@ -40,13 +40,20 @@
     private val server = StubServer { if (isFaulty) StubServer.TREATMENTS.random(serverRandom) else StubServer.AT_ONCE }
     private val vertx = Vertx.vertx()
     private val scope = CoroutineScope(vertx.dispatcher() + SupervisorJob())
-    private val meters = SimpleMeterRegistry()
+    private val meterRegistry = SimpleMeterRegistry()
 
-    private val state = KeyValueStoreClient(vertx, server.address, TIMEOUT_MS, meters = meters)
-    private val peers = PeerClient(vertx, meters)
-    private val workers = WorkerClient(vertx, TIMEOUT_MS, TIMEOUT_MS, maxConcurrentCalls = CONCURRENT_CALLS / 2, meters)
+    private val state = KeyValueStoreClient(vertx, server.address, TIMEOUT_MS, meterRegistry = meterRegistry)
+    private val peers = PeerClient(vertx, meterRegistry)
+    private val workers = WorkerClient(vertx, TIMEOUT_MS, TIMEOUT_MS, maxConcurrentCalls = CONCURRENT_CALLS / 2, meterRegistry)
     private val cloud =
-        CloudClient(vertx, server.address, CallRateLimiter(CLOUD_CALLS_PER_S, ::steadyMs), TIMEOUT_MS, ProcessingTimes(meters), meters)
+        CloudClient(
+            vertx,
+            server.address,
+            CallRateLimiter(CLOUD_CALLS_PER_S, ::monotonicMs),
+            TIMEOUT_MS,
+            ProcessingTimes(meterRegistry),
+            meterRegistry,
+        )
 
     /** One call of each client, keyed by the client's name in the metrics. */
     private val calls: Map<String, suspend () -> Any?> = mapOf(
@@ -99,17 +106,17 @@
 
     private fun isIdle(client: String) = gauge(client, "in_use") == 0 && gauge(client, "waiting") == 0
 
-    private fun gauge(client: String, name: String) = meters.get("http.client.$name").tag("client", client).gauge().value().toInt()
+    private fun gauge(client: String, name: String) = meterRegistry.get("http.client.$name").tag("client", client).gauge().value().toInt()
 
     /** How many calls were answered: the stub server's status 503 is counted with the outcome `refused`. */
-    private fun answered(client: String) = meters.find("http.client.calls").tag("client", client).tag("outcome", "refused").counter()
+    private fun answered(client: String) = meterRegistry.find("http.client.calls").tag("client", client).tag("outcome", "refused").counter()
         ?.count()?.toInt() ?: 0
 
     private suspend fun await(what: String, condition: () -> Boolean) {
-        val endMs = steadyMs() + AWAIT_TIMEOUT_MS
+        val endMs = monotonicMs() + AWAIT_TIMEOUT_MS
         while (!condition()) {
-            if (steadyMs() > endMs) {
-                throw AssertionError("timed out after $AWAIT_TIMEOUT_MS ms waiting for: $what\n${MetricsText.text(meters)}")
+            if (monotonicMs() > endMs) {
+                throw AssertionError("timed out after $AWAIT_TIMEOUT_MS ms waiting for: $what\n${MetricsText.text(meterRegistry)}")
             }
             delay(POLL_MS)
         }
@@ -124,6 +131,6 @@
         const val AWAIT_TIMEOUT_MS = 10_000L
         const val POLL_MS = 10L
 
-        fun steadyMs() = TimeUnit.NANOSECONDS.toMillis(System.nanoTime())
+        fun monotonicMs() = TimeUnit.NANOSECONDS.toMillis(System.nanoTime())
     }
 }
--- a/src/test/kotlin/cleathitch/loopback/SimulatedKeyValueStore.kt
+++ b/src/test/kotlin/cleathitch/loopback/SimulatedKeyValueStore.kt
@@ -23,7 +23,7 @@
 
     /** Makes every release of a lease fail, so that leases end only by expiry. */
     @Volatile
-    var rejectsReleases = false
+    var rejectsLeaseRevocations = false
 
     /** The data at [key], or null if the key does not exist. */
     @Synchronized
@@ -89,7 +89,7 @@
     }
 
     private fun releaseLease(id: Long): SimulatedReply {
-        if (rejectsReleases) return SimulatedReply(503, newReplyBody())
+        if (rejectsLeaseRevocations) return SimulatedReply(503, newReplyBody())
         val reply = SimulatedReply(if (id in leases) 200 else 404, newReplyBody())
         leases.remove(id)
         deleteEntriesOfEndedLeases()
--- a/src/test/kotlin/cleathitch/metrics/ProcessingTimesTest.kt
+++ b/src/test/kotlin/cleathitch/metrics/ProcessingTimesTest.kt
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Test
 
 class ProcessingTimesTest {
-    private val meters = SimpleMeterRegistry()
-    private val times = ProcessingTimes(meters)
+    private val meterRegistry = SimpleMeterRegistry()
+    private val times = ProcessingTimes(meterRegistry)
 
     @Test
     fun `a summary lists the stages that ran since the last summary`() {
@@ -23,7 +23,7 @@
         times.measure(ProcessingStage.REPLAY) {}
         times.summary()
         times.measure(ProcessingStage.REPLAY) {}
-        assertTrue("processing.count stage=replay 2.0\n" in MetricsText.text(meters)) { MetricsText.text(meters) }
+        assertTrue("processing.count stage=replay 2.0\n" in MetricsText.text(meterRegistry)) { MetricsText.text(meterRegistry) }
     }
 
     @Test
--- a/src/test/kotlin/cleathitch/peers/PeerMessagesTest.kt
+++ b/src/test/kotlin/cleathitch/peers/PeerMessagesTest.kt
@@ -35,7 +35,7 @@
     private fun batch(): PeerRequest.FollowerBatch {
         val queue = HeartbeatQueue(answerTimeoutMs = 3000)
         queue.add(heartbeat, nowMs = 0) {}
-        queue.completeDecided(queue.nextBatch(9, 0), listOf(HeartbeatDecision.Answer(token, commands)), currentTerm = 9, nowMs = 0)
+        queue.completeWithDecisions(queue.nextBatch(9, 0), listOf(HeartbeatDecision.Answer(token, commands)), currentTerm = 9, nowMs = 0)
         queue.add(heartbeat.copy(sequenceNumber = 41, preemptionNoticeS = null), nowMs = 0) {}
         queue.add(heartbeat.copy(machine = MachineId("vm-2")), nowMs = 0) {}
         val outgoing = OutgoingBatch(queue.nextBatch(9, 0), listOf(JobId("j-1"), JobId("j-2")), listOf(DeliveryResult(9, 5, heartbeat)))
--- a/src/test/kotlin/cleathitch/scheduler/CancellationFaultsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/CancellationFaultsTest.kt
@@ -21,11 +21,15 @@
      */
     @Test
     fun `grace period, worker lease and margin end before the cancellation deadline at every heartbeat interval`() {
-        for (reportS in listOf(1.0, 3.0, 6.0, 10.0)) {
-            for (cancelS in listOf(deployment.leaseS + 12, 64.0, 120.0)) {
-                val timings = SchedulerTimings.of(deployment.copy(reportS = reportS, cancelS = cancelS))
-                val stoppedByMs = timings.graceMs + deployment.leaseS * 1000 + timings.leaseMarginMs
-                assertTrue(stoppedByMs < cancelS * 1000) { "tasks stop after $stoppedByMs ms with report_s=$reportS cancel_s=$cancelS" }
+        for (heartbeatPeriodS in listOf(1.0, 3.0, 6.0, 10.0)) {
+            for (cancellationDeadlineS in listOf(deployment.workerLeaseS + 12, 64.0, 120.0)) {
+                val timings = SchedulerTimings.of(
+                    deployment.copy(heartbeatPeriodS = heartbeatPeriodS, cancellationDeadlineS = cancellationDeadlineS),
+                )
+                val stoppedByMs = timings.graceMs + deployment.workerLeaseS * 1000 + timings.leaseMarginMs
+                assertTrue(stoppedByMs < cancellationDeadlineS * 1000) {
+                    "tasks stop after $stoppedByMs ms with report_s=$heartbeatPeriodS cancel_s=$cancellationDeadlineS"
+                }
             }
         }
     }
--- a/src/test/kotlin/cleathitch/scheduler/CombinedFaultsHarness.kt
+++ b/src/test/kotlin/cleathitch/scheduler/CombinedFaultsHarness.kt
@@ -15,7 +15,7 @@
     protected val machine = fakeMachine(0)
 
     /** The number of heartbeat intervals after which a worker's lease has certainly expired. */
-    protected val intervalsUntilLeaseExpiry get() = (deployment.leaseS / deployment.reportS).toInt() + 1
+    protected val intervalsUntilLeaseExpiry get() = (deployment.workerLeaseS / deployment.heartbeatPeriodS).toInt() + 1
 
     protected fun fakeMachine(number: Int) = FakeMachine(heartbeat(number))
 
--- a/src/test/kotlin/cleathitch/scheduler/CommitVisibilityTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/CommitVisibilityTest.kt
@@ -58,7 +58,7 @@
         machine.sendHeartbeat()
         assertTrue(confirmsCancellation(cancel(1)))
         isStoreUnavailable = true
-        advanceTo(nowMs + timings.compactionMs)
+        advanceTo(nowMs + timings.compactionPeriodMs)
 
         machine.sendHeartbeat()
         machine.sendHeartbeat()
@@ -75,7 +75,7 @@
         machine.sendHeartbeat()
         runRounds(2)
         isStoreUnavailable = true
-        advanceTo(nowMs + timings.compactionMs)
+        advanceTo(nowMs + timings.compactionPeriodMs)
         machine.completeTasks()
         val archiveChanges = machine.sendHeartbeat().commits().single().changes.filter { it.key.startsWith(LogKeys.FINISHED_JOBS_PREFIX) }
         assertEquals(1, archiveChanges.size) { "changes under ${LogKeys.FINISHED_JOBS_PREFIX} in the commit" }
--- a/src/test/kotlin/cleathitch/scheduler/FailoverFaultsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FailoverFaultsTest.kt
@@ -52,7 +52,7 @@
     fun `after all controllers were down for longer than a worker's lease, an attempt is restarted on its machine, once`() {
         becomeLeaderWithFleet()
         val (attempt) = startJob(1)
-        advanceTo(nowMs + (deployment.leaseS * 1500).toLong())
+        advanceTo(nowMs + (deployment.workerLeaseS * 1500).toLong())
         machine.expireLease()
 
         failOver()
--- a/src/test/kotlin/cleathitch/scheduler/FailureDetectorTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FailureDetectorTest.kt
@@ -25,7 +25,7 @@
     fun `when all heartbeats stop arriving, no machine is terminated before its lease has expired`() {
         becomeLeaderWithBusyFleet()
 
-        val effects = (1..(deployment.leaseS / deployment.reportS).toInt()).flatMap { runInterval(emptyList()) }
+        val effects = (1..(deployment.workerLeaseS / deployment.heartbeatPeriodS).toInt()).flatMap { runInterval(emptyList()) }
 
         assertEquals(emptySet<MachineId>(), effects.terminatedMachines())
     }
--- a/src/test/kotlin/cleathitch/scheduler/LargeFleetTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/LargeFleetTest.kt
@@ -56,7 +56,8 @@
         while (storedEntries().size > MAX_ENTRIES_AFTER_COMPACTION && rounds++ < MAX_ROUNDS) runRounds(1)
 
         println(
-            "$MACHINES exited tasks: $entriesBefore entries before, ${storedEntries().size} after $rounds rounds of ${timings.roundMs} ms",
+            "$MACHINES exited tasks: $entriesBefore entries before, " +
+                "${storedEntries().size} after $rounds rounds of ${timings.roundPeriodMs} ms",
         )
         assertTrue(storedEntries().size <= MAX_ENTRIES_AFTER_COMPACTION) {
             "${storedEntries().size} entries stored after $rounds rounds, expected at most $MAX_ENTRIES_AFTER_COMPACTION"
--- a/src/test/kotlin/cleathitch/scheduler/ScalabilityTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/ScalabilityTest.kt
@@ -48,8 +48,8 @@
         runRounds(40)
 
         val changes = commits.drop(commitsBeforeBurst).sumOf { it.changes.size }
-        assertTrue(changes <= deployment.stateWriteRps * (nowMs - startMs + 1000) / 1000) {
-            "$changes changes in ${nowMs - startMs} ms, limit ${deployment.stateWriteRps} per second"
+        assertTrue(changes <= deployment.storeWritesPerS * (nowMs - startMs + 1000) / 1000) {
+            "$changes changes in ${nowMs - startMs} ms, limit ${deployment.storeWritesPerS} per second"
         }
     }
 
@@ -141,10 +141,10 @@
     private fun assertWithinLimits(commit: Commit) {
         val values = commit.changes.filterIsInstance<Mutation.Put>().flatMap { LogCodec.encode(it.value, it.parts) }
         val operations = values.size + commit.changes.count { it is Mutation.Delete }
-        assertTrue(operations <= deployment.stateTxnOps) { "commit of $operations operations, limit ${deployment.stateTxnOps}" }
+        assertTrue(operations <= deployment.maxTransactionOps) { "commit of $operations operations, limit ${deployment.maxTransactionOps}" }
         values.forEach {
-            assertTrue(it.toString().length <= deployment.stateValueBytes) {
-                "value of ${it.toString().length} characters, limit ${deployment.stateValueBytes}"
+            assertTrue(it.toString().length <= deployment.maxStoredValueBytes) {
+                "value of ${it.toString().length} characters, limit ${deployment.maxStoredValueBytes}"
             }
         }
         val bytes = values.sumOf { it.toString().length + MAX_KEY_BYTES }
--- a/src/test/kotlin/cleathitch/scheduler/SchedulerHarness.kt
+++ b/src/test/kotlin/cleathitch/scheduler/SchedulerHarness.kt
@@ -29,9 +29,9 @@
     protected val type = machineType()
     protected val deployment = SimulatedCluster.standard.copy(teams = mapOf("red" to Team("red", 8.0, maxCpus, 0.0, null)))
     protected val timings = SchedulerTimings.of(deployment)
-    protected val heartbeatIntervalMs = (deployment.reportS * 1000).toLong()
-    protected val workerLeaseMs = (deployment.leaseS * 1000).toLong()
-    protected val roundsPerHeartbeat = (deployment.reportS * 1000 / timings.roundMs).toInt()
+    protected val heartbeatIntervalMs = (deployment.heartbeatPeriodS * 1000).toLong()
+    protected val workerLeaseMs = (deployment.workerLeaseS * 1000).toLong()
+    protected val roundsPerHeartbeat = (deployment.heartbeatPeriodS * 1000 / timings.roundPeriodMs).toInt()
 
     protected var scheduler = Scheduler(deployment, timings, Term(term), recovered, ClockReading(0, 0), StoredSizeEstimator)
         private set
@@ -85,7 +85,7 @@
                 deployment,
                 timings,
                 Term(term),
-                LogCodec.recoveredState(storedEntries()),
+                LogCodec.decodeRecoveredState(storedEntries()),
                 ClockReading(nowMs, nowMs),
                 StoredSizeEstimator,
             )
@@ -109,7 +109,7 @@
 
     /** Advances the clock by [count] scheduling rounds and runs each. */
     protected fun runRounds(count: Int) = List(count) {
-        nowMs += timings.roundMs
+        nowMs += timings.roundPeriodMs
         step(Input.Tick)
     }.flatten()
 
--- a/src/test/kotlin/cleathitch/scheduler/SchedulerTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/SchedulerTest.kt
@@ -94,11 +94,11 @@
     }
 
     @Test
-    fun `fencing tokens are ordered by term, cursor and count, and stay below 2 to the 63`() {
+    fun `fencing tokens are ordered by term, revision and count, and stay below 2 to the 63`() {
         val old = FencingToken.first(41)
 
         assertTrue(old.next() > old)
-        assertTrue(FencingToken.first(42) > FencingToken(old.packed + old.countLeft))
+        assertTrue(FencingToken.first(42) > FencingToken(old.packed + old.remainingCount))
         assertTrue(FencingToken.first((1L shl 43) - 1).packed > 0)
     }
 
--- a/src/test/kotlin/cleathitch/scheduler/StoreOutageTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/StoreOutageTest.kt
@@ -16,7 +16,7 @@
         val started = submit(1, tasks = 12) { copy(kind = JobKind.SERVICE) } + runRounds(2)
         deliver(started.directCalls(), fleet)
         isStoreUnavailable = true
-        runIntervals((deployment.cancelS / deployment.reportS).toInt() + 10, fleet)
+        runIntervals((deployment.cancellationDeadlineS / deployment.heartbeatPeriodS).toInt() + 10, fleet)
         fleet.forEach { it.expireLease() }
 
         val effects = step(Input.LeaseRenewed(NO_EXPIRY_MS)) + endStoreOutage() + runIntervals(3, fleet)
--- a/src/test/kotlin/cleathitch/scheduler/capacity/CapacityPlannerTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/capacity/CapacityPlannerTest.kt
@@ -16,9 +16,9 @@
 class CapacityPlannerTest {
     private val deployment = Deployment(
         zones = listOf("a", "b"), teams = emptyMap(), objectives = emptyList(),
-        reportS = 3.0, leaseS = 34.0, cancelS = 64.0,
-        stateRps = 100.0, stateWriteRps = 40.0, stateValueBytes = 16_384, stateTxnOps = 32,
-        cloudRps = 4.0, listLagS = 4.0, nodes = 3,
+        heartbeatPeriodS = 3.0, workerLeaseS = 34.0, cancellationDeadlineS = 64.0,
+        storeRequestsPerS = 100.0, storeWritesPerS = 40.0, maxStoredValueBytes = 16_384, maxTransactionOps = 32,
+        cloudCallsPerS = 4.0, machineListLagS = 4.0, controllerCount = 3,
     )
     private val type = MachineType("m4", 4.0, 0.0, 16.0, 50.0, 1.0, price = 1.0, spotPrice = 0.4, bootS = 5.0, zones = listOf("a", "b"))
     private val inventory = Inventory(deployment).also { it.updateTypes(listOf(type)) }
--- a/src/test/kotlin/cleathitch/scheduler/log/DecisionLogTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/log/DecisionLogTest.kt
@@ -94,7 +94,7 @@
 
     @Test
     fun `the starts of a gang are stored in one record`() {
-        val eventsPerRecord = (deployment.stateValueBytes * 0.8 / EVENT_BYTES).toInt()
+        val eventsPerRecord = (deployment.maxStoredValueBytes * 0.8 / EVENT_BYTES).toInt()
         repeat(eventsPerRecord - 1) { decisionLog.append(Event.JobCancelled(spec.id)) }
         val starts = List(2) { start.copy(taskIndex = it) }
         decisionLog.reserveSpaceFor(starts)
@@ -153,8 +153,8 @@
     @Test
     fun `nothing is compacted while a later record is pending`() {
         appendAndCommit(Event.JobAccepted(spec, 0))
-        val recordsPerCommit = deployment.stateTxnOps / 4
-        val eventsPerRecord = (deployment.stateValueBytes * 0.8 / EVENT_BYTES).toInt()
+        val recordsPerCommit = deployment.maxTransactionOps / 4
+        val eventsPerRecord = (deployment.maxStoredValueBytes * 0.8 / EVENT_BYTES).toInt()
         repeat(recordsPerCommit * eventsPerRecord + 1) { decisionLog.append(Event.JobCancelled(spec.id)) }
         val commit = commit(maxCompactionChanges = 10)
         assertTrue(decisionLog.hasPendingRecords)
--- a/src/test/kotlin/cleathitch/scheduler/simulation/FaultInjector.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/FaultInjector.kt
@@ -80,7 +80,7 @@
     }
 
     private fun killAllControllers() {
-        val downMs = random.nextLong((cluster.deployment.leaseS * 1300).toLong())
+        val downMs = random.nextLong((cluster.deployment.workerLeaseS * 1300).toLong())
         cluster.controllers.forEach { it.kill(downMs + random.nextLong(2000)) }
     }
 
@@ -97,7 +97,7 @@
                 return events.schedule(SUCCESSOR_POLL_INTERVAL_MS, ::cancelOnceSuccessorLeads)
             }
             cluster.users.cancelRunningJobs(hang = random.nextBoolean())
-            events.schedule(random.nextLong(100, 1500)) { store.startOutage((cluster.deployment.cancelS * 1200).toLong()) }
+            events.schedule(random.nextLong(100, 1500)) { store.startOutage((cluster.deployment.cancellationDeadlineS * 1200).toLong()) }
         }
         cancelOnceSuccessorLeads()
     }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/FaultSchedule.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/FaultSchedule.kt
@@ -51,7 +51,7 @@
     val allControllersDownEveryS: Double = 0.0,
     /**
      * Time in seconds at which the leader is isolated from the key-value store; 0 disables the fault. Once its successor leads, users
-     * cancel jobs, and then the store is unavailable for longer than `cancelS`.
+     * cancel jobs, and then the store is unavailable for longer than `cancellationDeadlineS`.
      */
     val failoverThenOutageAtS: Double = 0.0,
     /** Share of commits archiving jobs that are never sent, as the leader is killed within the time to live of its lease. */
--- a/src/test/kotlin/cleathitch/scheduler/simulation/InvariantChecker.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/InvariantChecker.kt
@@ -111,7 +111,7 @@
     private fun checkCancelledTasksStop(running: List<RunningTask>) {
         for (it in running) {
             val confirmedMs = it.job.cancellationConfirmedMs ?: continue
-            if (cluster.events.nowMs - confirmedMs > cluster.deployment.cancelS * 1000) {
+            if (cluster.events.nowMs - confirmedMs > cluster.deployment.cancellationDeadlineS * 1000) {
                 violate(Invariant.CANCELLED_TASKS_STOP, "${it.task} still runs on ${it.worker.id}")
             }
         }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
@@ -93,10 +93,10 @@
         val standard = Deployment(
             zones = listOf("a", "b"),
             teams = mapOf("red" to Team("red", 8.0, 12.0, 0.0, null), "blue" to Team("blue", 0.0, null, 0.0, null)),
-            objectives = listOf(Objective.Wait("web", 1.0, 0.9), Objective.Finished("batch", 60.0, 0.9)),
-            reportS = 3.0, leaseS = 34.0, cancelS = 64.0,
-            stateRps = 100.0, stateWriteRps = 40.0, stateValueBytes = 16_384, stateTxnOps = 32,
-            cloudRps = 4.0, listLagS = 4.0, nodes = 3,
+            objectives = listOf(Objective.StartDelay("web", 1.0, 0.9), Objective.Completion("batch", 60.0, 0.9)),
+            heartbeatPeriodS = 3.0, workerLeaseS = 34.0, cancellationDeadlineS = 64.0,
+            storeRequestsPerS = 100.0, storeWritesPerS = 40.0, maxStoredValueBytes = 16_384, maxTransactionOps = 32,
+            cloudCallsPerS = 4.0, machineListLagS = 4.0, controllerCount = 3,
         )
 
         /** A job of [tasks] tasks with 2 CPUs each. Services have production priority and do not allow spot machines. */
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedController.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedController.kt
@@ -16,7 +16,7 @@
 
 /**
  * A controller process: takes part in elections and renews its lease. While it leads, it passes inputs to a [Scheduler] and executes
- * its effects. Its steady clock runs at [clockRate] times the speed of virtual time.
+ * its effects. Its monotonic clock runs at [clockRate] times the speed of virtual time.
  */
 class SimulatedController(private val cluster: SimulatedCluster, val name: String, private val clockRate: Double) {
     private val events = cluster.events
@@ -44,7 +44,7 @@
 
     fun isLeadingIn(term: Long) = this.term == term && isLeading
 
-    fun steadyMs() = (events.nowMs * clockRate).toLong() + STEADY_CLOCK_START_MS
+    fun monotonicMs() = (events.nowMs * clockRate).toLong() + MONOTONIC_CLOCK_START_MS
 
     /** Makes the key-value store refuse requests of this controller only. */
     fun isolateFromStore(durationMs: Long) {
@@ -121,13 +121,13 @@
         handle(Input.FollowerBatchReceived(request, batch.heartbeats))
     }
 
-    private fun clockReading() = ClockReading(steadyMs(), events.nowMs)
+    private fun clockReading() = ClockReading(monotonicMs(), events.nowMs)
 
     private fun becomeLeader() {
         term = store.elect(this)
         logStorage.startTerm(store.headRevision)
         lastRenewalMs = events.nowMs
-        val leaseEndMs = steadyMs() + USABLE_LEASE_MS
+        val leaseEndMs = monotonicMs() + USABLE_LEASE_MS
         scheduler = Scheduler(cluster.deployment, cluster.timings, Term(term), store.snapshot(), clockReading(), StoredSizeEstimator)
         cluster.log("$name leads in term $term")
         handle(Input.LeaseRenewed(leaseEndMs))
@@ -135,7 +135,7 @@
     }
 
     private fun renewLease() {
-        val sentMs = steadyMs()
+        val sentMs = monotonicMs()
         lastRenewalMs = events.nowMs
         if (!canReachStore) return
         val renewedTerm = term
@@ -178,7 +178,7 @@
                 }
             }
         }
-        events.schedule((cluster.deployment.reportS * 1000).toLong()) {
+        events.schedule((cluster.deployment.heartbeatPeriodS * 1000).toLong()) {
             if (!isAnswered && term == callingTerm) handle(Input.DirectCallUnanswered(machine))
         }
     }
@@ -196,7 +196,7 @@
     private companion object {
         const val LOOP_INTERVAL_MS = 200L
         const val RENEWAL_INTERVAL_MS = SimulatedCluster.LEASE_TTL_MS / 4
-        const val STEADY_CLOCK_START_MS = 1_000_000
+        const val MONOTONIC_CLOCK_START_MS = 1_000_000
 
         /** A leader relies on its lease for slightly less than the time to live, because its clock may run slow. */
         const val USABLE_LEASE_MS = SimulatedCluster.LEASE_TTL_MS * 999 / 1000
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedHeartbeatForwarder.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedHeartbeatForwarder.kt
@@ -18,22 +18,24 @@
     }
 
     fun add(heartbeat: Heartbeat, answer: (FencingToken, List<WorkerCommand>) -> Unit) =
-        queue.add(heartbeat, follower.steadyMs()) { if (it is ForwardOutcome.Answered) answer(it.token, it.commands) }
+        queue.add(heartbeat, follower.monotonicMs()) { if (it is ForwardOutcome.Answered) answer(it.token, it.commands) }
 
     fun forward() {
         if (batchInFlight != null) return
         // A follower may still consider a deposed controller the leader.
         val leader = cluster.randomLeader() ?: return queue.completeAllUnanswered()
-        val batch = queue.nextBatch(leader.term, follower.steadyMs())
+        val batch = queue.nextBatch(leader.term, follower.monotonicMs())
         if (batch.isEmpty) return
         batchInFlight = batch
-        cluster.events.schedule(maxOf(1, queue.timeLeftMs(batch, follower.steadyMs()))) { close(batch) { queue.completeUnanswered(batch) } }
+        cluster.events.schedule(maxOf(1, queue.timeLeftMs(batch, follower.monotonicMs()))) {
+            close(batch) { queue.completeUnanswered(batch) }
+        }
         val sendingIncarnation = follower.incarnation
         cluster.network.send {
             leader.receive(batch) { decisions ->
                 cluster.network.send {
                     if (follower.incarnation == sendingIncarnation) {
-                        close(batch) { queue.completeDecided(batch, decisions, cluster.leader?.term, follower.steadyMs()) }
+                        close(batch) { queue.completeWithDecisions(batch, decisions, cluster.leader?.term, follower.monotonicMs()) }
                     }
                 }
             }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedKeyValueStore.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedKeyValueStore.kt
@@ -75,5 +75,5 @@
     }
 
     /** The state that a new leader reads, decoded by the production [LogCodec]. */
-    fun snapshot(): RecoveredState = LogCodec.recoveredState(stored.entries(headRevision))
+    fun snapshot(): RecoveredState = LogCodec.decodeRecoveredState(stored.entries(headRevision))
 }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedUsers.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedUsers.kt
@@ -60,7 +60,9 @@
         val running = jobs.values.filter { job -> !job.isCancellationRequested && workers.any { it.hasTasksOf(job.spec.id) } }
         for (job in running.shuffled(random).take(JOBS_PER_MASS_CANCELLATION)) {
             if (hang) {
-                workers.filter { it.hasTasksOf(job.spec.id) }.forEach { it.hang(maxMs = (cluster.deployment.cancelS * 1500).toLong()) }
+                workers.filter {
+                    it.hasTasksOf(job.spec.id)
+                }.forEach { it.hang(maxMs = (cluster.deployment.cancellationDeadlineS * 1500).toLong()) }
             }
             cancel(job.spec.id)
         }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedWorker.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedWorker.kt
@@ -17,7 +17,7 @@
     private val events = cluster.events
     private val random = cluster.random
     private val nowMs get() = events.nowMs
-    private val leaseMs = cluster.deployment.leaseS * 1000
+    private val leaseMs = cluster.deployment.workerLeaseS * 1000
 
     private var incarnation = 1L
     private var sequenceNumber = 0L
@@ -61,7 +61,7 @@
             advance()
             sendHeartbeat()
         }
-        events.schedule((cluster.deployment.reportS * 1000 * random.nextDouble(0.75, 1.25)).toLong(), ::heartbeatPeriodically)
+        events.schedule((cluster.deployment.heartbeatPeriodS * 1000 * random.nextDouble(0.75, 1.25)).toLong(), ::heartbeatPeriodically)
     }
 
     fun hang(maxMs: Long = DEFAULT_MAX_HANG_MS) {
@@ -156,7 +156,7 @@
 
     /** Delivers a duplicate of [heartbeat] late, to the controller that leads by then. Its answer is dropped. */
     private fun sendLateDuplicate(heartbeat: Heartbeat) {
-        val delayMs = random.nextLong(1000, (cluster.deployment.leaseS * 2000).toLong())
+        val delayMs = random.nextLong(1000, (cluster.deployment.workerLeaseS * 2000).toLong())
         events.schedule(delayMs) {
             cluster.leader?.handle(Input.HeartbeatReceived(cluster.pendingRequests.newRequestId(), heartbeat))
         }
--- a/src/test/kotlin/cleathitch/workers/HeartbeatQueueTest.kt
+++ b/src/test/kotlin/cleathitch/workers/HeartbeatQueueTest.kt
@@ -40,14 +40,14 @@
     /** Sets up the queue so that the leader of term 9 has acknowledged [heartbeat]. */
     private fun addAcknowledged(heartbeat: Heartbeat) {
         add(heartbeat)
-        queue.completeDecided(batch(), listOf(answer), currentTerm = 9, nowMs = 0)
+        queue.completeWithDecisions(batch(), listOf(answer), currentTerm = 9, nowMs = 0)
         outcomes.clear()
     }
 
     @Test
     fun `a worker gets the leader's answer`() {
         add(heartbeat())
-        queue.completeDecided(batch(), listOf(answer), currentTerm = 9, nowMs = 10)
+        queue.completeWithDecisions(batch(), listOf(answer), currentTerm = 9, nowMs = 10)
         assertEquals(listOf<ForwardOutcome>(ForwardOutcome.Answered(answer.token, emptyList())), outcomes)
     }
 
@@ -74,7 +74,7 @@
     @Test
     fun `a refused or undecided heartbeat is no base for unchanged ones`() {
         add(heartbeat(sequenceNumber = 1))
-        queue.completeDecided(batch(), listOf(HeartbeatDecision.Refuse), currentTerm = 9, nowMs = 0)
+        queue.completeWithDecisions(batch(), listOf(HeartbeatDecision.Refuse), currentTerm = 9, nowMs = 0)
         add(heartbeat(sequenceNumber = 2))
         val undecided = batch()
         assertTrue(undecided.heartbeats.single() is ForwardedHeartbeat.Full)
@@ -88,10 +88,10 @@
     fun `a heartbeat is forwarded again, in full, if the leader lacks its base`() {
         addAcknowledged(heartbeat(sequenceNumber = 1))
         add(heartbeat(sequenceNumber = 2))
-        queue.completeDecided(batch(), listOf(HeartbeatDecision.RequestFull), currentTerm = 9, nowMs = 0)
+        queue.completeWithDecisions(batch(), listOf(HeartbeatDecision.RequestFull), currentTerm = 9, nowMs = 0)
         val again = batch()
         assertEquals(ForwardedHeartbeat.Full(heartbeat(sequenceNumber = 2)), again.heartbeats.single())
-        queue.completeDecided(again, listOf(answer), currentTerm = 9, nowMs = 0)
+        queue.completeWithDecisions(again, listOf(answer), currentTerm = 9, nowMs = 0)
         assertEquals(1, outcomes.size)
     }
 
@@ -99,7 +99,7 @@
     @Test
     fun `decisions of a former leader are discarded`() {
         add(heartbeat())
-        queue.completeDecided(batch(), listOf(answer), currentTerm = 10, nowMs = 0)
+        queue.completeWithDecisions(batch(), listOf(answer), currentTerm = 10, nowMs = 0)
         assertEquals(listOf<ForwardOutcome>(ForwardOutcome.Unanswered), outcomes)
     }
 
@@ -107,7 +107,7 @@
     @Test
     fun `decisions after the timeout are discarded`() {
         add(heartbeat(), atMs = 0)
-        queue.completeDecided(batch(), listOf(answer), currentTerm = 9, nowMs = 3000)
+        queue.completeWithDecisions(batch(), listOf(answer), currentTerm = 9, nowMs = 3000)
         assertEquals(listOf<ForwardOutcome>(ForwardOutcome.Unanswered), outcomes)
     }
 
@@ -133,7 +133,7 @@
     fun `an answer with too few decisions is discarded`() {
         add(heartbeat(machine = 1))
         add(heartbeat(machine = 2))
-        queue.completeDecided(batch(), listOf(answer), currentTerm = 9, nowMs = 0)
+        queue.completeWithDecisions(batch(), listOf(answer), currentTerm = 9, nowMs = 0)
         assertEquals(List(2) { ForwardOutcome.Unanswered }, outcomes)
     }
 
@@ -149,7 +149,7 @@
             if (batch.isEmpty) break
             seen += batch.heartbeats.map { it.machine }
             assertTrue(PeerCodec.encode(message(batch)).size <= PeerClient.MAX_BODY)
-            queue.completeDecided(batch, batch.heartbeats.map { answer }, currentTerm = 9, nowMs = 0)
+            queue.completeWithDecisions(batch, batch.heartbeats.map { answer }, currentTerm = 9, nowMs = 0)
         }
         assertEquals(machines + 1, seen.size)
     }
@@ -171,7 +171,7 @@
                 answer
             }
         }
-        queue.completeDecided(batch, decisions, currentTerm = 9, nowMs = 0)
+        queue.completeWithDecisions(batch, decisions, currentTerm = 9, nowMs = 0)
         assertEquals(ForwardOutcome.Unanswered, perMachine[1])
         assertTrue(perMachine[2] is ForwardOutcome.Answered)
     }
