--- a/src/main/kotlin/cleathitch/election/ElectionListener.kt
+++ b/src/main/kotlin/cleathitch/election/ElectionListener.kt
@@ -10,7 +10,7 @@
 
     /**
      * Another controller, [member], leads in [term]. If [member] is null there is no leader, or the leader's record is malformed;
-     * without a leader, [term] is the latest known revision of the store.
+     * without a leader, [term] is the latest known revision of the key-value store.
      */
     fun onLeaderObserved(member: String?, term: Long)
 }
--- a/src/main/kotlin/cleathitch/election/LeaderElection.kt
+++ b/src/main/kotlin/cleathitch/election/LeaderElection.kt
@@ -17,7 +17,7 @@
  * [run] must be given a dedicated event loop. On a shared loop, renewals would queue behind the heartbeats of a large fleet and come
  * too late while the process is still slow after its start. All times are readings of the monotonic clock. A lease's validity is
  * counted from before the request that granted or renewed it was sent, less the maximum clock drift, so it is never assumed to be
- * held longer than the store holds it.
+ * held longer than the key-value store holds it.
  *
  * @param incarnation distinguishes this process from earlier processes of the same [member]
  * @param ttlMs the lease's time to live, that is, how long it lasts without renewal
@@ -146,7 +146,7 @@
         return true
     }
 
-    /** Renews the lease, and ends the term if the lease no longer exists in the store. */
+    /** Renews the lease, and ends the term if the lease no longer exists in the key-value store. */
     private suspend fun endedByExpiry(lease: LeaderLease, leaseId: Long, listener: ElectionListener): Boolean {
         val sentAtMs = monotonicMs()
         when (val renewal = store.renewLease(leaseId)) {
--- a/src/main/kotlin/cleathitch/leader/CloudPolling.kt
+++ b/src/main/kotlin/cleathitch/leader/CloudPolling.kt
@@ -7,7 +7,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 
-/** Periodically requests the cloud's machine types and its list of machines, and enqueues them as inputs of the scheduler. */
+/** Periodically requests the cloud provider's machine types and its list of machines, and enqueues them as inputs of the scheduler. */
 internal class CloudPolling(private val cloud: CloudClient, private val deployment: Deployment, private val enqueue: (Input) -> Unit) {
     /** Starts polling in [scope]; cancelling the scope stops it. */
     fun launchIn(scope: CoroutineScope) {
@@ -23,7 +23,7 @@
         }
     }
 
-    /** Polls no more often than the cloud updates its list: a more frequent request would return the same list. */
+    /** Polls no more often than the cloud provider updates its list: a more frequent request would return the same list. */
     private suspend fun pollMachines() {
         val periodMs = maxOf(deployment.listLagMs, deployment.heartbeatPeriodMs)
         while (true) {
--- a/src/main/kotlin/cleathitch/leader/DeploymentPeriods.kt
+++ b/src/main/kotlin/cleathitch/leader/DeploymentPeriods.kt
@@ -10,7 +10,7 @@
 /** How long a worker's lease is valid after its last renewal. */
 val Deployment.workerLeaseMs get() = toMs(workerLeaseS)
 
-/** How far the cloud's list of machines may lag behind its actual state. */
+/** How far the cloud provider's list of machines may lag behind its actual state. */
 val Deployment.listLagMs get() = toMs(machineListLagS)
 
 private fun toMs(seconds: Double) = (seconds * 1000).toLong()
--- a/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
+++ b/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
@@ -27,8 +27,8 @@
  * Only [run] accesses the scheduler. Confined to the controller's event loop.
  *
  * [initialMachineTypes] and [initialImageCacheHints] are what this process already knows when the term begins, so that the
- * scheduler can place tasks before the cloud and the workers have answered. [stepDown] ends the term: it cancels [run] and calls
- * [end].
+ * scheduler can place tasks before the cloud provider and the workers have answered. [stepDown] ends the term: it cancels
+ * [run] and calls [end].
  */
 class LeaderTerm(
     val lease: LeaderLease,
--- a/src/main/kotlin/cleathitch/scheduler/LogWriter.kt
+++ b/src/main/kotlin/cleathitch/scheduler/LogWriter.kt
@@ -79,7 +79,7 @@
         context.emit(Effect.Write(commit))
     }
 
-    /** Called when the commit in flight, up to record [index], is durable. */
+    /** Called when the commit in flight, up to record [index], is applied. */
     fun recordCommit(index: LogIndex) {
         decisionLog.recordCommitted(index, jobTable)
         inFlightSinceMs = null
--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -37,7 +37,7 @@
  * the effects to execute, in order. It reads no clock, draws no random numbers and does no I/O. Confined to the leader's event loop.
  *
  * Events are applied to the state in memory immediately, but no output that depends on an event is emitted before its record is
- * committed: replies wait in [JobRequests], worker commands in [CommandDispatcher], calls to the cloud in [CloudRequests].
+ * committed: replies wait in [JobRequests], worker commands in [CommandDispatcher], calls to the cloud provider in [CloudRequests].
  *
  * This class creates the components and dispatches inputs to them; each component owns its state.
  */
--- a/src/main/kotlin/cleathitch/scheduler/api/Effect.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/Effect.kt
@@ -44,10 +44,10 @@
     /** Requests a heartbeat from a worker. */
     data class Probe(override val machine: MachineId, val address: String) : ToWorker
 
-    /** Requests machines from the cloud. The call is idempotent: the cloud treats a repeated request as the same rental. */
+    /** Requests machines from the cloud provider. The call is idempotent: a repeated request is treated as the same rental. */
     data class Rent(val rental: Event.RentalRequested) : Effect
 
-    /** Requests the termination of machines from the cloud. */
+    /** Requests the termination of machines from the cloud provider. */
     data class TerminateMachines(val machines: List<MachineId>) : Effect
 
     /** Sends the contents of the machines' image caches to the followers, one of which may be the next leader. */
--- a/src/main/kotlin/cleathitch/scheduler/api/Input.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/Input.kt
@@ -40,19 +40,19 @@
     /** The key-value store renewed this leader's lease until [untilMs] on the monotonic clock. */
     data class LeaseRenewed(val untilMs: Long) : Input
 
-    /** The commit whose last record is [index] is durable; new fencing tokens are derived from the store's [revision]. */
+    /** The key-value store applied the commit whose last record is [index]; new fencing tokens are derived from its [revision]. */
     data class CommitSucceeded(val index: LogIndex, val revision: Long) : Input
 
-    /** The cloud listed its machine types, with their zones and prices. */
+    /** The cloud provider listed its machine types, with their zones and prices. */
     data class MachineTypesListed(val types: List<MachineType>) : Input
 
-    /** The cloud listed the machines that are rented. */
+    /** The cloud provider listed the machines that are rented. */
     data class MachinesListed(val machines: List<ListedMachine>) : Input
 
-    /** The cloud answered the rental [request], or the call failed. */
+    /** The cloud provider answered the rental [request], or the call failed. */
     data class RentalCompleted(val request: String, val answer: RentalAnswer) : Input
 
-    /** The cloud confirmed that these machines are terminated, so that nothing runs on them any more. */
+    /** The cloud provider confirmed that these machines are terminated, so that nothing runs on them any more. */
     data class MachinesTerminated(val machines: List<MachineId>) : Input
 
     /** Image cache contents shared by an earlier leader. They are only a hint for placement; no invariant depends on them. */
--- a/src/main/kotlin/cleathitch/scheduler/api/RentalAnswer.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/RentalAnswer.kt
@@ -2,15 +2,15 @@
 
 import cleathitch.scheduler.model.MachineId
 
-/** The cloud's answer to a rental request. */
+/** The cloud provider's answer to a rental request. */
 sealed interface RentalAnswer {
     /** These machines are rented, possibly fewer than requested. */
     data class Rented(val machines: List<MachineId>) : RentalAnswer
 
-    /** The cloud currently has no capacity for the requested offer. */
+    /** The cloud provider currently has no capacity for the requested offer. */
     data object NoCapacity : RentalAnswer
 
-    /** The cloud rejected the request itself, so retrying doesn't help. */
+    /** The cloud provider rejected the request itself, so retrying doesn't help. */
     data object Rejected : RentalAnswer
 
     /** There was no answer, or it couldn't be parsed; the request is resent under the same name. */
--- a/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
@@ -44,7 +44,7 @@
     /** Time without an answered heartbeat after which a machine has certainly lost its lease. */
     val leaseLostAfterMs: Long,
 
-    /** Minimum time between two termination calls to the cloud; terminations requested in between are batched into one call. */
+    /** Minimum time between two termination calls to the cloud provider; terminations requested in between are batched into one call. */
     val minTerminationIntervalMs: Long,
 
     /** Period at which the leader sends the contents of the machines' image caches to the followers. */
@@ -109,7 +109,7 @@
             )
         }
 
-        /** Short enough for the shortest wait objective, but using at most half of the store's write rate limit. */
+        /** Short enough for the shortest wait objective, but using at most half of the key-value store's write rate limit. */
         private fun roundPeriodMs(deployment: Deployment): Long {
             val shortestWaitS = shortestWaitS(deployment.objectives)
             val byObjectiveMs = if (shortestWaitS == null) {
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudInventoryHandler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudInventoryHandler.kt
@@ -13,7 +13,7 @@
 import cleathitch.scheduler.model.MachineId
 import cleathitch.scheduler.model.MachineType
 
-/** Applies the cloud's machine types, machine list and terminations to the inventory. Confined to the leader's event loop. */
+/** Applies the cloud provider's machine types, machine list and terminations to the inventory. Confined to the leader's event loop. */
 internal class CloudInventoryHandler(
     private val context: SchedulerContext,
     private val inventory: Inventory,
@@ -22,7 +22,7 @@
     private val failureDetector: FailureDetector,
     private val cloudRequests: CloudRequests,
 ) {
-    /** Whether the cloud has listed its machines in this term. */
+    /** Whether the cloud provider has listed its machines in this term. */
     var areMachinesListed = false
         private set
 
@@ -37,7 +37,7 @@
         areMachinesListed = true
     }
 
-    /** Handles the cloud's confirmation that these machines are terminated, so that nothing runs on them any more. */
+    /** Handles the cloud provider's confirmation that these machines are terminated, so that nothing runs on them any more. */
     fun onMachinesTerminated(machines: List<MachineId>) {
         for (id in machines) if (id in inventory.terminatingMachines) recordTerminated(id)
     }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
@@ -20,8 +20,8 @@
 import cleathitch.scheduler.model.Term
 
 /**
- * The rentals and terminations that the leader requests from the cloud. Each is recorded in the decision log before it is sent, so
- * that the next leader knows of it. It is resent under the same request name until it is answered, so that a lost answer doesn't
+ * The rentals and terminations that the leader requests from the cloud provider. Each is recorded in the decision log before it is
+ * sent, so that the next leader knows of it. It is resent under the same request name until it is answered, so that a lost answer doesn't
  * cause a second rental.
  */
 internal class CloudRequests(
@@ -31,7 +31,7 @@
     private val inventory: Inventory,
     private val decisionLog: DecisionLog,
     term: Term,
-    /** Whether the cloud has confirmed the machine's termination; a late answer to its rental may still list it. */
+    /** Whether the cloud provider has confirmed the machine's termination; a late answer to its rental may still list it. */
     private val isTerminated: (MachineId) -> Boolean,
     /** Adds a rented machine to the inventory. */
     private val register: (MachineId, Offer) -> Machine,
@@ -60,7 +60,7 @@
         context.logEvent(LogLevel.INFO) { "event=termination_requested machine=$id reason=${reason.logName}" }
     }
 
-    /** Handles the cloud's confirmation that the machine is terminated. */
+    /** Handles the cloud provider's confirmation that the machine is terminated. */
     fun recordTermination(id: MachineId) {
         recordByRequest.remove(id.text)
     }
@@ -77,7 +77,7 @@
         }
     }
 
-    /** The cloud may rent out fewer machines than requested; the missing ones aren't requested again under this name. */
+    /** The cloud provider may rent out fewer machines than requested; the missing ones aren't requested again under this name. */
     private fun recordRented(rental: Event.RentalRequested, rented: List<MachineId>) {
         rented.filter { !isTerminated(it) }.forEach { register(it, rental.offer).confirmExistence() }
         if (rented.size < rental.count) inventory.recordRefusal(rental.offer, context.now.monotonicMs)
@@ -135,7 +135,7 @@
     private fun isCommitted(request: String) = (recordByRequest[request] ?: LogIndex.NONE) <= decisionLog.committedIndex
 
     private companion object {
-        /** The cloud's limit for one termination call. */
+        /** The cloud provider's limit for one termination call. */
         const val MAX_TERMINATIONS_PER_CALL = 100
 
         /**
--- a/src/main/kotlin/cleathitch/scheduler/capacity/FleetScaler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/FleetScaler.kt
@@ -26,8 +26,8 @@
     }
 
     /**
-     * The cloud's machine list is as good a basis for scaling out as heartbeats are: listed machines without a heartbeat count as
-     * booting.
+     * The cloud provider's machine list is as good a basis for scaling out as heartbeats are: listed machines without a
+     * heartbeat count as booting.
      */
     private fun mayScaleOut() = context.isFleetObserved() || (context.mayPlaceTasks() && cloudInventoryHandler.areMachinesListed)
 
@@ -45,7 +45,7 @@
     }
 
     private companion object {
-        /** About the shortest period in which the cloud's machine list can change. */
+        /** About the shortest period in which the cloud provider's machine list can change. */
         const val SCALING_PERIOD_MS = 1000L
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/RentalPlan.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/RentalPlan.kt
@@ -3,7 +3,7 @@
 import cleathitch.scheduler.model.Offer
 import kotlin.math.min
 
-/** The machines to rent, by offer, batched into as few calls as the cloud's limit per call allows, and at most [maxCalls]. */
+/** The machines to rent, by offer, batched into as few calls as the cloud provider's limit per call allows, and at most [maxCalls]. */
 internal class RentalPlan(private val maxCalls: Int) {
     private val machinesByOffer = LinkedHashMap<Offer, Int>()
 
@@ -27,7 +27,7 @@
     private fun callsNeeded(machines: Int) = (machines + MAX_MACHINES_PER_CALL - 1) / MAX_MACHINES_PER_CALL
 
     private companion object {
-        /** The cloud's limit on machines per rental call. */
+        /** The cloud provider's limit on machines per rental call. */
         const val MAX_MACHINES_PER_CALL = 50
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/ScaleInCandidates.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/ScaleInCandidates.kt
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Machines whose boot is long overdue. Excludes machines that the cloud lists as running, even if this leader hasn't received a
-     * heartbeat from them yet, because the failure detector handles those.
+     * Machines whose boot is long overdue. Excludes machines that the cloud provider lists as running, even if this leader hasn't
+     * received a heartbeat from them yet, because the failure detector handles those.
      */
     fun overdueBootingMachines(nowMs: Long, listeningSinceMs: Long): List<Machine> = inventory.machines.values.filter { machine ->
         machine.state == MachineState.STARTING &&
@@ -36,7 +36,7 @@
     }
 
     private companion object {
-        /** The cloud charges at least one minute per machine, however early it is terminated. */
+        /** The cloud provider charges at least one minute per machine, however early it is terminated. */
         const val MIN_CHARGED_MS = 60_000L
 
         /** Idle machines are kept for this many boot times, a fraction of the time that tasks would wait for a replacement. */
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Attempt.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Attempt.kt
@@ -11,7 +11,7 @@
  * spread and the machine's load, and the task isn't started again. Owned by [JobTable]; confined to the leader's event loop.
  */
 class Attempt(val id: AttemptId, val job: Job, val machine: MachineId, val startIndex: LogIndex) {
-    /** The attempt's state in the machine's newest heartbeat, null if that doesn't list the attempt. */
+    /** The attempt's state in the machine's newest heartbeat, null if that doesn't report the attempt. */
     var observedState: TaskState? = null
         private set
 
@@ -39,7 +39,7 @@
     /** An upper bound on the tokens of all start commands in flight; null if none was ever sent. */
     val newestStartToken: FencingToken? get() = lastSentToken ?: inheritedToken
 
-    /** Records the attempt's [state] in the machine's newest heartbeat, null if that doesn't list the attempt. */
+    /** Records the attempt's [state] in the machine's newest heartbeat, null if that doesn't report the attempt. */
     fun observe(state: TaskState?) {
         observedState = state
     }
--- a/src/main/kotlin/cleathitch/scheduler/jobs/StopCause.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/StopCause.kt
@@ -5,7 +5,7 @@
     /** Its job is in a terminal state: it is stopped without a checkpoint. */
     CANCELLED,
 
-    /** The cloud is about to reclaim its machine: it writes a checkpoint first. */
+    /** The cloud provider is about to reclaim its machine: it writes a checkpoint first. */
     DRAIN,
 
     /** It is preempted by a job of higher priority: it writes a checkpoint first. */
--- a/src/main/kotlin/cleathitch/scheduler/log/CompactionPlan.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/CompactionPlan.kt
@@ -7,8 +7,8 @@
  * The compaction that is part of one commit: snapshots, final states of finished jobs, and deletions of the records that they
  * replace. Built by calling [addRecord] for each record, oldest first.
  *
- * Planning doesn't change the state in memory; that is updated only once the commit is durable. Otherwise users could be told the
- * final state of an archived job that isn't stored yet, and the next leader, not finding it in the store, could contradict it.
+ * Planning doesn't change the state in memory; that is updated only once the commit is applied. Otherwise users could be told the
+ * final state of an archived job that isn't stored yet, and the next leader, not finding it in the key-value store, could contradict it.
  *
  * @param index the index of the commit; its snapshots include all records up to this one
  * @param stored the snapshots stored by earlier commits
--- a/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
@@ -9,7 +9,7 @@
  * key-value store and optionally compacts older records into snapshots. At most one commit is in flight at a time.
  *
  * Owned by the scheduler and confined to the leader's event loop. It does no I/O: [nextCommit] returns the commit to write, and
- * [recordCommitted] confirms that it is durable. Compaction changes the state in memory only after that confirmation.
+ * [recordCommitted] confirms that the key-value store has applied it. Compaction changes the state in memory only after that confirmation.
  */
 class DecisionLog(private val deployment: Deployment, private val sizes: SizeEstimator) {
     private class PendingRecord(val index: LogIndex) {
@@ -30,7 +30,7 @@
     private var inFlight: InFlightCommit? = null
     private var lastIndex = LogIndex.NONE
 
-    /** The index of the last commit that is known to be durable. */
+    /** The index of the last commit that the key-value store is known to have applied. */
     var committedIndex = LogIndex.NONE
         private set
 
@@ -150,7 +150,7 @@
         return changes
     }
 
-    /** Called when the commit in flight, at [index], is durable: marks its records as committed and applies its compaction. */
+    /** Called when the commit in flight, at [index], is applied: marks its records as committed and completes its compaction in memory. */
     fun recordCommitted(index: LogIndex, jobs: LoggedJobs) {
         val commit = inFlight
         check(commit?.index == index) { "commit $index was confirmed, but the commit in flight is ${commit?.index}" }
--- a/src/main/kotlin/cleathitch/scheduler/log/Event.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/Event.kt
@@ -57,12 +57,12 @@
     @SerialName("done")
     data class TaskCompleted(override val job: JobId, val taskIndex: Int, val number: Long) : JobEvent
 
-    /** A rental of [count] machines was requested; [request] is the idempotency key of the call to the cloud. */
+    /** A rental of [count] machines was requested; [request] is the idempotency key of the call to the cloud provider. */
     @Serializable
     @SerialName("rent")
     data class RentalRequested(val request: String, val offer: Offer, val count: Int) : InventoryEvent
 
-    /** The cloud has answered the rental [request]. */
+    /** The cloud provider has answered the rental [request]. */
     @Serializable
     @SerialName("rented")
     data class RentalResolved(val request: String) : InventoryEvent
--- a/src/main/kotlin/cleathitch/scheduler/log/LoggedJobs.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/LoggedJobs.kt
@@ -5,7 +5,7 @@
 
 /** The view of the jobs that compaction needs. Implemented by the job table. */
 interface LoggedJobs {
-    /** Whether [attempt] is live and its machine's newest heartbeat, if any, doesn't list it. */
+    /** Whether [attempt] is live and its machine's newest heartbeat, if any, doesn't report it. */
     fun isStartUnobserved(attempt: AttemptId): Boolean
 
     /** The form in which compaction stores job [id] as of record [lastIncludedIndex]. */
--- a/src/main/kotlin/cleathitch/scheduler/log/StoredSnapshots.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/StoredSnapshots.kt
@@ -2,7 +2,7 @@
 
 import cleathitch.scheduler.model.JobId
 
-/** Tracks which snapshots and final states are in the key-value store, according to the durable commits. */
+/** Tracks which snapshots and final states are in the key-value store, according to the applied commits. */
 internal class StoredSnapshots {
     /** For each snapshot, by key, the index of the last record that it includes. */
     private val lastIncludedIndexes = HashMap<String, LogIndex>()
@@ -34,7 +34,7 @@
         jobParts[id] = stored.parts
     }
 
-    /** Called when the commit that includes [plan] is durable. */
+    /** Called when the commit that includes [plan] is applied. */
     fun recordCompaction(plan: CompactionPlan) {
         lastIncludedIndexes += plan.lastIncludedIndexes
         jobParts += plan.jobParts
--- a/src/main/kotlin/cleathitch/scheduler/machines/DirectReachability.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/DirectReachability.kt
@@ -7,7 +7,7 @@
  * Detects that direct calls don't reach machines whose heartbeats still arrive through followers.
  *
  * A machine counts as reachable only through followers if a direct call to it wasn't answered and a later forwarded heartbeat
- * contains the token of a reply that this leader sent after that call. The machine is then running and connected to the leader
+ * reports the token of a reply that this leader sent after that call. The machine is then running and connected to the leader
  * through a follower, which indicates that the leader's own network path to the workers is down. Any direct contact clears the
  * suspicion. Confined to the leader's event loop.
  */
--- a/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatHandler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatHandler.kt
@@ -86,7 +86,7 @@
 
     /**
      * Applies the heartbeat to the machine and the job table. Returns false if it must not be answered, because it is stale or
-     * its machine is terminated, or because it shows a token of a newer leader, in favor of which this one steps down.
+     * its machine is terminated, or because it reports a token of a newer leader, in favor of which this one steps down.
      *
      * Every applied heartbeat extends the upper bound on the machine's lease, even if it isn't answered: the worker may have just
      * started a new incarnation, which has a lease of its own.
--- a/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
@@ -27,7 +27,7 @@
         outcomeRecords.getOrPut(machine) { HashMap() }[attempt] = recordIndex
     }
 
-    /** Removes the committed outcomes of attempts that the machine's newest heartbeat no longer lists. */
+    /** Removes the committed outcomes of attempts that the machine's newest heartbeat no longer reports. */
     fun removeCommittedOutcomes(machine: MachineId, listedAttempts: Set<AttemptId>) {
         val outcomes = outcomeRecords[machine] ?: return
         outcomes.entries.removeAll { (id, recordIndex) -> id !in listedAttempts && recordIndex <= decisionLog.committedIndex }
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Whether an attempt that the newest heartbeat doesn't list can no longer run. A start command in flight could still start it,
+     * Whether an attempt that the newest heartbeat doesn't report can no longer run. A start command in flight could still start it,
      * unless the machine has seen a higher token than that of any such command, or its incarnation began after the last one was
      * sent: workers drop commands for an earlier incarnation. For a machine that no command reaches, only the latter can apply.
      */
--- a/src/main/kotlin/cleathitch/scheduler/model/Deployment.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/Deployment.kt
@@ -21,9 +21,9 @@
     val maxStoredValueBytes: Int,
     /** Limit on the operations of one compare-and-swap transaction. */
     val maxTransactionOps: Int,
-    /** Rate limit of the cloud, in calls per second. */
+    /** Rate limit of the cloud provider, in calls per second. */
     val cloudCallsPerS: Double,
-    /** Maximum lag of the cloud's machine list, in seconds. */
+    /** Maximum lag of the cloud provider's machine list, in seconds. */
     val machineListLagS: Double,
     /** Number of controllers. */
     val controllerCount: Int,
--- a/src/main/kotlin/cleathitch/scheduler/model/FencingToken.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/FencingToken.kt
@@ -4,9 +4,9 @@
  * The fencing token that each answer and command to a worker carries: (revision, count) packed into one integer. A worker ignores
  * commands whose token is older than the newest that it has seen, so a superseded leader can't start tasks.
  *
- * The revision is the store's revision of the term's key or of the last record committed in that term. A new term's revision exceeds
- * that of every record of older terms, each of which was guarded by the older key, so comparing (revision, count) compares
- * (term, revision, count). The count distinguishes the commands sent between two records.
+ * The revision is the key-value store's revision of the term's key or of the last record committed in that term. A new term's
+ * revision exceeds that of every record of older terms, each of which was guarded by the older key, so comparing
+ * (revision, count) compares (term, revision, count). The count distinguishes the commands sent between two records.
  *
  * Bounds: [COUNT_BITS] bits of count leave 63 - 20 = 43 bits of revision, that is 8.8e12 changes or 279 years at 1,000 changes per
  * second. A million commands fit between two records, and the scheduler commits a record before the count is exhausted.
@@ -31,7 +31,7 @@
         /** Older than every token that a leader issues. */
         val NONE = FencingToken(0)
 
-        /** The first token of the store's [revision]. */
+        /** The first token of the key-value store's [revision]. */
         fun first(revision: Long): FencingToken {
             require(revision in 0..MAX_REVISION) { "fencing token: revision $revision is outside 0..$MAX_REVISION" }
             return FencingToken(revision shl COUNT_BITS)
--- a/src/main/kotlin/cleathitch/scheduler/model/Heartbeat.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/Heartbeat.kt
@@ -15,7 +15,7 @@
     val sequenceNumber: Long,
     /** The newest token that the worker has seen; it ignores commands with older tokens. */
     val token: FencingToken,
-    /** Seconds until the cloud preempts the machine; null without a preemption notice. */
+    /** Seconds until the cloud provider preempts the machine; null without a preemption notice. */
     val preemptionNoticeS: Double?,
     val tasks: List<TaskStatus>,
 )
--- a/src/main/kotlin/cleathitch/scheduler/model/Identifiers.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/Identifiers.kt
@@ -9,7 +9,7 @@
     override fun toString() = text
 }
 
-/** The identifier of a machine, assigned by the cloud. */
+/** The identifier of a machine, assigned by the cloud provider. */
 @JvmInline
 @Serializable
 value class MachineId(val text: String) : Comparable<MachineId> {
@@ -32,7 +32,7 @@
     override fun toString() = "$task#$number"
 }
 
-/** A leader's term, identified by the store's revision at which the leader's key was created; increases with every leader. */
+/** A leader's term, identified by the key-value store's revision at which the leader's key was created; increases with every leader. */
 @JvmInline
 value class Term(val revision: Long)
 
--- a/src/main/kotlin/cleathitch/scheduler/model/ListedMachine.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/ListedMachine.kt
@@ -1,6 +1,6 @@
 package cleathitch.scheduler.model
 
-/** An entry of the cloud's machine list. */
+/** An entry of the cloud provider's machine list. */
 data class ListedMachine(
     val machine: MachineId,
     /** Address at which the machine's worker accepts direct commands, as `host:port`. */
@@ -11,5 +11,5 @@
     val ageS: Double,
 )
 
-/** A machine's state as reported by the cloud; the heartbeats of its worker may be more up to date. */
+/** A machine's state as reported by the cloud provider; the heartbeats of its worker may be more up to date. */
 enum class ListedState { STARTING, RUNNING, FAILED }
--- a/src/main/kotlin/cleathitch/scheduler/model/MachineType.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/MachineType.kt
@@ -1,6 +1,6 @@
 package cleathitch.scheduler.model
 
-/** A machine type as the cloud lists it: resources, prices and the zones in which it can be rented. */
+/** A machine type as the cloud provider lists it: resources, prices and the zones in which it can be rented. */
 data class MachineType(
     val name: String,
     /** Number of CPUs. */
--- a/src/main/kotlin/cleathitch/storage/CompareAndSwapResult.kt
+++ b/src/main/kotlin/cleathitch/storage/CompareAndSwapResult.kt
@@ -4,7 +4,7 @@
 
 /** The result of a compare-and-swap. */
 sealed interface CompareAndSwapResult {
-    /** Applied; the store's revision is now [revision]. */
+    /** Applied; the key-value store's revision is now [revision]. */
     data class Applied(val revision: Long) : CompareAndSwapResult
 
     /** Not applied, because [failedKeys] do not have the expected revisions. */
--- a/src/main/kotlin/cleathitch/storage/KeyValueStoreClient.kt
+++ b/src/main/kotlin/cleathitch/storage/KeyValueStoreClient.kt
@@ -92,8 +92,8 @@
     }
 
     /**
-     * Waits up to [waitMs] for a change after revision [since] to a key that starts with [prefix]. Also fails if the store no longer
-     * holds the changes since that revision.
+     * Waits up to [waitMs] for a change after revision [since] to a key that starts with [prefix]. Also fails if the key-value store no
+     * longer holds the changes since that revision.
      */
     suspend fun watch(prefix: String, since: Long, waitMs: Long): ServiceResult<KeyValueStoreProtocol.WatchResult> {
         val path = "/follow?under=${encodeQuery(prefix)}&since=$since&blockMs=$waitMs"
@@ -130,7 +130,7 @@
         const val HTTP_CONFLICT = 409
         val REVOKED_STATUSES = setOf(HTTP_OK, HTTP_NO_CONTENT, HTTP_NOT_FOUND)
 
-        /** The store's error text for a write that refers to a lease that does not exist. */
+        /** The key-value store's error text for a write that refers to a lease that does not exist. */
         const val LEASE_NOT_FOUND_ERROR = "no such lease"
 
         /** An empty MessagePack map. */
--- a/src/main/kotlin/cleathitch/storage/LogCodec.kt
+++ b/src/main/kotlin/cleathitch/storage/LogCodec.kt
@@ -22,8 +22,8 @@
 
 /**
  * Encodes and decodes the stored format of the decision log. Each value is a map with a single field that holds Base64-encoded CBOR,
- * because the store's values cannot hold binary data. The head is a plain map. Running clusters hold data in this format, so it must
- * not change.
+ * because the key-value store's values cannot hold binary data. The head is a plain map. Running clusters hold data in this
+ * format, so it must not change.
  */
 @OptIn(ExperimentalSerializationApi::class)
 object LogCodec {
--- a/src/main/kotlin/cleathitch/storage/StoredSizeEstimator.kt
+++ b/src/main/kotlin/cleathitch/storage/StoredSizeEstimator.kt
@@ -7,7 +7,7 @@
 
 /**
  * Estimates the size in bytes of events and snapshots as [LogCodec] encodes them, without encoding them. The constants are measured
- * sizes, rounded up, because an estimate that is too low would let a value exceed the store's size limit.
+ * sizes, rounded up, because an estimate that is too low would let a value exceed the key-value store's size limit.
  */
 object StoredSizeEstimator : SizeEstimator {
     override fun sizeOf(event: Event): Int = when (event) {
--- a/src/test/kotlin/cleathitch/scheduler/FailoverFaultsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FailoverFaultsTest.kt
@@ -76,7 +76,7 @@
         assertTrue(machine.sendHeartbeat().any { it is Effect.AnswerHeartbeat })
     }
 
-    /** Each leader inherits worker leases that outlast its term, so only the cloud's confirmation allows the task to be restarted. */
+    /** Each leader inherits worker leases that outlast its term, so only the cloud provider's confirmation allows a restart of the task. */
     @Test
     fun `the task of a terminated machine is restarted although each term lasts only a dozen seconds`() {
         becomeLeaderWithFleet()
--- a/src/test/kotlin/cleathitch/scheduler/ScalabilityTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/ScalabilityTest.kt
@@ -22,7 +22,7 @@
         assertEquals(2 * candidatesEvaluated(machines = 700, jobs = 100), candidatesEvaluated(machines = 1400, jobs = 100))
     }
 
-    /** The store rejects an oversized commit at every retry, which blocks all later commits too. */
+    /** The key-value store rejects an oversized commit at every retry, which blocks all later commits too. */
     @Test
     fun `no commit exceeds the key-value store's limits, with a thousand starts in a round and a job of 100,000 tasks`() {
         becomeLeaderWithFleet(machines = 1400)
