--- a/src/main/kotlin/cleathitch/election/ElectionListener.kt
+++ b/src/main/kotlin/cleathitch/election/ElectionListener.kt
@@ -6,11 +6,11 @@
     fun onElected(lease: LeaderLease)
 
     /** This controller no longer leads the term of [lease], for [reason]. */
-    fun onDeposed(lease: LeaderLease, reason: TermEndReason)
+    fun onTermEnded(lease: LeaderLease, reason: TermEndReason)
 
     /**
      * Another controller, [member], leads in [term]. If [member] is null there is no leader, or the leader's record is malformed;
-     * without a leader, [term] is the latest known revision of the store.
+     * without a leader, [term] is the latest known revision of the key-value store.
      */
     fun onLeaderObserved(member: String?, term: Long)
 }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
@@ -20,8 +20,8 @@
 import cleathitch.scheduler.model.Term
 
 /**
- * The rentals and terminations that the leader requests from the cloud. Each is recorded in the decision log before it is sent, so
- * that the next leader knows of it. It is resent under the same request name until it is answered, so that a lost answer doesn't
+ * The rentals and terminations that the leader requests from the cloud provider. Each is recorded in the decision log before it is
+ * sent, so that the next leader knows of it. It is resent under the same request name until it is answered, so that a lost answer doesn't
  * cause a second rental.
  */
 internal class CloudRequests(
@@ -31,7 +31,7 @@
     private val inventory: Inventory,
     private val decisionLog: DecisionLog,
     term: Term,
-    /** Whether the cloud has confirmed the machine's termination; a late answer to its rental may still list it. */
+    /** Whether the cloud provider has confirmed the machine's termination; a late answer to its rental may still list it. */
     private val isTerminated: (MachineId) -> Boolean,
     /** Adds a rented machine to the inventory. */
     private val register: (MachineId, Offer) -> Machine,
@@ -55,12 +55,12 @@
     /** Records the termination of the machine; the call is made once the record is committed. */
     fun requestTermination(id: MachineId, reason: TerminationReason) {
         // Unconfirmed terminations have to fit into one stored value; the next round retries.
-        if (inventory.terminatingMachines.size >= deployment.stateValueBytes / BYTES_PER_TERMINATION) return
+        if (inventory.terminatingMachines.size >= deployment.maxStoredValueBytes / BYTES_PER_TERMINATION) return
         recordByRequest[id.text] = context.append(Event.MachineTerminationRequested(id))
         context.logEvent(LogLevel.INFO) { "event=termination_requested machine=$id reason=${reason.logName}" }
     }
 
-    /** Handles the cloud's confirmation that the machine is terminated. */
+    /** Handles the cloud provider's confirmation that the machine is terminated. */
     fun recordTermination(id: MachineId) {
         recordByRequest.remove(id.text)
     }
@@ -73,20 +73,20 @@
         when (val answer = completed.answer) {
             is RentalAnswer.Rented -> recordRented(rental, answer.machines)
             RentalAnswer.NoCapacity, RentalAnswer.Rejected -> recordRefused(rental)
-            RentalAnswer.Unknown -> rentalSentMs[request] = context.now.steadyMs
+            RentalAnswer.Unknown -> rentalSentMs[request] = context.now.monotonicMs
         }
     }
 
-    /** The cloud may rent out fewer machines than requested; the missing ones aren't requested again under this name. */
+    /** The cloud provider may rent out fewer machines than requested; the missing ones aren't requested again under this name. */
     private fun recordRented(rental: Event.RentalRequested, rented: List<MachineId>) {
-        rented.filter { !isTerminated(it) }.forEach { register(it, rental.offer).confirm() }
-        if (rented.size < rental.count) inventory.recordRefusal(rental.offer, context.now.steadyMs)
+        rented.filter { !isTerminated(it) }.forEach { register(it, rental.offer).confirmExistence() }
+        if (rented.size < rental.count) inventory.recordRefusal(rental.offer, context.now.monotonicMs)
         context.append(Event.RentalResolved(rental.request))
         context.logEvent(LogLevel.INFO) { "event=rental_completed ${describe(rental)} rented=${rented.size}" }
     }
 
     private fun recordRefused(rental: Event.RentalRequested) {
-        inventory.recordRefusal(rental.offer, context.now.steadyMs)
+        inventory.recordRefusal(rental.offer, context.now.monotonicMs)
         context.append(Event.RentalResolved(rental.request))
         context.logEvent(LogLevel.INFO) { "event=rental_refused ${describe(rental)}" }
     }
@@ -104,20 +104,22 @@
     private fun sendRentals() {
         for (rental in inventory.pendingRentals.values) {
             if (!isCommitted(rental.request) || !isDue(rentalSentMs[rental.request])) continue
-            rentalSentMs[rental.request] = context.now.steadyMs
+            rentalSentMs[rental.request] = context.now.monotonicMs
             context.emit(Effect.Rent(rental))
         }
     }
 
     /** Batches terminations: those requested within the gap between two calls share one call. */
     private fun sendTerminations() {
-        if (inventory.terminatingMachines.isNotEmpty() && context.now.steadyMs - lastTerminationCallMs >= timings.terminationGapMs) {
+        if (inventory.terminatingMachines.isNotEmpty() &&
+            context.now.monotonicMs - lastTerminationCallMs >= timings.minTerminationIntervalMs
+        ) {
             val due = inventory.terminatingMachines.filter {
                 isCommitted(it.text) && isDue(terminationSentMs[it])
             }.take(MAX_TERMINATIONS_PER_CALL)
             if (due.isNotEmpty()) {
-                lastTerminationCallMs = context.now.steadyMs
-                due.forEach { terminationSentMs[it] = context.now.steadyMs }
+                lastTerminationCallMs = context.now.monotonicMs
+                due.forEach { terminationSentMs[it] = context.now.monotonicMs }
                 context.emit(Effect.TerminateMachines(due))
             }
         }
@@ -125,15 +127,15 @@
     }
 
     private fun isDue(sentMs: Long?): Boolean {
-        val retryAfterMs = (deployment.reportS * MS_PER_S).toLong()
-        return sentMs == null || context.now.steadyMs - sentMs >= retryAfterMs
+        val retryAfterMs = (deployment.heartbeatPeriodS * MS_PER_S).toLong()
+        return sentMs == null || context.now.monotonicMs - sentMs >= retryAfterMs
     }
 
     /** Whether the request's record is committed. Requests of earlier terms have no entry here; their records are committed. */
     private fun isCommitted(request: String) = (recordByRequest[request] ?: LogIndex.NONE) <= decisionLog.committedIndex
 
     private companion object {
-        /** The cloud's limit for one termination call. */
+        /** The cloud provider's limit for one termination call. */
         const val MAX_TERMINATIONS_PER_CALL = 100
 
         /**
--- a/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
@@ -9,7 +9,7 @@
  * key-value store and optionally compacts older records into snapshots. At most one commit is in flight at a time.
  *
  * Owned by the scheduler and confined to the leader's event loop. It does no I/O: [nextCommit] returns the commit to write, and
- * [recordCommitted] confirms that it is durable. Compaction changes the state in memory only after that confirmation.
+ * [recordCommitted] confirms that the key-value store has applied it. Compaction changes the state in memory only after that confirmation.
  */
 class DecisionLog(private val deployment: Deployment, private val sizes: SizeEstimator) {
     private class PendingRecord(val index: LogIndex) {
@@ -25,12 +25,12 @@
 
     private class InFlightCommit(val index: LogIndex, val records: Map<LogIndex, RetainedRecord>, val compaction: CompactionPlan?)
 
-    private val recordBytes = deployment.stateValueBytes * RECORD_FILL
+    private val recordBytes = deployment.maxStoredValueBytes * RECORD_FILL
     private val pendingRecords = ArrayDeque<PendingRecord>()
     private var inFlight: InFlightCommit? = null
     private var lastIndex = LogIndex.NONE
 
-    /** The index of the last commit that is known to be durable. */
+    /** The index of the last commit that the key-value store is known to have applied. */
     var committedIndex = LogIndex.NONE
         private set
 
@@ -113,7 +113,7 @@
     private fun takePendingRecords(): List<PendingRecord> {
         val records = ArrayList<PendingRecord>()
         var bytes = 0
-        while (pendingRecords.isNotEmpty() && records.size < deployment.stateTxnOps / RECORD_OPS_DIVISOR) {
+        while (pendingRecords.isNotEmpty() && records.size < deployment.maxTransactionOps / RECORD_OPS_DIVISOR) {
             bytes += pendingRecords.first().bytes
             if (records.isNotEmpty() && bytes > MAX_COMMIT_BYTES) break
             records += pendingRecords.removeFirst()
@@ -131,7 +131,7 @@
             changes = maxChanges,
             totalBytes = MAX_COMMIT_BYTES,
             valueBytes = recordBytes,
-            chunkBytes = deployment.stateValueBytes * CHUNK_FILL,
+            chunkBytes = deployment.maxStoredValueBytes * CHUNK_FILL,
         )
         val plan = CompactionPlan(index, limits, jobs, sizes, inventorySnapshot, storedSnapshots)
         // Only records of earlier commits are compacted, not those that this commit writes.
@@ -150,7 +150,7 @@
         return changes
     }
 
-    /** Called when the commit in flight, at [index], is durable: marks its records as committed and applies its compaction. */
+    /** Called when the commit in flight, at [index], is applied: marks its records as committed and completes its compaction in memory. */
     fun recordCommitted(index: LogIndex, jobs: LoggedJobs) {
         val commit = inFlight
         check(commit?.index == index) { "commit $index was confirmed, but the commit in flight is ${commit?.index}" }
--- a/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
@@ -27,7 +27,7 @@
         outcomeRecords.getOrPut(machine) { HashMap() }[attempt] = recordIndex
     }
 
-    /** Removes the committed outcomes of attempts that the machine's newest heartbeat no longer lists. */
+    /** Removes the committed outcomes of attempts that the machine's newest heartbeat no longer reports. */
     fun removeCommittedOutcomes(machine: MachineId, listedAttempts: Set<AttemptId>) {
         val outcomes = outcomeRecords[machine] ?: return
         outcomes.entries.removeAll { (id, recordIndex) -> id !in listedAttempts && recordIndex <= decisionLog.committedIndex }
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Whether an attempt that the newest heartbeat doesn't list can no longer run. A start command in flight could still start it,
+     * Whether an attempt that the newest heartbeat doesn't report can no longer run. A start command in flight could still start it,
      * unless the machine has seen a higher token than that of any such command, or its incarnation began after the last one was
      * sent: workers drop commands for an earlier incarnation. For a machine that no command reaches, only the latter can apply.
      */
@@ -92,11 +92,12 @@
 
     /** A cancelled attempt is stopped only once the record is committed: a stop can't be undone if the record never is. */
     private fun mayStop(attempt: Attempt) = attempt.stopCause != StopCause.CANCELLED ||
-        (attempt.job.cancelledIndex ?: attempt.job.finishedIndex ?: LogIndex.NONE) <= decisionLog.committedIndex
+        (attempt.job.cancelledIndex ?: attempt.job.completedIndex ?: LogIndex.NONE) <= decisionLog.committedIndex
 
     private fun stopCommandFor(attempt: Attempt, state: TaskState): WorkerCommand? {
         val spec = attempt.job.spec
-        val savesProgress = attempt.stopCause != StopCause.CANCELLED && attempt.stopCause != StopCause.STRAY && spec.checkpointIntervalS > 0
+        val savesProgress =
+            attempt.stopCause != StopCause.CANCELLED && attempt.stopCause != StopCause.SUPERSEDED && spec.checkpointIntervalS > 0
         if (savesProgress && state == TaskState.SAVING) return null
         return WorkerCommand.Stop(attempt.id, if (savesProgress) spec.checkpointWriteS else 0.0)
     }
--- a/src/main/kotlin/cleathitch/scheduler/model/MachineType.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/MachineType.kt
@@ -1,6 +1,6 @@
 package cleathitch.scheduler.model
 
-/** A machine type as the cloud lists it: resources, prices and the zones in which it can be rented. */
+/** A machine type as the cloud provider lists it: resources, prices and the zones in which it can be rented. */
 data class MachineType(
     val name: String,
     /** Number of CPUs. */
@@ -21,7 +21,7 @@
     val zones: List<String>,
 ) {
     /** Whether a task of the class fits on an empty machine of this type. */
-    fun canHold(placementClass: PlacementClass) =
+    fun fits(placementClass: PlacementClass) =
         placementClass.cpus <= cpus && placementClass.gpus <= gpus && placementClass.memoryGb <= memoryGb
 
     /** The price of a machine of this type per unit of time, as a spot or an on-demand machine. */
--- a/src/test/kotlin/cleathitch/metrics/ProcessingTimesTest.kt
+++ b/src/test/kotlin/cleathitch/metrics/ProcessingTimesTest.kt
@@ -6,11 +6,11 @@
 import org.junit.jupiter.api.Test
 
 class ProcessingTimesTest {
-    private val meters = SimpleMeterRegistry()
-    private val times = ProcessingTimes(meters)
+    private val meterRegistry = SimpleMeterRegistry()
+    private val times = ProcessingTimes(meterRegistry)
 
     @Test
-    fun `a summary names the stages that ran since the last one`() {
+    fun `a summary lists the stages that ran since the last summary`() {
         times.measure(ProcessingStage.SCHEDULER) {}
         times.measure(ProcessingStage.SCHEDULER) {}
         val summary = times.summary()
@@ -19,15 +19,15 @@
     }
 
     @Test
-    fun `the metrics go on counting`() {
+    fun `a summary doesn't reset the metrics`() {
         times.measure(ProcessingStage.REPLAY) {}
         times.summary()
         times.measure(ProcessingStage.REPLAY) {}
-        assertTrue("processing.count stage=replay 2.0\n" in MetricsText.text(meters)) { MetricsText.text(meters) }
+        assertTrue("processing.count stage=replay 2.0\n" in MetricsText.text(meterRegistry)) { MetricsText.text(meterRegistry) }
     }
 
     @Test
-    fun `a value with blanks stands in quotation marks`() {
+    fun `a log value with whitespace is quoted`() {
         assertEquals("lease_expired", logValue("lease_expired"))
         assertEquals("\"newer_term: n2 knows 813\"", logValue("newer_term: n2 knows 813"))
         assertEquals("\"said 'no' twice\"", logValue("said \"no\" twice"))
--- a/src/test/kotlin/cleathitch/scheduler/FailoverFaultsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FailoverFaultsTest.kt
@@ -52,7 +52,7 @@
     fun `after all controllers were down for longer than a worker's lease, an attempt is restarted on its machine, once`() {
         becomeLeaderWithFleet()
         val (attempt) = startJob(1)
-        advanceTo(nowMs + (deployment.leaseS * 1500).toLong())
+        advanceTo(nowMs + (deployment.workerLeaseS * 1500).toLong())
         machine.expireLease()
 
         failOver()
@@ -76,7 +76,7 @@
         assertTrue(machine.sendHeartbeat().any { it is Effect.AnswerHeartbeat })
     }
 
-    /** Each leader inherits worker leases that outlast its term, so only the cloud's confirmation allows the task to be restarted. */
+    /** Each leader inherits worker leases that outlast its term, so only the cloud provider's confirmation allows a restart of the task. */
     @Test
     fun `the task of a terminated machine is restarted although each term lasts only a dozen seconds`() {
         becomeLeaderWithFleet()
