--- a/src/main/kotlin/cleathitch/scheduler/LogWriter.kt
+++ b/src/main/kotlin/cleathitch/scheduler/LogWriter.kt
@@ -15,8 +15,8 @@
 import cleathitch.scheduler.model.Term
 
 /**
- * Applies events to the state in memory, and limits the rate of the commits that make them durable to the leader's share of the
- * key-value store's write rate. Confined to the leader's event loop.
+ * Applies events to the state in memory and commits them to the key-value store. The rate of its writes stays within the leader's
+ * share of the key-value store's write rate limit. Confined to the leader's event loop.
  */
 internal class LogWriter(
     private val context: SchedulerContext,
@@ -35,7 +35,7 @@
     private var lastWriteMs = 0L
     private var lastCompactionMs = start.monotonicMs
 
-    /** Whether a reply or a command waits for a queued event; its commit then doesn't wait for the next round. */
+    /** Whether a reply or a command waits for a queued event, so that the event is written without waiting for the next round. */
     private var isUrgent = false
     private var isCompacting = false
 
@@ -79,17 +79,17 @@
         context.emit(Effect.Write(commit))
     }
 
-    /** Called when the commit in flight, up to record [index], is applied. */
+    /** Called when the key-value store has applied the commit in flight, whose index is [index]. */
     fun recordCommit(index: LogIndex) {
         decisionLog.recordCommitted(index, jobTable)
         inFlightSinceMs = null
     }
 
     private companion object {
-        /** The part of the key-value store's write rate that the leader may use; the rest is left for elections. */
+        /** The fraction of the key-value store's write rate limit that the leader may use; the rest is left for elections. */
         const val WRITE_SHARE = 0.8
 
-        /** A compaction step limited to fewer changes isn't worth a commit. */
+        /** The minimum number of changes that must be available to compaction; with fewer it isn't worth a commit. */
         const val MIN_COMPACTION_CHANGES = 4
 
         /** Changes in the smallest commit that contains events: one record and the head. */
--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -36,8 +36,9 @@
  * The scheduler as a deterministic state machine for one leadership term. [handle] consumes a batch of inputs and returns
  * the effects to execute, in order. It reads no clock, draws no random numbers and does no I/O. Confined to the leader's event loop.
  *
- * Events are applied to the state in memory immediately, but no output that depends on an event is emitted before its record is
- * committed: replies wait in [JobRequests], worker commands in [CommandDispatcher], calls to the cloud provider in [CloudRequests].
+ * Events are applied to the state in memory immediately, but no output that depends on an event is emitted before the event's
+ * record is committed: replies wait in [JobRequests], worker commands in [CommandDispatcher], calls to the cloud provider in
+ * [CloudRequests].
  *
  * This class creates the components and dispatches inputs to them; each component owns its state.
  */
@@ -48,7 +49,7 @@
     recovered: RecoveredState,
     start: ClockReading,
     sizes: SizeEstimator,
-    /** Less important log lines aren't formatted at all: formatting a line for every state change of every task is costly. */
+    /** Log lines less severe than this aren't even formatted, as formatting one for every state change of every task is costly. */
     private val logLevel: LogLevel = LogLevel.DEBUG,
 ) {
     private val effects = ArrayList<Effect>()
@@ -119,7 +120,7 @@
         StateRecovery(jobTable, inventory, decisionLog).restore(recovered, dispatcher.firstToken)
     }
 
-    /** Number of jobs that aren't archived: those that aren't in a terminal state, have live attempts or await compaction. */
+    /** Number of jobs that aren't archived. Compaction archives a job once it is in a terminal state and has no live attempts. */
     val openJobCount: Int get() = jobTable.jobs.size
 
     /** Number of machines known to be rented. */
@@ -172,7 +173,7 @@
         effects += Effect.AnswerFollower(input.request, decisions, statuses)
     }
 
-    /** Sends the output that was waiting for the commit. Stops go before replies, because the replies confirm cancellations to users. */
+    /** Sends the output that waited for the commit: stop commands before replies, because replies confirm cancellations to users. */
     private fun commitSucceeded(input: Input.CommitSucceeded) {
         logWriter.recordCommit(input.index)
         dispatcher.recordRevision(input.revision)
@@ -182,7 +183,10 @@
         cloudRequests.sendDue()
     }
 
-    /** Runs the checks that iterate over all machines once per period, so that the cost of a batch depends only on its inputs. */
+    /**
+     * Runs the checks that iterate over all machines. They run once per period and not for every batch, because the cost of a batch
+     * should depend only on its inputs.
+     */
     private fun checkFleetIfDue() {
         if (now.monotonicMs - lastFleetCheckMs < timings.fleetCheckPeriodMs) return
         lastFleetCheckMs = now.monotonicMs
@@ -192,7 +196,7 @@
         imageCacheHints.shareIfDue()
     }
 
-    /** The state of the term that the components share. */
+    /** The part of the term's state that the components share. */
     private inner class Context : SchedulerContext {
         override val now get() = this@Scheduler.now
         override val listeningSinceMs get() = lease.listeningSinceMs
--- a/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
+++ b/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
@@ -56,7 +56,10 @@
     var candidatesEvaluated = 0L
         private set
 
-    /** Runs a round once per period, unless commits are behind: a decision could be outdated by the time its record is committed. */
+    /**
+     * Runs a round once per period, but not while a commit is in flight or many records are pending: a decision could be outdated by
+     * the time its record is committed.
+     */
     fun runIfDue() {
         if (context.now.monotonicMs - lastRoundMs < timings.roundPeriodMs ||
             !decisionLog.isIdle ||
@@ -108,7 +111,8 @@
         }
 
         private fun recordUnplaced(job: Job) {
-            // A class that fits on no machine for one job fits for no other job either, unless the job restricts its tasks' zones.
+            // No machine fits other jobs of this class either, so these aren't tried in this round. With oneZone or spread they are
+            // tried, because the allowed zones then depend on where each job's own attempts run.
             if (!job.spec.oneZone && !job.spec.spread) unplaceableClasses += job.spec.placementClass
             val count = minOf(job.waitingTasks, quota.remainingTasks(job.spec))
             val remaining = count - preempt(job, count)
--- a/src/main/kotlin/cleathitch/scheduler/TermLease.kt
+++ b/src/main/kotlin/cleathitch/scheduler/TermLease.kt
@@ -11,7 +11,7 @@
     private val timings: SchedulerTimings,
     private val inventory: Inventory,
     start: ClockReading,
-    /** Whether the cluster never had a leader before, so that there are no machines whose heartbeats to wait for. */
+    /** Whether the cluster never had a leader before. In that case it has no machines yet whose heartbeats to wait for. */
     private val isFirstTerm: Boolean,
 ) {
     private val startedMs = start.monotonicMs
@@ -49,7 +49,10 @@
      */
     fun mayPlaceTasks(): Boolean = isHeld() && inventory.types.isNotEmpty()
 
-    /** Whether all machines have had time to send a heartbeat. Decisions that depend on absent machines, such as scaling, wait for this. */
+    /**
+     * Whether all machines have had time to send a heartbeat. Decisions that rely on missing heartbeats, such as scaling in, wait for
+     * this.
+     */
     fun isFleetObserved(): Boolean = mayPlaceTasks() &&
         (isFirstTerm && listeningSinceMs == startedMs || context.now.monotonicMs - listeningSinceMs >= timings.failoverSettleMs)
 }
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Attempt.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Attempt.kt
@@ -36,7 +36,7 @@
     /** Whether the attempt was created in an earlier term. */
     val isInherited: Boolean get() = inheritedToken != null
 
-    /** An upper bound on the tokens of all start commands in flight; null if none was ever sent. */
+    /** An upper bound on the tokens of all start commands in flight; null if none can have been sent yet. */
     val newestStartToken: FencingToken? get() = lastSentToken ?: inheritedToken
 
     /** Records the attempt's [state] in the machine's newest heartbeat, null if that doesn't report the attempt. */
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
@@ -38,7 +38,10 @@
     var cancelledIndex: LogIndex? = null
         private set
 
-    /** The record that contains the completion of the last task, null while tasks are incomplete. */
+    /**
+     * The record that contains the completion of the last task, null while tasks are incomplete. It has no meaning if the job is
+     * cancelled.
+     */
     var completedIndex: LogIndex? = null
         private set
 
@@ -49,7 +52,7 @@
     var retryNotBeforeMs = 0L
         private set
 
-    /** All tasks below this index have had an attempt or are completed. */
+    /** All tasks with a lower index have had an attempt or are completed. */
     private var nextUnstartedIndex = 0
 
     /** Indexes of tasks that wait for another attempt; these are started before tasks that had none yet. */
--- a/src/main/kotlin/cleathitch/scheduler/jobs/JobTable.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/JobTable.kt
@@ -26,7 +26,7 @@
     private val usageByMachine = HashMap<MachineId, ResourceUsage>()
     private val usageByTeam = HashMap<String, ResourceUsage>()
 
-    /** The jobs that aren't archived: those that aren't in a terminal state, have live attempts or await compaction. */
+    /** The jobs that aren't archived. Compaction archives a job once it is in a terminal state and has no live attempts. */
     val jobs: Collection<Job> get() = jobsById.values
 
     /** The job with this id, null if it is unknown or archived. */
@@ -35,7 +35,7 @@
     /** The final state of an archived job, null if the job isn't archived. */
     fun finalState(id: JobId): FinalState? = finalStates[id]
 
-    /** The attempts that may still be running on the machine, as a view that reflects later changes. */
+    /** The attempts that may still be running on the machine; not a copy, so the collection changes with later events. */
     fun attemptsOn(machine: MachineId): Collection<Attempt> = attemptsByMachine[machine]?.values.orEmpty()
 
     /** The attempt with this id, null if it isn't live. */
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Quota.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Quota.kt
@@ -18,7 +18,10 @@
             isWithin((usage?.gpus ?: 0.0) + spec.gpus, team.maxGpus)
     }
 
-    /** Whether the team's limit would allow the job if the team used nothing else: all tasks at once of a service, one task of others. */
+    /**
+     * Whether the team's limit would allow the job if the team had no other jobs. A service needs room for all its tasks at once, a job
+     * of another kind for one task.
+     */
     fun isSatisfiable(spec: JobSpec): Boolean {
         val team = teams[spec.team] ?: return false
         val tasks = if (spec.kind == JobKind.SERVICE) spec.tasks else 1
--- a/src/main/kotlin/cleathitch/scheduler/log/CompactedJob.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/CompactedJob.kt
@@ -7,9 +7,9 @@
     /** The job isn't in a terminal state, or an attempt of it may still be running; its [snapshot] is stored. */
     data class Open(val snapshot: JobSnapshot) : CompactedJob
 
-    /** The job is finished or cancelled; only its [finalState] is stored. */
+    /** The job is in a terminal state and has no live attempts; only its [finalState] is stored. */
     data class Finished(val id: JobId, val finalState: FinalState) : CompactedJob
 
-    /** An earlier compaction has already stored the final state; nothing is stored. */
+    /** An earlier compaction has already stored the final state; nothing more is stored. */
     data object Archived : CompactedJob
 }
--- a/src/main/kotlin/cleathitch/scheduler/log/CompactionPlan.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/CompactionPlan.kt
@@ -7,8 +7,9 @@
  * The compaction that is part of one commit: snapshots, final states of finished jobs, and deletions of the records that they
  * replace. Built by calling [addRecord] for each record, oldest first.
  *
- * Planning doesn't change the state in memory; that is updated only once the commit is applied. Otherwise users could be told the
- * final state of an archived job that isn't stored yet, and the next leader, not finding it in the key-value store, could contradict it.
+ * Planning doesn't change the state in memory; that is updated only once the commit is applied. If a job were archived in memory
+ * earlier, users could be told a final state that isn't stored yet, and the next leader, which wouldn't find it in the key-value
+ * store, could contradict it.
  *
  * @param index the index of the commit; its snapshots include all records up to this one
  * @param stored the snapshots stored by earlier commits
@@ -24,7 +25,8 @@
     /**
      * Limits of one compaction.
      *
-     * @property changes the maximum number of changes
+     * @property changes the number of changes at which planning stops; the deletion of an archived job's parts and the chunk of final
+     * states may exceed it
      * @property totalBytes the maximum number of bytes of all values together
      * @property valueBytes the maximum number of bytes of one part of a job's snapshot
      * @property chunkBytes a chunk of final states larger than this isn't extended; a new one is begun
@@ -46,7 +48,7 @@
     /** The jobs of which only the final state remains after the commit. */
     val archivedJobs = ArrayList<CompactedJob.Finished>()
 
-    /** The current chunk of final states as of this commit. */
+    /** The newest chunk of final states as of this commit. */
     val finishedJobs by lazy {
         if (archivedJobs.isEmpty()) stored.finishedJobs else stored.finishedJobs.plus(archivedJobs, limits.chunkBytes)
     }
--- a/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
@@ -44,7 +44,10 @@
     val hasPendingRecords get() = pendingRecords.isNotEmpty()
     val pendingRecordCount get() = pendingRecords.size
 
-    /** Whether the last requested compaction left records, because it reached its limits or was skipped while records were pending. */
+    /**
+     * Whether compaction was requested with the last commit but left records uncompacted, because it reached its limits or was skipped
+     * while records were pending.
+     */
     var isCompactionIncomplete = false
         private set
 
@@ -150,7 +153,10 @@
         return changes
     }
 
-    /** Called when the commit in flight, at [index], is applied: marks its records as committed and completes its compaction in memory. */
+    /**
+     * Called when the key-value store has applied the commit in flight, whose index is [index]: marks its records as committed and
+     * completes its compaction in memory.
+     */
     fun recordCommitted(index: LogIndex, jobs: LoggedJobs) {
         val commit = inFlight
         check(commit?.index == index) { "commit $index was confirmed, but the commit in flight is ${commit?.index}" }
@@ -167,7 +173,10 @@
     }
 
     private companion object {
-        /** The fraction of the value size limit used for a record or a part of a snapshot: the limit applies to the larger JSON form. */
+        /**
+         * The fraction of the value size limit that the estimated size of a record or of a part of a snapshot may reach. The limit itself
+         * applies to the JSON form, which is larger.
+         */
         const val RECORD_FILL = 0.8
 
         /** The fraction of the value size limit beyond which a chunk of final states isn't extended any more. */
@@ -179,7 +188,7 @@
         /** The size limit for the records of a commit, and separately for its compaction. */
         const val MAX_COMMIT_BYTES = MAX_TRANSACTION_BYTES * 0.4
 
-        /** The records of a commit use at most one in this many of a transaction's operations. */
+        /** The maximum number of records in a commit is the maximum number of operations in a transaction, divided by this. */
         const val RECORD_OPS_DIVISOR = 4
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/log/Event.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/Event.kt
@@ -45,7 +45,7 @@
     @SerialName("start")
     data class AttemptStarted(override val job: JobId, val taskIndex: Int, val number: Long, val machine: MachineId) : JobEvent
 
-    /** Attempt [number] is confirmed not to be running any more; unless completed, the task may be started again. */
+    /** Attempt [number] is confirmed not to be running any more; the task may be started again unless it is completed. */
     @Serializable
     @CborArray
     @SerialName("over")
@@ -62,7 +62,7 @@
     @SerialName("rent")
     data class RentalRequested(val request: String, val offer: Offer, val count: Int) : InventoryEvent
 
-    /** The cloud provider has answered the rental [request]. */
+    /** The cloud provider has answered the rental [request] by renting out machines or by a refusal. */
     @Serializable
     @SerialName("rented")
     data class RentalResolved(val request: String) : InventoryEvent
--- a/src/main/kotlin/cleathitch/scheduler/log/RecoveredState.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/RecoveredState.kt
@@ -5,7 +5,7 @@
  *
  * @property head the index of the last commit
  * @property records the records that compaction hasn't deleted, oldest first
- * @property jobs the snapshots of open jobs
+ * @property jobs the snapshots of jobs that aren't archived
  * @property inventory the snapshot of the machine inventory, null if none was stored yet
  * @property finishedJobs the chunks of final states
  */
--- a/src/main/kotlin/cleathitch/scheduler/log/RetainedRecord.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/RetainedRecord.kt
@@ -12,7 +12,7 @@
     private val unobservedStarts = events.filterIsInstance<Event.AttemptStarted>()
         .mapTo(ArrayList()) { AttemptId(TaskId(it.job, it.taskIndex), it.number) }
 
-    /** Whether the record contains the start of an attempt that no heartbeat has reported yet; such a record isn't deleted. */
+    /** Whether the record contains the start of a live attempt that no heartbeat has reported yet; such a record isn't deleted. */
     fun hasUnobservedStarts(jobs: LoggedJobs): Boolean {
         unobservedStarts.removeIf { !jobs.isStartUnobserved(it) }
         return unobservedStarts.isNotEmpty()
--- a/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
@@ -43,7 +43,10 @@
 
     private val pendingReplies = ArrayList<PendingReply>()
 
-    /** Accepts a job. Submissions are idempotent: one with a known job id is answered with the state of that job, whatever its spec. */
+    /**
+     * Accepts a job. Submissions are idempotent: a submission with a known job id is answered with the state of that job, even if the
+     * submitted spec differs.
+     */
     fun submit(submission: Input.Submit) {
         val (request, spec) = submission
         val archived = jobTable.finalState(spec.id)
@@ -74,7 +77,7 @@
         answerAfter(record, request, UserReply.Accepted(spec.id, JobState.QUEUED, known = false))
     }
 
-    /** The reason shown to the user why no task of the job could ever start, null if one could. */
+    /** The reason why the job can never be scheduled, as shown to the user; null if there is none. */
     private fun unsatisfiableReason(spec: JobSpec): String? = when {
         spec.team !in teams -> "unknown team ${spec.team}"
         !fitsSomeMachineType(spec) -> "no allowed machine type fits a task: vcpus=${spec.cpus} gpus=${spec.gpus} memoryGb=${spec.memoryGb}"
@@ -178,8 +181,8 @@
     }
 
     /**
-     * Logs the final state given in a reply together with the [record] that establishes it, null for an archived job, because a final
-     * state can't be retracted once a user has seen it. If the record isn't committed yet, the reply waits until it is.
+     * Logs a final state that a reply contains, because it can't be retracted once a user has seen it. [record] is the record that
+     * establishes the state, null for an archived job; the reply is sent only once that record is committed.
      */
     private fun logFinalState(id: JobId, state: JobState, record: LogIndex?) {
         if (state != JobState.DONE && state != JobState.CANCELLED) return
