--- a/src/main/kotlin/cleathitch/scheduler/api/Effect.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/Effect.kt
@@ -26,7 +26,7 @@
     /** Commits changes to the key-value store. At most one commit is in flight. */
     data class Write(val commit: Commit) : Effect
 
-    /** A direct call to a worker, other than the answer to its heartbeat. */
+    /** A direct call to a worker, other than the reply to its heartbeat. */
     sealed interface ToWorker : Effect {
         /** The worker's machine. */
         val machine: MachineId
@@ -53,7 +53,7 @@
     /** Sends the contents of the machines' image caches to the followers, one of which may be the next leader. */
     data class ShareImageCacheHints(val images: Map<MachineId, ImageCache>) : Effect
 
-    /** Ends the leader's term. With [transferLeadership] the next term is left to other controllers, which are better placed to lead. */
+    /** Ends the leader's term. With [transferLeadership] this controller doesn't campaign for some time, so that another one leads. */
     data class StepDown(val reason: String, val transferLeadership: Boolean = false) : Effect
 
     /** Writes a log line. */
--- a/src/main/kotlin/cleathitch/scheduler/api/HeartbeatDecision.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/HeartbeatDecision.kt
@@ -8,7 +8,7 @@
     /** The worker is answered with [commands] under [token]. */
     data class Answer(val token: FencingToken, val commands: List<WorkerCommand>) : HeartbeatDecision
 
-    /** The worker must not get an answer that renews its lease. */
+    /** The worker must not get a reply that renews its lease. */
     data object Refuse : HeartbeatDecision
 
     /** The leader doesn't have the base of an unchanged heartbeat and decides once it has received the full heartbeat. */
--- a/src/main/kotlin/cleathitch/scheduler/api/SchedulerContext.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerContext.kt
@@ -9,7 +9,7 @@
     /** The time of the input batch that is being handled. */
     val now: ClockReading
 
-    /** The monotonic-clock time since which heartbeats have been received continuously. */
+    /** The time on the monotonic clock since which heartbeats could be answered without interruption. */
     val listeningSinceMs: Long
 
     /** Whether the leader has ended this term, after which no input is handled. */
@@ -39,7 +39,7 @@
     /** Whether log lines of this level are written. */
     fun isLogged(level: LogLevel): Boolean
 
-    /** Ends the term; with [transferLeadership] the next term is left to other controllers. */
+    /** Ends the term; with [transferLeadership] this controller doesn't campaign for some time, so that another one leads. */
     fun stepDown(reason: String, transferLeadership: Boolean = false)
 }
 
--- a/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
@@ -11,7 +11,7 @@
  * heartbeat period and the lease duration.
  */
 data class SchedulerTimings(
-    /** Period of scheduling rounds and of writes that no request waits for; also the initial backoff of a job whose tasks fail. */
+    /** Period of scheduling rounds and of writes that no request waits for; also the initial retry delay of a job whose tasks fail. */
     val roundPeriodMs: Long,
 
     /** Period of the decision log's compaction. */
@@ -19,7 +19,7 @@
 
     /**
      * How long a leader still answers heartbeats after the end of its own lease. A new leader waits for this time plus a worker's lease
-     * before it restarts the tasks of machines that it hasn't answered, so that leases renewed by a former leader have expired.
+     * before it restarts the tasks of machines that it hasn't answered, so that leases renewed by an earlier leader have expired.
      */
     val graceMs: Long,
 
@@ -32,7 +32,7 @@
     /** Period at which the whole fleet is checked for machines that are silent, have lost their lease or never booted. */
     val fleetCheckPeriodMs: Long,
 
-    /** Time without a heartbeat after which a machine is probed and gets no new tasks; over one period, as some heartbeats are late. */
+    /** Time without a heartbeat after which a machine is probed and gets no new tasks; exceeds one period, as some heartbeats are late. */
     val probeAfterMs: Long,
 
     /** Minimum time between two probes of a machine, and the timeout of a probe. */
@@ -66,12 +66,12 @@
     val maxCommitWaitMs: Long,
 ) {
     companion object {
-        /** The longest round period; short wait objectives reduce it. */
+        /** The longest round period; objectives with short start deadlines reduce it. */
         private const val MAX_ROUND_MS = 2000.0
         private const val DEFAULT_COMPACTION_MS = 10_000L
 
-        /** Rounds per shortest wait objective: a failover may skip one round, and starting a task takes time. */
-        private const val ROUNDS_PER_WAIT = 4
+        /** Rounds within the shortest start deadline: a failover may skip one round, and starting a task takes time. */
+        private const val ROUNDS_PER_START_DEADLINE = 4
 
         /** Fleet checks per heartbeat period, so that an overdue heartbeat is detected soon. */
         private const val FLEET_CHECKS_PER_HEARTBEAT = 6
@@ -109,19 +109,19 @@
             )
         }
 
-        /** Short enough for the shortest wait objective, but using at most half of the key-value store's write rate limit. */
+        /** Short enough for the shortest start deadline, unless that would use more than half of the key-value store's write rate limit. */
         private fun roundPeriodMs(deployment: Deployment): Long {
-            val shortestWaitS = shortestWaitS(deployment.objectives)
-            val byObjectiveMs = if (shortestWaitS == null) {
+            val shortestStartDeadlineS = shortestStartDeadlineS(deployment.objectives)
+            val byObjectiveMs = if (shortestStartDeadlineS == null) {
                 MAX_ROUND_MS
             } else {
-                min(MAX_ROUND_MS, shortestWaitS * MS_PER_S / ROUNDS_PER_WAIT)
+                min(MAX_ROUND_MS, shortestStartDeadlineS * MS_PER_S / ROUNDS_PER_START_DEADLINE)
             }
             val byWriteBudgetMs = MS_PER_S * CHANGES_PER_ROUND / (deployment.storeWritesPerS / 2)
             return max(byObjectiveMs, byWriteBudgetMs).toLong()
         }
 
-        private fun shortestWaitS(objectives: List<Objective>): Double? = objectives.mapNotNull {
+        private fun shortestStartDeadlineS(objectives: List<Objective>): Double? = objectives.mapNotNull {
             when (it) {
                 is Objective.StartDelay -> it.deadlineS
                 is Objective.Guarantee -> it.deadlineS
@@ -129,7 +129,7 @@
             }
         }.minOrNull()
 
-        /** Cancelled tasks have to end by the cancellation deadline even if a former leader answers until its grace period ends. */
+        /** Cancelled tasks have to end by the cancellation deadline even if an earlier leader answers until its grace period ends. */
         private fun graceMs(deployment: Deployment): Long {
             val spareMs = (deployment.cancellationDeadlineS - deployment.workerLeaseS) * MS_PER_S
             return (spareMs * GRACE_SHARE).toLong().coerceAtLeast(0)
--- a/src/main/kotlin/cleathitch/scheduler/api/UserReply.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/UserReply.kt
@@ -4,7 +4,7 @@
 
 /** The answer to a user's submission, poll or cancellation. */
 sealed interface UserReply {
-    /** The job is accepted and durably stored; [known] if an earlier submission was already accepted. */
+    /** The job is accepted and durably stored; [known] if an earlier submission of it was already accepted. */
     data class Accepted(val job: JobId, val state: JobState, val known: Boolean) : UserReply
 
     /** The job's state, with the numbers of its completed and running tasks. */
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CapacityPlanner.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CapacityPlanner.kt
@@ -10,7 +10,7 @@
 
 /**
  * Scale-out: decides which machines to rent for tasks that fit on no existing machine. Demands are first assigned to booting
- * machines and unanswered rentals, so that the same shortage isn't rented for twice; the rest is rented from the cheapest offers.
+ * machines and unanswered rentals, so that no machine is rented for them twice; for the rest, the cheapest offers are rented.
  * Keeps no state between calls. Confined to the leader's event loop.
  */
 class CapacityPlanner(private val deployment: Deployment, private val inventory: Inventory) {
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
@@ -21,8 +21,8 @@
 
 /**
  * The rentals and terminations that the leader requests from the cloud provider. Each is recorded in the decision log before it is
- * sent, so that the next leader knows of it. It is resent under the same request name until it is answered, so that a lost answer doesn't
- * cause a second rental.
+ * sent, so that the next leader knows of it. A request is resent until it is answered, a rental under the same request name, so that
+ * a lost answer doesn't cause a second rental.
  */
 internal class CloudRequests(
     private val context: SchedulerContext,
@@ -39,7 +39,7 @@
     private val rentalSentMs = HashMap<String, Long>()
     private val terminationSentMs = HashMap<MachineId, Long>()
 
-    /** The log records of this term's rentals (by request) and terminations (by machine); no request is sent before its record commits. */
+    /** The log records of this term's rentals, by request, and terminations, by machine; a request waits for its record's commit. */
     private val recordByRequest = HashMap<String, LogIndex>()
     private val requestPrefix = "r-${term.revision}-"
     private var rentalsRequested = 0L
@@ -95,7 +95,7 @@
         "request=$request type=${offer.type} zone=${offer.zone} spot=${offer.spot} count=$count"
     }
 
-    /** Sends recorded requests that haven't been sent, and resends those without an answer for one heartbeat period. */
+    /** Sends the requests whose records are committed, and resends those that have been unanswered for one heartbeat period. */
     fun sendDue() {
         sendRentals()
         sendTerminations()
@@ -109,7 +109,7 @@
         }
     }
 
-    /** Batches terminations: those requested within the gap between two calls share one call. */
+    /** Batches terminations: those requested within the minimum interval between two calls share one call. */
     private fun sendTerminations() {
         if (inventory.terminatingMachines.isNotEmpty() &&
             context.now.monotonicMs - lastTerminationCallMs >= timings.minTerminationIntervalMs
@@ -139,8 +139,8 @@
         const val MAX_TERMINATIONS_PER_CALL = 100
 
         /**
-         * Unconfirmed terminations share one stored value with the pending rentals; a machine's name takes up about half of this many
-         * bytes there.
+         * Unconfirmed terminations share one stored value with the pending rentals; a machine's identifier takes up about half of
+         * this many bytes there.
          */
         const val BYTES_PER_TERMINATION = 27
     }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/DemandForecast.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/DemandForecast.kt
@@ -10,7 +10,7 @@
 
 /**
  * Forecasts how many of the unplaced tasks need new machines. Running tasks complete and free resources, often sooner than a new
- * machine boots; as long as a placement class can wait for that and still meet its objective, nothing is rented for it.
+ * machine boots; as long as unplaced tasks can wait for that and still meet their objective, nothing is rented for them.
  */
 class DemandForecast(
     private val inventory: Inventory,
@@ -23,7 +23,8 @@
         if (unplaced.isEmpty()) return emptyList()
         val freedCpusPerS = freedCpusPerS()
         val shortages = LinkedHashMap<PlacementClass, Shortage>()
-        // CPUs freed by running tasks but already counted for earlier entries: within half of the slack, and within all of it.
+        // CPUs that running tasks will free in time but that are already reserved for earlier entries of the list: within half of an
+        // entry's slack, and within all of it.
         var reservedInHalfSlack = 0.0
         var reservedInSlack = 0.0
         for (tasks in unplaced) {
@@ -48,7 +49,7 @@
 
     /**
      * How long a task may wait in the queue: the first objective of its class that it can meet, less its run time and the time to
-     * fetch its image. A task that can meet no objective gets all of the last one, because another machine wouldn't help it.
+     * fetch its image. For a task that can't meet any objective it is the whole last objective, because a new machine wouldn't help.
      */
     private fun slackS(spec: JobSpec): Double {
         if (spec.kind != JobKind.ARRAY) return 0.0
@@ -71,7 +72,7 @@
         /** Tasks that still don't fit after all of their slack. */
         var afterSlack = 0.0
 
-        /** Jobs of a placement class may differ in slack and estimated run time; the class uses the mean over its tasks. */
+        /** Jobs of a placement class may differ in slack and estimated run time; the demand uses the means over its tasks. */
         fun add(count: Int, slackS: Double, runS: Double) {
             meanSlackS += (slackS - meanSlackS) * count / (tasks + count)
             meanRunS += (runS - meanRunS) * count / (tasks + count)
--- a/src/main/kotlin/cleathitch/scheduler/capacity/ScaleInCandidates.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/ScaleInCandidates.kt
@@ -9,12 +9,15 @@
 import kotlin.math.max
 
 /**
- * Scale-in: selects idle machines that aren't worth keeping and machines that failed to boot. Time in which the leader couldn't
- * receive heartbeats doesn't count as idle time: after an outage in which all leases expired, most of the fleet looks idle just
+ * Scale-in: selects idle machines that aren't economical to keep and machines that failed to boot. Time in which the leader couldn't
+ * answer heartbeats doesn't count as idle time: after an outage in which all leases expired, most of the fleet looks idle just
  * before its tasks are restarted.
  */
 class ScaleInCandidates(private val deployment: Deployment, private val inventory: Inventory, private val jobTable: JobTable) {
-    /** Machines that have been idle for longer than is worth paying for; heartbeats are received continuously since [listeningSinceMs]. */
+    /**
+     * Machines that have been idle for so long that keeping them isn't economical; [listeningSinceMs] is the time since which
+     * heartbeats could be answered without interruption.
+     */
     fun idleMachines(nowMs: Long, listeningSinceMs: Long): List<Machine> = inventory.machines.values.filter { machine ->
         val type = machine.type
         type != null &&
@@ -39,7 +42,7 @@
         /** The cloud provider charges at least one minute per machine, however early it is terminated. */
         const val MIN_CHARGED_MS = 60_000L
 
-        /** Idle machines are kept for this many boot times, a fraction of the time that tasks would wait for a replacement. */
+        /** Idle machines are kept for this many nominal boot times: less than tasks would wait for a replacement to boot. */
         const val MAX_IDLE_BOOTS = 0.5
 
         /** All but a few boots take up to 1.5 times the nominal boot time; a boot counts as failed after this many nominal boot times. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/CommandDispatcher.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/CommandDispatcher.kt
@@ -29,10 +29,10 @@
     private val workerReconciler: WorkerReconciler,
     private val failureDetector: FailureDetector,
 ) {
-    /** The lowest token of this term: a machine that reports this or a higher one has been reached in this term. */
+    /** The lowest token of this term: a machine that reports this or a higher one has received a message of this leader. */
     val firstToken = FencingToken.first(term.revision)
 
-    /** The token of the last message sent, or the first token of a newer range if none of it is used yet. */
+    /** The token of the last message with commands, or the first token of the current range if no message has used the range yet. */
     var token = firstToken
         private set
 
@@ -42,11 +42,11 @@
     /**
      * Attempts whose stop commands are sent once a record is committed, by the index of the record. If the stops waited for each
      * machine's next heartbeat, a task that is fetching its image could start after the user has received the reply to the
-     * cancellation; and if an outage followed immediately, running tasks would only end when their leases expire.
+     * cancellation; and if an outage followed immediately, running tasks would only end when the workers' leases expire.
      */
     private val stopsAwaitingCommit = TreeMap<LogIndex, MutableList<Attempt>>()
 
-    /** Machines with committed stop commands that are yet to be sent; each step sends a limited number. */
+    /** Machines with stop commands that may be sent now; each call of [sendPendingStops] sends commands to a limited number. */
     private val pendingStops = LinkedHashSet<MachineId>()
 
     /** Records the key-value store's revision after a commit, which makes a new range of tokens available. */
@@ -94,7 +94,7 @@
         sendPendingStops()
     }
 
-    /** Sends a limited number of the pending stop commands; the others follow in later calls or in replies to heartbeats. */
+    /** Sends the stop commands of a limited number of machines; the others follow in later calls or in replies to heartbeats. */
     fun sendPendingStops() {
         val due = pendingStops.take(FailureDetector.MAX_DIRECT_CALLS)
         pendingStops.removeAll(due.toSet())
--- a/src/main/kotlin/cleathitch/scheduler/machines/DirectReachability.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/DirectReachability.kt
@@ -7,16 +7,16 @@
  * Detects that direct calls don't reach machines whose heartbeats still arrive through followers.
  *
  * A machine counts as reachable only through followers if a direct call to it wasn't answered and a later forwarded heartbeat
- * reports the token of a reply that this leader sent after that call. The machine is then running and connected to the leader
- * through a follower, which indicates that the leader's own network path to the workers is down. Any direct contact clears the
- * suspicion. Confined to the leader's event loop.
+ * reports the token of a message that this leader sent after that call had failed. The machine is then running and connected to
+ * the leader through a follower, which indicates that the leader's own network path to the workers is down. Direct contact with
+ * any machine clears the suspicion. Confined to the leader's event loop.
  */
 internal class DirectReachability(private val timeoutMs: Long) {
     private class UnansweredCall(val sinceMs: Long, val lastReplyToken: FencingToken)
 
     private val unansweredCalls = HashMap<MachineId, UnansweredCall>()
 
-    /** The machines reachable only through followers, with the time since which direct calls to them go unanswered. */
+    /** The machines reachable only through followers, with the time of the first unanswered call to each. */
     private val forwardedOnlySinceMs = HashMap<MachineId, Long>()
 
     /** Records that a direct call reached its machine, or that a machine reached this controller directly. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
@@ -7,9 +7,10 @@
 import cleathitch.scheduler.model.MachineId
 
 /**
- * Suspects machines that are silent, that don't receive the leader's replies, or whose heartbeats don't arrive. Silent machines
- * are probed directly and terminated if they remain silent. If a majority of a zone or of the fleet is suspected at the same
- * time, a network partition is assumed: the machines still run their tasks and are kept. Confined to the leader's event loop.
+ * Suspects machines that are silent, that don't receive the leader's replies, or whose heartbeats don't arrive although they
+ * answer probes. Silent machines are probed directly and terminated if they remain silent. If a majority of a zone or of the
+ * fleet is suspected at the same time, a network partition is assumed: the machines still run their tasks and are kept. Confined
+ * to the leader's event loop.
  */
 internal class FailureDetector(
     private val context: SchedulerContext,
@@ -21,7 +22,10 @@
 ) {
     private val nowMs get() = context.now.monotonicMs
 
-    /** Probes listed machines without contact in this term, so that a failover doesn't have to wait for their heartbeats. */
+    /**
+     * Probes machines that the cloud provider lists as running but that haven't been in contact in this term, so that a new leader
+     * doesn't have to wait for their heartbeats.
+     */
     fun probeUncontacted() {
         inventory.machines.values.asSequence()
             .filter { it.lastContactMs == null && it.isListedRunning && nowMs - it.lastProbeMs >= timings.minProbeIntervalMs }
@@ -60,8 +64,8 @@
 
     /**
      * Terminates machines that answer probes but whose own heartbeats don't arrive: they have lost their leases, so no task can
-     * run on them. A majority at the same time is treated as a network partition, as with silent machines, and gets twice the
-     * time.
+     * run on them. If a majority is affected at the same time, a network partition is assumed, as with silent machines, and they
+     * are terminated only after twice the time.
      */
     private fun terminateWithoutHeartbeats(up: List<Machine>) {
         val partition = PartitionDetector(up) { timeSinceHeartbeatMs(it) >= timings.silentAfterMs }
@@ -81,32 +85,39 @@
 
     /** Terminates machines that don't receive the leader's replies: their leases expire repeatedly, which kills their tasks. */
     fun terminateMissingReplies() {
-        // Counts machines that missed even a single reply: machines affected by the same fault reach the limit one after another,
-        // and if only those were counted, there would be few at a time and all would be terminated.
+        // Counts machines that missed even a single reply: machines affected by the same fault reach the limit one after another.
+        // If only machines at the limit were counted, there would be few at a time, and each would be terminated.
         val suspects = inventory.machines.values.filter { it.state == MachineState.UP && it.missedReplies > 0 }
         // If many machines miss replies at the same time, the leader's replies are more likely late than the machines faulty.
         if (suspects.size > maxOf(MIN_INDEPENDENT_REPLY_LOSSES, inventory.machines.size / INDEPENDENT_REPLY_LOSS_DIVISOR)) return
         suspects.filter { it.missesReplies }.forEach { terminate(it.id, TerminationReason.MISSES_REPLIES) }
     }
 
-    /** Time since the last heartbeat of the machine that could be answered; probe responses don't count. */
+    /**
+     * Time since the machine's last heartbeat that could be answered; probe responses don't count. Time in which no heartbeat was
+     * expected, or in which the leader couldn't answer any, doesn't count either.
+     */
     private fun timeSinceHeartbeatMs(machine: Machine) =
         nowMs - maxOf(machine.lastHeartbeatMs ?: machine.expectedSinceMs, context.listeningSinceMs)
 
     /**
-     * Whether heartbeats and replies pass between the machine and the leader, as far as is known. Otherwise the machine's lease
-     * expires even if direct commands arrive, and tasks started on the machine are killed when it does.
+     * Whether heartbeats and replies pass between the machine and the leader, as far as is known. If they don't, the worker's lease
+     * expires even if direct calls arrive, and the worker then kills the tasks that were started.
      */
     fun isReachable(machine: Machine): Boolean = !machine.missesReplies && timeSinceHeartbeatMs(machine) < timings.silentAfterMs
 
-    /** Time since the last heartbeat or probe response of the machine; time in which none was expected or processed doesn't count. */
+    /**
+     * Time since the machine's last heartbeat or probe response. Time in which no heartbeat was expected, or in which the leader
+     * couldn't answer any, doesn't count.
+     */
     fun timeSinceContactMs(machine: Machine): Long =
         nowMs - maxOf(machine.lastContactMs ?: machine.expectedSinceMs, context.listeningSinceMs)
 
     /**
      * Expects heartbeats from a machine that the cloud provider lists as running but that hasn't reported in this term:
-     * immediately if tasks may run on it, otherwise once all machines have had time to report. Must also be called apart from
-     * list updates: a machine that is reclaimed before its first heartbeat isn't listed again and would count as booting forever.
+     * immediately if tasks may run on it, otherwise once all machines have had time to report. Must be called
+     * periodically, not only for listed machines: a machine that is reclaimed before its first heartbeat isn't listed again and
+     * would otherwise count as booting forever.
      */
     fun expectIfRunning(machine: Machine) {
         if (machine.state != MachineState.STARTING || !machine.isListedRunning) return
@@ -115,7 +126,7 @@
     }
 
     companion object {
-        /** Limit on the direct calls (probes or commands) sent in one step. */
+        /** Limit on the direct calls (probes or commands) sent at a time. */
         const val MAX_DIRECT_CALLS = 50
 
         /** Number of unanswered probes after which a silent machine may be terminated. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatHandler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatHandler.kt
@@ -15,7 +15,7 @@
 
 /**
  * Processes heartbeats, whether received directly, forwarded by a follower or returned by a probe, and decides how to answer
- * them. An answer renews the worker's lease, so stale heartbeats and those of terminated machines aren't answered. Confined to
+ * them. A reply renews the worker's lease, so stale heartbeats and those of terminated machines aren't answered. Confined to
  * the leader's event loop.
  */
 internal class HeartbeatHandler(
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Handles a worker's response to a direct call. Unlike a heartbeat that the worker sent, [heartbeat] can't be a delayed
-     * duplicate, so the machine is alive and commands can be sent immediately.
+     * Handles a worker's response to a direct call. Unlike a periodic heartbeat, [heartbeat] can't be a delayed duplicate, so the
+     * machine is alive and commands can be sent immediately.
      */
     fun probeAnswered(heartbeat: Heartbeat) {
         val isFirstContact = inventory.machines[heartbeat.machine]?.lastContactMs == null
@@ -86,9 +86,9 @@
 
     /**
      * Applies the heartbeat to the machine and the job table. Returns false if it must not be answered, because it is stale or
-     * its machine is terminated, or because it reports a token of a newer leader, in favor of which this one steps down.
+     * its machine is terminated, or because it reports a token of a newer leader; in the last case this leader steps down.
      *
-     * Every applied heartbeat extends the upper bound on the machine's lease, even if it isn't answered: the worker may have just
+     * Every applied heartbeat extends the upper bound on the worker's lease, even if it isn't answered: the worker may have just
      * started a new incarnation, which has a lease of its own.
      */
     private fun applyHeartbeat(heartbeat: Heartbeat): Boolean {
@@ -124,7 +124,7 @@
         }
     }
 
-    /** Stops the attempts that write checkpoints on a machine that is about to be preempted, so that their progress is saved in time. */
+    /** On a machine that is about to be reclaimed, stops the attempts that write checkpoints, so that progress is saved in time. */
     private fun drain(machine: Machine) {
         for (attempt in jobTable.attemptsOn(machine.id)) {
             if (attempt.stopCause == null && attempt.job.spec.checkpointIntervalS > 0) attempt.requestStop(StopCause.DRAIN)
--- a/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatReconciler.kt
@@ -66,7 +66,7 @@
 
     private fun reconcileMissing(machine: Machine, attempt: Attempt) {
         attempt.observe(null)
-        // A machine that doesn't receive replies can't start the attempt; the task would wait until the network partition heals.
+        // An unreachable machine may never receive the start command; the task would wait until the network partition heals.
         val isAbandoned = attempt.stopCause != null || !failureDetector.isReachable(machine)
         if (isAbandoned && workerReconciler.isTerminationConfirmed(attempt, machine)) recordTermination(attempt)
     }
@@ -110,7 +110,7 @@
         recordTermination(attempt)
     }
 
-    /** Records that [attempt] has produced the task's result, and stops the task's live attempt if that is another one. */
+    /** Records that [attempt] has produced the task's result, and stops the task's live attempt if that is a different one. */
     private fun recordCompletion(machine: Machine, job: Job, attempt: AttemptId) {
         val index = attempt.task.index
         if (job.isTaskCompleted(index)) return
--- a/src/main/kotlin/cleathitch/scheduler/machines/ImageCacheHints.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/ImageCacheHints.kt
@@ -8,9 +8,9 @@
 import cleathitch.scheduler.model.MachineId
 
 /**
- * Shares with the followers which images are cached on which machines, so that the next leader knows. Otherwise a new leader
- * would place tasks without regard to cached images, and machines would fetch images that others already hold. Confined to the
- * leader's event loop.
+ * Shares with the followers which images are cached on which machines. Without this information a new leader would
+ * place tasks without regard to cached images, and machines would fetch images that others already hold. Confined to the leader's
+ * event loop.
  */
 internal class ImageCacheHints(
     private val context: SchedulerContext,
--- a/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
@@ -41,7 +41,10 @@
     var partitionedZones: Set<String> = emptySet()
         private set
 
-    /** Replaces the machine types, as prices change, and sets the type of machines that were registered before the first list. */
+    /**
+     * Replaces the machine types, because prices change, and updates the types of the registered machines. A machine that was
+     * registered before the first list gets its type here.
+     */
     fun updateTypes(listedTypes: List<MachineType>) {
         types = listedTypes.associateBy { it.name }
         zones = types.values.flatMapTo(LinkedHashSet()) { it.zones }
@@ -92,7 +95,7 @@
     fun isRefused(offer: Offer, nowMs: Long): Boolean = nowMs < (refusedUntilMs[offer] ?: 0)
 
     private companion object {
-        /** Number of heartbeat periods after which a refused offer is requested again; requests in between would use up the call rate. */
+        /** Number of heartbeat periods after which a refused offer is requested again; earlier requests would use up the rate limit. */
         const val REFUSAL_BACKOFF_PERIODS = 3.0
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/Machine.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Machine.kt
@@ -170,7 +170,7 @@
         idleSinceMs = nowMs
     }
 
-    /** Expects heartbeats from a machine that runs but has sent none yet; from now on the failure detector suspects it without them. */
+    /** Expects heartbeats from a machine that runs but has sent none yet; the failure detector suspects it if none arrive. */
     fun expectHeartbeats(nowMs: Long) {
         state = MachineState.UP
         expectedSinceMs = nowMs
--- a/src/main/kotlin/cleathitch/scheduler/machines/MachineRegistry.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/MachineRegistry.kt
@@ -8,8 +8,8 @@
 import cleathitch.scheduler.model.Offer
 
 /**
- * Registers machines in the inventory with the longest lease that they may hold, and remembers terminated machines, so that a
- * delayed heartbeat doesn't register them again. Confined to the leader's event loop.
+ * Registers machines in the inventory, each with an upper bound on the end of its worker's lease, and remembers terminated
+ * machines, so that a delayed heartbeat doesn't register them again. Confined to the leader's event loop.
  */
 internal class MachineRegistry(
     private val context: SchedulerContext,
--- a/src/main/kotlin/cleathitch/scheduler/machines/MachineState.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/MachineState.kt
@@ -2,10 +2,10 @@
 
 /** Lifecycle state of a rented machine. */
 enum class MachineState {
-    /** Rented; it has neither reported nor been listed as running for long enough that heartbeats are expected. */
+    /** Rented, but it has sent no heartbeat yet and none is expected yet. */
     STARTING,
 
-    /** It has reported, or heartbeats are expected from it. */
+    /** It has sent a heartbeat, or heartbeats are expected from it. */
     UP,
 
     /** Its termination is recorded but not yet confirmed by the cloud provider. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/TerminationReason.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/TerminationReason.kt
@@ -14,7 +14,7 @@
     /** It was rented but hasn't reported within the maximum boot time. */
     NEVER_STARTED("never_started"),
 
-    /** It has been idle for longer than it is economical to keep it. */
+    /** It has been idle for so long that keeping it isn't economical. */
     IDLE("idle"),
 
     /** The cloud provider lists it as failed. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
@@ -28,21 +28,22 @@
     }
 
     /** Removes the committed outcomes of attempts that the machine's newest heartbeat no longer reports. */
-    fun removeCommittedOutcomes(machine: MachineId, listedAttempts: Set<AttemptId>) {
+    fun removeCommittedOutcomes(machine: MachineId, reportedAttempts: Set<AttemptId>) {
         val outcomes = outcomeRecords[machine] ?: return
-        outcomes.entries.removeAll { (id, recordIndex) -> id !in listedAttempts && recordIndex <= decisionLog.committedIndex }
+        outcomes.entries.removeAll { (id, recordIndex) -> id !in reportedAttempts && recordIndex <= decisionLog.committedIndex }
         if (outcomes.isEmpty()) outcomeRecords.remove(machine)
     }
 
     /**
      * Whether an attempt that the newest heartbeat doesn't report can no longer run. A start command in flight could still start it,
-     * unless the machine has seen a higher token than that of any such command, or its incarnation began after the last one was
-     * sent: workers drop commands for an earlier incarnation. For a machine that no command reaches, only the latter can apply.
+     * unless the worker has reported a higher token than that of every start command for the attempt, or its incarnation is newer
+     * than the one to which the last start command was sent: workers reject commands for an earlier incarnation. A machine that
+     * receives no messages from the leader can only meet the second condition.
      */
     fun isTerminationConfirmed(attempt: Attempt, machine: Machine): Boolean {
         val newestStartToken = attempt.newestStartToken ?: return true
         if (machine.highestSeenToken > newestStartToken) return true
-        // If an earlier leader sent the start command, the incarnation it was for is unknown.
+        // If an earlier leader sent the start command, the incarnation to which it was sent is unknown.
         return !attempt.isInherited && attempt.lastSentIncarnation < machine.incarnation
     }
 
@@ -52,14 +53,14 @@
         val starts = ArrayList<WorkerCommand>()
         val forgets = ArrayList<WorkerCommand>()
         for (task in machine.reportedTasks) {
-            when (val command = commandForListed(machine, task)) {
+            when (val command = commandForReported(machine, task)) {
                 is WorkerCommand.Forget -> forgets += command
                 else -> command?.let { stops += it }
             }
         }
-        val listedAttempts = machine.reportedTasks.mapTo(HashSet()) { it.attempt }
+        val reportedAttempts = machine.reportedTasks.mapTo(HashSet()) { it.attempt }
         for (attempt in jobTable.attemptsOn(machine.id)) {
-            if (attempt.id in listedAttempts) continue
+            if (attempt.id in reportedAttempts) continue
             when (val command = commandForMissing(machine, attempt)) {
                 is WorkerCommand.Start -> starts += command
                 else -> command?.let { stops += it }
@@ -68,7 +69,7 @@
         return forgets + stops + starts
     }
 
-    private fun commandForListed(machine: Machine, task: TaskStatus): WorkerCommand? {
+    private fun commandForReported(machine: Machine, task: TaskStatus): WorkerCommand? {
         val attempt = jobTable.attempt(task.attempt)?.takeIf { it.machine == machine.id }
         return when {
             task.state == TaskState.EXITED ->
@@ -90,7 +91,10 @@
     private fun isOutcomeCommitted(machine: Machine, attempt: AttemptId) =
         (outcomeRecords[machine.id]?.get(attempt) ?: LogIndex.NONE) <= decisionLog.committedIndex
 
-    /** A cancelled attempt is stopped only once the record is committed: a stop can't be undone if the record never is. */
+    /**
+     * An attempt of a cancelled or completed job is stopped only once the record of the job's end is committed: the stop can't be
+     * undone if the record is never committed.
+     */
     private fun mayStop(attempt: Attempt) = attempt.stopCause != StopCause.CANCELLED ||
         (attempt.job.cancelledIndex ?: attempt.job.completedIndex ?: LogIndex.NONE) <= decisionLog.committedIndex
 
--- a/src/main/kotlin/cleathitch/scheduler/model/Deployment.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/Deployment.kt
@@ -9,9 +9,9 @@
     val objectives: List<Objective>,
     /** Period of the workers' heartbeats, in seconds. */
     val heartbeatPeriodS: Double,
-    /** Lease duration of a worker, in seconds: how long it runs its tasks without a new answer to its heartbeats. */
+    /** Lease duration of a worker, in seconds: how long it runs its tasks without a new reply to its heartbeats. */
     val workerLeaseS: Double,
-    /** Seconds after the confirmed cancellation of a job by which none of its tasks may run any more; longer than [workerLeaseS]. */
+    /** Seconds from the confirmed cancellation of a job until none of its tasks may run any more; longer than [workerLeaseS]. */
     val cancellationDeadlineS: Double,
     /** Rate limit of the key-value store, in requests per second. */
     val storeRequestsPerS: Double,
--- a/src/main/kotlin/cleathitch/scheduler/model/ExitReason.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/ExitReason.kt
@@ -8,7 +8,7 @@
     /** The leader stopped it with a command. */
     STOPPED,
 
-    /** It failed by itself. */
+    /** The task itself failed with an error. */
     ERROR,
 
     /** The machine had too few free resources for the task. */
--- a/src/main/kotlin/cleathitch/scheduler/model/FencingToken.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/FencingToken.kt
@@ -1,15 +1,16 @@
 package cleathitch.scheduler.model
 
 /**
- * The fencing token that each answer and command to a worker carries: (revision, count) packed into one integer. A worker ignores
+ * The fencing token that each reply and command to a worker carries: (revision, count) packed into one integer. A worker rejects
  * commands whose token is older than the newest that it has seen, so a superseded leader can't start tasks.
  *
- * The revision is the key-value store's revision of the term's key or of the last record committed in that term. A new term's
- * revision exceeds that of every record of older terms, each of which was guarded by the older key, so comparing
- * (revision, count) compares (term, revision, count). The count distinguishes the commands sent between two records.
+ * The revision is the key-value store's revision at the last commit of the term or, before the first commit, at the creation of the
+ * leader's key. A term's records are committed only while its leader's key exists, so the key of the next leader has a higher revision
+ * than all of them, and tokens of different terms are ordered like the terms. The count distinguishes the messages with commands
+ * that are sent between two commits.
  *
  * Bounds: [COUNT_BITS] bits of count leave 63 - 20 = 43 bits of revision, that is 8.8e12 changes or 279 years at 1,000 changes per
- * second. A million commands fit between two records, and the scheduler commits a record before the count is exhausted.
+ * second. A million messages fit between two commits, and the scheduler commits a record before the count is exhausted.
  */
 @JvmInline
 value class FencingToken(val packed: Long) : Comparable<FencingToken> {
--- a/src/main/kotlin/cleathitch/scheduler/model/Heartbeat.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/Heartbeat.kt
@@ -13,9 +13,9 @@
     val incarnation: Long,
     /** Increases with each heartbeat of an incarnation. */
     val sequenceNumber: Long,
-    /** The newest token that the worker has seen; it ignores commands with older tokens. */
+    /** The newest token that the worker has seen; it rejects commands with older tokens. */
     val token: FencingToken,
-    /** Seconds until the cloud provider preempts the machine; null without a preemption notice. */
+    /** Seconds until the cloud provider reclaims the machine; null without a preemption notice. */
     val preemptionNoticeS: Double?,
     val tasks: List<TaskStatus>,
 )
--- a/src/main/kotlin/cleathitch/scheduler/model/Identifiers.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/Identifiers.kt
@@ -36,6 +36,6 @@
 @JvmInline
 value class Term(val revision: Long)
 
-/** The identifier of an open request; outside the scheduler the request is known only by this number. */
+/** The identifier of an open request, assigned by the caller of the scheduler; it relates the answer to the request. */
 @JvmInline
 value class RequestId(val number: Long)
--- a/src/main/kotlin/cleathitch/scheduler/model/TaskStatus.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/TaskStatus.kt
@@ -4,7 +4,7 @@
 data class TaskStatus(
     val attempt: AttemptId,
     val state: TaskState,
-    /** Why the attempt ended; null unless [state] is [TaskState.EXITED], and for reasons unknown to this release. */
+    /** Why the attempt ended; null if [state] isn't [TaskState.EXITED] or if this release doesn't know the reported reason. */
     val exitReason: ExitReason? = null,
     /** Whether its progress was saved before it ended. */
     val saved: Boolean = false,
--- a/src/main/kotlin/cleathitch/scheduler/placement/PlacementCost.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/PlacementCost.kt
@@ -3,7 +3,7 @@
 import cleathitch.scheduler.model.JobKind
 import cleathitch.scheduler.model.PlacementClass
 
-/** The cost of fetching an image. The fit costs between 0 and 1, so a fetch always outweighs it. */
+/** The cost of fetching an image. The unused CPU share adds between 0 and 1, so a fetch always outweighs it. */
 private const val IMAGE_FETCH_COST = 2.0
 
 /**
@@ -12,13 +12,13 @@
  */
 private const val ON_DEMAND_PENALTY = 4.0
 
-/** The bonus for free resources beside a service, which are already paid for. */
+/** The bonus (a negative cost) for a machine that runs a service, whose free resources are already paid for. */
 private const val SERVICE_MACHINE_BONUS = -1.0
 
 /**
  * The cost of placing one more task on a machine; lower is better. In descending order of weight: whether the task needlessly
  * occupies an on-demand machine, whether the image is cached or being fetched, whether the machine is kept for a service anyway,
- * and how tight the fit is (best fit). Each task that failed by itself on the machine adds as much as the loosest fit.
+ * and how tight the fit is (best fit). Each task that failed with an error on the machine adds 1, the cost of the loosest fit.
  */
 internal fun placementCost(placementClass: PlacementClass, candidate: CandidateMachine): Double {
     val imageFetchCost = fetchCost(placementClass.image, candidate)
--- a/src/main/kotlin/cleathitch/scheduler/placement/PreemptionPlanner.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/PreemptionPlanner.kt
@@ -17,7 +17,7 @@
     private val jobTable: JobTable,
     private val nowMs: Long,
 ) {
-    /** A machine on which [tasks] more tasks fit once [removed] have ended; [victims] are those of them that still have to be stopped. */
+    /** A machine on which [tasks] more tasks fit once [removed] have ended; [victims] are the part of [removed] not yet stopping. */
     private class Option(
         val machine: Machine,
         val removed: List<Attempt>,
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Assigns up to [maxTasks] tasks to the option and returns how many it took. Its remaining tasks go back to the queue at no
-     * further loss, because the victims are already counted.
+     * Assigns up to [maxTasks] tasks to the option and returns how many were assigned. The remaining capacity goes back to the
+     * queue as an option without loss, because its victims are already in the plan.
      */
     private fun assign(option: Option, maxTasks: Int): Int {
         val used = minOf(maxTasks, option.tasks)
@@ -112,8 +112,8 @@
         if (machine.hasImage(placementClass.image)) 0.0 else spec.imageGb / (machine.type?.fetchGbPerS ?: 1.0)
 
     /**
-     * The approximate CPU time lost when the attempt is stopped: the time to write a checkpoint if the task writes checkpoints, otherwise
-     * all the time that it has run.
+     * The approximate CPU time lost when the attempt is stopped: all the time that it has run or, if the task writes checkpoints, at
+     * most the time to write one.
      */
     private fun lostCpuS(attempt: Attempt): Double {
         val spec = attempt.job.spec
--- a/src/main/kotlin/cleathitch/scheduler/placement/RankedMachines.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/RankedMachines.kt
@@ -10,7 +10,7 @@
     val first: CandidateMachine? get() = candidates.getOrNull(next)
     val firstCost: Double get() = costs[next]
 
-    /** Advances the cursor past full machines. Free resources only shrink during a round, so a skipped machine never fits again. */
+    /** Advances the cursor past full machines. Free resources only shrink during a round, so a full machine stays full. */
     fun skipFull(placementClass: PlacementClass) {
         while (next < candidates.size && !candidates[next].fits(placementClass)) next++
     }
--- a/src/main/kotlin/cleathitch/scheduler/placement/SchedulingOrder.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/SchedulingOrder.kt
@@ -6,8 +6,9 @@
 import cleathitch.scheduler.model.Priority
 
 /**
- * The order in which waiting jobs are scheduled: by priority, then jobs within their team's guaranteed quota first, then by
- * submission time plus a delay for the job's size and for completion objectives that it can no longer meet.
+ * The order in which waiting jobs are scheduled: by priority; within a priority, jobs within their team's guaranteed quota come
+ * first; among these and among the others, the order is by submission time plus a delay. The delay depends on the job's size and
+ * on the number of completion objectives that it can no longer meet.
  *
  * The delay is bounded, so a stream of other jobs can't starve a job. Plain shortest-job-first would starve the largest arrays
  * for as long as smaller ones arrive.
@@ -53,7 +54,7 @@
         /** A job has to start within four minutes; half of that leaves time to boot a machine and fetch the image. */
         private const val OVERDUE_AFTER_MS = 120_000L
 
-        /** Whether the job has waited so long without any attempt that its first task is scheduled ahead of the order. */
+        /** Whether the job has waited so long without any attempt that its first task is scheduled before all other jobs. */
         fun isOverdue(job: Job, nowWallMs: Long) = job.lastAttemptNumber == 0L && nowWallMs - job.acceptedAtWallMs >= OVERDUE_AFTER_MS
     }
 }
