--- a/src/main/kotlin/cleathitch/election/LeaderElection.kt
+++ b/src/main/kotlin/cleathitch/election/LeaderElection.kt
@@ -11,13 +11,13 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Leader election through a key in the key-value store that is attached to a lease. While the key is absent this controller
- * campaigns for it, while it leads it renews the lease, and otherwise it watches the key.
+ * Leader election through the leader's key in the key-value store; the key is attached to a lease. This controller campaigns for
+ * the key while it is absent, renews the lease while this controller leads, and watches the key otherwise.
  *
  * [run] must be given a dedicated event loop. On a shared loop, renewals would queue behind the heartbeats of a large fleet and come
- * too late while the process is still slow after its start. All times are readings of the monotonic clock. A lease's validity is
- * counted from before the request that granted or renewed it was sent, less the maximum clock drift, so it is never assumed to be
- * held longer than the key-value store holds it.
+ * too late while the process is still slow after its start. All times are readings of the monotonic clock. The time to live of a
+ * lease is counted from just before the request that granted or renewed it was sent, and is reduced by the maximum clock drift. The
+ * lease is therefore never assumed to be valid after it has expired in the key-value store.
  *
  * @param incarnation distinguishes this process from earlier processes of the same [member]
  * @param ttlMs the lease's time to live, that is, how long it lasts without renewal
@@ -83,8 +83,8 @@
     }
 
     /**
-     * Revokes the lease of an earlier process of this member, or of a term that this process resigned, instead of waiting for it to
-     * expire. A term must not be led twice, because its rental request names and fencing tokens are numbered from its start and
+     * Revokes the lease of an earlier process of this member, or of a term from which this process resigned, instead of waiting for
+     * it to expire. A term must not be led twice, because its rental request names and fencing tokens are numbered from its start and
      * would be reused.
      */
     private suspend fun revokeFormerLease(entry: KeyValueStoreProtocol.Entry, leader: LeaderRecord) {
@@ -103,7 +103,7 @@
         when (val result = claimLeaderKey(lease)) {
             is CompareAndSwapResult.Applied -> lead(listener, Term(result.revision), lease, sentAtMs)
             is CompareAndSwapResult.Refused, CompareAndSwapResult.LeaseNotFound -> store.revokeLease(lease)
-            // Whether this controller holds the key is found out by the next read.
+            // The next read of the leader's key shows whether this controller holds it.
             is CompareAndSwapResult.Unavailable, is CompareAndSwapResult.Unknown -> delayBeforeRetry()
         }
     }
@@ -137,7 +137,7 @@
 
     /**
      * Ends the term if the leader's event loop makes no progress. The lease is left to expire instead of being revoked: the stalled
-     * loop may be in the middle of sending a reply, which it is allowed to do until the lease's validity ends by its clock.
+     * loop may still send a reply to a user, which it is allowed to do until [LeaderLease.validUntilMs].
      */
     private suspend fun endedByStall(lease: LeaderLease, listener: ElectionListener): Boolean {
         if (monotonicMs() - lease.lastProgressMs <= ttlMs * STALL_TIMEOUT_TTLS) return false
--- a/src/main/kotlin/cleathitch/election/LeaderLease.kt
+++ b/src/main/kotlin/cleathitch/election/LeaderLease.kt
@@ -3,8 +3,8 @@
 import cleathitch.scheduler.model.Term
 
 /**
- * The lease of one term, shared by two event loops: [LeaderElection] renews it on a dedicated loop, and the leader reports progress
- * and resigns on the controller's main loop. All times are readings of the monotonic clock, in milliseconds.
+ * The lease of one term, shared by two event loops: [LeaderElection] renews it on a dedicated loop, and the leader records progress
+ * and resigns on the controller's event loop. All times are readings of the monotonic clock, in milliseconds.
  */
 class LeaderLease(val term: Term, validUntilMs: Long, electedAtMs: Long) {
     /** The time until which the lease is guaranteed to be held. */
@@ -12,7 +12,7 @@
     var validUntilMs = validUntilMs
         private set
 
-    /** When the leader's event loop last reported progress; initially the time of the election. */
+    /** When the leader's event loop last recorded progress; initially the time of the election. */
     @Volatile
     var lastProgressMs = electedAtMs
         private set
@@ -24,7 +24,7 @@
 
     internal class Resignation(val reason: String, val transferLeadership: Boolean)
 
-    /** Records that the leader's event loop made progress at [nowMs]. A leader that stops reporting progress loses its term. */
+    /** Records that the leader's event loop made progress at [nowMs]. A leader that stops recording progress loses its term. */
     fun recordProgress(nowMs: Long) {
         lastProgressMs = nowMs
     }
--- a/src/main/kotlin/cleathitch/election/TermEndReason.kt
+++ b/src/main/kotlin/cleathitch/election/TermEndReason.kt
@@ -7,7 +7,7 @@
         override fun toString() = reason
     }
 
-    /** The leader's event loop reported no progress for several lease TTLs. */
+    /** The leader's event loop recorded no progress for several lease TTLs. */
     data object Stalled : TermEndReason {
         override fun toString() = "the event loop is stalled"
     }
--- a/src/main/kotlin/cleathitch/leader/Clocks.kt
+++ b/src/main/kotlin/cleathitch/leader/Clocks.kt
@@ -5,7 +5,7 @@
 
 /**
  * The clocks of this process. Leases, timeouts and periods use the monotonic clock, which never jumps. The wall clock is used
- * only in stored records, because their times have to be comparable across processes.
+ * only for the times in stored records and for comparisons with them, because these times have to be comparable across processes.
  */
 class Clocks {
     /** The monotonic clock in milliseconds; its readings are comparable only within this process. */
--- a/src/main/kotlin/cleathitch/leader/InputQueue.kt
+++ b/src/main/kotlin/cleathitch/leader/InputQueue.kt
@@ -4,17 +4,19 @@
 import cleathitch.scheduler.model.JobId
 
 /**
- * Queue of the scheduler's inputs, which are taken from it in bounded batches by priority class. Confined to the event loop.
+ * Queue of the scheduler's inputs, which are taken from it in batches and by priority class. Confined to the event loop.
  *
- * Requests beyond [maxQueuedRequests] are refused, which bounds memory and latency under a flood of requests. Each batch takes all
- * queued inputs about the lease and commits and a bounded number of every other class, so that no class starves another. Requests
- * about the same job stay in order, and so do heartbeats of the same machine.
+ * Requests beyond [maxQueuedRequests] are refused, which bounds memory and latency under overload. The results of probes and direct
+ * command calls count as requests. Each batch takes a bounded number of inputs of each class except the first, so that no class
+ * starves another. Requests about the same job stay in order, and so do heartbeats of the same machine.
  */
 class InputQueue(private val maxQueuedRequests: Int) {
     /** The priority classes, in the order in which their inputs are placed in a batch. */
     private enum class PriorityClass(val maxPerBatch: Int, val isRequest: Boolean) {
-        /** Results of calls to other services, such as lease renewals, commits and machine types. */
-        OUTCOME(maxPerBatch = Int.MAX_VALUE, isRequest = false),
+        /** Lease renewals, commits, machine types and image cache hints; each batch takes all of them. */
+        UNBOUNDED(maxPerBatch = Int.MAX_VALUE, isRequest = false),
+
+        /** Heartbeats, results of probes and direct command calls, and cancellations. */
         HEARTBEAT_OR_CANCELLATION(maxPerBatch = 256, isRequest = true),
         POLL(maxPerBatch = 128, isRequest = true),
         SUBMISSION(maxPerBatch = 64, isRequest = true),
@@ -67,7 +69,7 @@
 
     private fun priorityOf(input: Input): PriorityClass = when (input) {
         is Input.LeaseRenewed, is Input.CommitSucceeded, is Input.MachineTypesListed, is Input.ImageCacheHintsReceived ->
-            PriorityClass.OUTCOME
+            PriorityClass.UNBOUNDED
         is Input.HeartbeatReceived, is Input.FollowerBatchReceived, is Input.ProbeAnswered, is Input.DirectCallUnanswered ->
             PriorityClass.HEARTBEAT_OR_CANCELLATION
         is Input.Cancel -> if (input.job in queuedSubmissions) PriorityClass.SUBMISSION else PriorityClass.HEARTBEAT_OR_CANCELLATION
--- a/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
+++ b/src/main/kotlin/cleathitch/leader/LeaderTerm.kt
@@ -96,7 +96,7 @@
                 val batch = nextBatch()
                 batchSizes.record(batch.size.toDouble())
                 executor.execute(apply(scheduler, batch))
-                // Lets other coroutines on this event loop run between two batches, also under a flood of requests.
+                // Lets other coroutines on this event loop run between two batches, also under overload.
                 yield()
             }
         }
--- a/src/main/kotlin/cleathitch/leader/PendingRequests.kt
+++ b/src/main/kotlin/cleathitch/leader/PendingRequests.kt
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Completes the request with [answer]; ignored if the sender no longer awaits it. */
+    /** Completes the request with [answer]; does nothing if the sender no longer awaits it. */
     fun answer(request: RequestId, answer: T) {
         pending[request]?.outcome?.complete(RequestOutcome.Answered(answer))
     }
--- a/src/main/kotlin/cleathitch/leader/RequestOutcome.kt
+++ b/src/main/kotlin/cleathitch/leader/RequestOutcome.kt
@@ -11,7 +11,7 @@
 
 /** Why the leader did not answer a request. */
 enum class UnansweredReason {
-    /** The term's decision log is still being replayed. */
+    /** The request arrived before the term's decision log was replayed, or after the term ended. */
     RECOVERING,
 
     /** The queue holds the maximum number of requests. */
--- a/src/main/kotlin/cleathitch/leader/TermRequests.kt
+++ b/src/main/kotlin/cleathitch/leader/TermRequests.kt
@@ -13,7 +13,7 @@
  * The requests of users, workers and followers during one term: enqueues them in [queue] and keeps track of those that await the
  * scheduler's answer. Confined to the event loop.
  *
- * [wakeUp] makes the term's loop process the queue; [monotonicMs] is the monotonic clock.
+ * [wakeUp] makes [LeaderTerm.run] process the queue; [monotonicMs] is the monotonic clock.
  */
 class TermRequests internal constructor(private val queue: InputQueue, monotonicMs: () -> Long, private val wakeUp: () -> Unit) {
     internal val userRequests = PendingRequests<UserReply>(monotonicMs)
@@ -28,7 +28,7 @@
     /** The scheduler's average time per input in its last batch. */
     private var lastBatchMsPerInput = 0.0
 
-    /** Submits a job; a repeated submission gets the same answer as the first. */
+    /** Submits a job; submitting it again has no effect, and the reply contains the job's current state. */
     suspend fun submit(spec: JobSpec): UserReply = awaitUserReply { Input.Submit(it, spec) }
 
     /** Queries the state of a job. */
@@ -37,15 +37,18 @@
     /** Cancels a job. */
     suspend fun cancel(job: JobId): UserReply = awaitUserReply { Input.Cancel(it, job) }
 
-    /** Passes on a worker's heartbeat. If it is not answered, the worker's lease must not be renewed. */
+    /** Passes a worker's heartbeat to the scheduler. If the heartbeat is not answered, the worker's lease must not be renewed. */
     suspend fun heartbeat(heartbeat: Heartbeat): RequestOutcome<Effect.AnswerHeartbeat> =
         await(heartbeats) { Input.HeartbeatReceived(it, heartbeat) }
 
-    /** Passes on the heartbeats and polls that a follower has forwarded, and returns the decisions about them. */
+    /** Passes the heartbeats and polls of a follower's batch to the scheduler, and returns the answers to them. */
     suspend fun followerBatch(heartbeats: List<ForwardedHeartbeat>, polls: List<JobId>): RequestOutcome<Effect.AnswerFollower> =
         await(followerBatches) { Input.FollowerBatchReceived(it, heartbeats, polls) }
 
-    /** Whether the sender of [input] still awaits an answer. Under overload, abandoned requests would only delay the others. */
+    /**
+     * Whether the sender of [input] still awaits an answer; always true if [input] is not a request. Under overload, handling
+     * requests that nobody awaits any longer would only delay the others.
+     */
     internal fun isAwaited(input: Input) = when (input) {
         is Input.Submit -> input.request in userRequests
         is Input.Poll -> input.request in userRequests
@@ -99,7 +102,7 @@
             UserReply.Unavailable("not the leader any more")
     }
 
-    /** The estimated time in which the queued requests are handled, at the last batch's rate; the queue has room again by then. */
+    /** The estimated time until the queued requests are handled and the queue has room again, at the rate of the last batch. */
     private fun estimatedDrainSeconds(): Int =
         (queue.queuedRequests * lastBatchMsPerInput / MS_PER_SECOND).toInt().coerceIn(1, MAX_RETRY_AFTER_S)
 
--- a/src/main/kotlin/cleathitch/storage/CommitResult.kt
+++ b/src/main/kotlin/cleathitch/storage/CommitResult.kt
@@ -5,6 +5,9 @@
     /** The commit was applied, at [revision] of the key-value store. */
     data class Committed(val revision: Long) : CommitResult
 
-    /** Another controller leads or has led in the meantime, so this term is over. [failedKeys] are the keys with unexpected revisions. */
+    /**
+     * The commit was not applied, because [failedKeys] do not have the expected revisions. The term is over: the leader's key no
+     * longer exists or another controller has been elected.
+     */
     data class Refused(val failedKeys: List<String>) : CommitResult
 }
--- a/src/main/kotlin/cleathitch/storage/LogCodec.kt
+++ b/src/main/kotlin/cleathitch/storage/LogCodec.kt
@@ -21,8 +21,8 @@
 import java.util.Base64
 
 /**
- * Encodes and decodes the stored format of the decision log. Each value is a map with a single field that holds Base64-encoded CBOR,
- * because the key-value store's values cannot hold binary data. The head is a plain map. Running clusters hold data in this
+ * Encodes and decodes the stored format of the decision log. The head is a plain map. Every other value is a map with a single field
+ * that holds Base64-encoded CBOR, because the key-value store's values cannot hold binary data. Running clusters hold data in this
  * format, so it must not change.
  */
 @OptIn(ExperimentalSerializationApi::class)
@@ -61,9 +61,10 @@
         StoredValue.Head(LogIndex(node.requiredLong(HEAD_INDEX_FIELD)), Term(node.requiredLong(HEAD_TERM_FIELD)))
 
     /**
-     * Decodes the state of a deployment from all of its stored [entries], whose keys are those of [cleathitch.scheduler.log.LogKeys].
-     * Throws [MalformedMessageException] if a key or a field of a value is malformed, and the decoder's exceptions if the content of
-     * the field cannot be decoded.
+     * Decodes the recovered state from all [entries] of the decision log. Their keys are relative to the key prefix, as in
+     * [cleathitch.scheduler.log.LogKeys]. Throws [MalformedMessageException] if a key or a field of a value is malformed,
+     * [NumberFormatException] if the part number in the key of a job's snapshot is malformed, and the decoder's exceptions if the
+     * content of a field cannot be decoded.
      */
     fun decodeRecoveredState(entries: List<KeyValueStoreProtocol.Entry>): RecoveredState {
         val builder = RecoveredStateBuilder()
--- a/src/main/kotlin/cleathitch/storage/LogStorage.kt
+++ b/src/main/kotlin/cleathitch/storage/LogStorage.kt
@@ -178,7 +178,7 @@
         /** The revision that a compare-and-swap expects of a key that does not exist. */
         const val KEY_ABSENT = 0L
 
-        /** Several times the usual response time, so that retries during an outage do not use up the request budget. */
+        /** Several times the usual response time, so that retries during an outage do not use up the key-value store's rate limit. */
         const val RETRY_DELAY_MS = 100L
     }
 }
--- a/src/main/kotlin/cleathitch/storage/StoredSizeEstimator.kt
+++ b/src/main/kotlin/cleathitch/storage/StoredSizeEstimator.kt
@@ -6,8 +6,8 @@
 import cleathitch.scheduler.model.JobSpec
 
 /**
- * Estimates the size in bytes of events and snapshots as [LogCodec] encodes them, without encoding them. The constants are measured
- * sizes, rounded up, because an estimate that is too low would let a value exceed the key-value store's size limit.
+ * Estimates the size in bytes of events and snapshots as [LogCodec] encodes them, without encoding them. The constants are the
+ * encoded sizes, rounded up, because an estimate that is too low would let a value exceed the key-value store's size limit.
  */
 object StoredSizeEstimator : SizeEstimator {
     override fun sizeOf(event: Event): Int = when (event) {
--- a/src/test/kotlin/cleathitch/election/LeaderElectionTest.kt
+++ b/src/test/kotlin/cleathitch/election/LeaderElectionTest.kt
@@ -28,7 +28,7 @@
         platform.close()
     }
 
-    private fun campaign() {
+    private fun startElection() {
         val election = LeaderElection(
             KeyValueStoreClient(vertx, Address("127.0.0.1", platform.port), timeoutMs = 500),
             member = "n0",
@@ -57,7 +57,7 @@
      */
     @Test
     fun `a controller does not resume a term from which it resigned`() {
-        campaign()
+        startElection()
         val first = awaitElection()
         platform.store.rejectsLeaseRevocations = true
         first.resign("for the test", transferLeadership = false)
@@ -68,7 +68,7 @@
     /** If a stalled leader went on renewing its lease, no other controller could be elected. */
     @Test
     fun `a leader that makes no progress is deposed and its lease expires`() {
-        campaign()
+        startElection()
         val first = awaitElection()
         // The test never calls recordProgress on the lease.
         val second = awaitElection()
--- a/src/test/kotlin/cleathitch/leader/InputQueueTest.kt
+++ b/src/test/kotlin/cleathitch/leader/InputQueueTest.kt
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Priority classes and limits of [InputQueue] under a flood of requests. */
+/** Priority classes and limits of [InputQueue] under overload. */
 class InputQueueTest {
     private val queue = InputQueue(maxQueuedRequests = 1000)
     private var requests = 0L
