--- a/src/main/kotlin/cleathitch/controller/BatchForwarder.kt
+++ b/src/main/kotlin/cleathitch/controller/BatchForwarder.kt
@@ -12,7 +12,7 @@
 import cleathitch.peers.PeerRequest
 import cleathitch.peers.PeerResult
 
-/** Sends a follower's batches to the leader and decodes its decisions, which also count as contact with the leader. */
+/** Sends a follower's batches to the leader and decodes the answers. An answer with decisions also counts as contact with the leader. */
 internal class BatchForwarder(
     private val member: String,
     private val peerAddresses: Map<String, Address>,
--- a/src/main/kotlin/cleathitch/controller/Controller.kt
+++ b/src/main/kotlin/cleathitch/controller/Controller.kt
@@ -20,8 +20,8 @@
  * One controller process: takes part in the leader election, acts as leader or follower, and serves users, workers and other
  * controllers. Creates the components for these tasks, connects them and starts their loops.
  *
- * Everything runs on the event loop of [scope], which the caller cancels. Only the election runs in [leaseScope], on a separate
- * event loop, so that the leader doesn't lose its lease under a high request load.
+ * The election runs on the event loop of [leaseScope], everything else on that of [scope]. The event loops are separate so that
+ * the leader doesn't lose its lease under a high request load. The caller cancels both scopes.
  */
 class Controller(
     private val settings: Settings,
@@ -45,19 +45,19 @@
     private val role = ControllerRole(member, monotonicMs, scope, dependencies.meterRegistry, ::newTerm)
     private val announcer = LeaderAnnouncer(member, settings.peers, peers, role, contacts, leaderLeaseMs, scope)
     private val processingTimesLog = ProcessingTimesLog(role, processingTimes, periodMs = heartbeatPeriodMs * LOG_PERIOD_HEARTBEATS)
-    private val batches = LeaderBatcher(
+    private val batcher = LeaderBatcher(
         intervalMs = dependencies.timings.forwardIntervalMs,
         unreachableMs = leaderLeaseMs,
         nowMs = monotonicMs,
         leader = role::knownLeader,
         send = BatchForwarder(member, peerAddresses, peers, role, processingTimes)::send,
     )
-    private val userRequests = UserRequestRouter(role, batches, peers, peerAddresses)
+    private val userRequests = UserRequestRouter(role, batcher, peers, peerAddresses)
 
     /** Answers the requests of the load balancer, users and workers. */
     val requests = RequestRouter(
         Readiness(role, contacts, settings.peers.size, leaderLeaseMs, monotonicMs),
-        HeartbeatRouter(member, role, contacts, batches, WorkerDistribution(heartbeatPeriodMs), processingTimes, monotonicMs),
+        HeartbeatRouter(member, role, contacts, batcher, WorkerDistribution(heartbeatPeriodMs), processingTimes, monotonicMs),
         userRequests,
     )
 
@@ -67,20 +67,23 @@
         contacts,
         imageCacheHints,
         userRequests,
-        batches,
+        batcher,
         dependencies.workers,
         processingTimes,
         scope,
     )
 
-    /** Starts all loops and joins the election. Returns once a leader is known, or after [STARTUP_WAIT_LEASES] leases without one. */
+    /**
+     * Starts all loops and joins the election. Returns once another controller holds the leader key or this one is ready as leader,
+     * and at the latest after [STARTUP_WAIT_LEASES] lease durations.
+     */
     suspend fun start() {
         scope.launch { machineTypes.run() }
         scope.launch { announcer.run() }
-        scope.launch { batches.run() }
+        scope.launch { batcher.run() }
         if (processingTimesLog.isEnabled) scope.launch { processingTimesLog.run() }
         leaseScope.launch { election.run(role) }
-        // Requests that arrive before a leader can answer them would only delay its discovery.
+        // Requests that arrive before a leader is known can't be answered, and would only delay its discovery.
         role.awaitLeader(timeoutMs = leaderLeaseMs * STARTUP_WAIT_LEASES)
     }
 
--- a/src/main/kotlin/cleathitch/controller/ControllerRole.kt
+++ b/src/main/kotlin/cleathitch/controller/ControllerRole.kt
@@ -40,11 +40,11 @@
     var leader: String? = null
         private set
 
-    /** The newest term of which this controller has learned. */
+    /** The newest term of which this controller has learned, or a later revision of the key-value store that had no leader key. */
     var leaderTerm = 0L
         private set
 
-    /** When another leader was last known to be alive; null if there has been none. */
+    /** When another controller was last known to be alive as leader; null if none ever was. */
     var lastLeaderContactMs: Long? = null
         private set
 
@@ -55,7 +55,7 @@
     /** The leader to which requests are forwarded; null if none is known or if this controller is the leader. */
     fun knownLeader(): KnownLeader? = leader?.takeIf { activeTerm == null && it != member }?.let { KnownLeader(it, leaderTerm) }
 
-    /** Suspends until a leader that can answer requests is known, for at most [timeoutMs]. */
+    /** Suspends until another controller holds the leader key or this one is ready as leader, for at most [timeoutMs]. */
     suspend fun awaitLeader(timeoutMs: Long) {
         withTimeoutOrNull(timeoutMs) { leaderFound.await() }
     }
--- a/src/main/kotlin/cleathitch/controller/FollowerContacts.kt
+++ b/src/main/kotlin/cleathitch/controller/FollowerContacts.kt
@@ -37,7 +37,10 @@
     fun followerOf(machine: MachineId): String? = followerByMachine[machine]
 
     private companion object {
-        /** Bounds the entries of terminated machines. After a clear, existing ones are recorded again with their next heartbeats. */
+        /**
+         * The map is cleared when it exceeds this size, because entries of terminated machines aren't removed. Existing machines are
+         * recorded again with their next heartbeats.
+         */
         const val MAX_MACHINES = 10_000
     }
 }
--- a/src/main/kotlin/cleathitch/controller/HeartbeatRouter.kt
+++ b/src/main/kotlin/cleathitch/controller/HeartbeatRouter.kt
@@ -16,14 +16,14 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Answers workers' heartbeats: the leader decides them itself, a follower forwards them to the leader, and either may redirect
+ * Answers workers' heartbeats: the leader decides on them itself, a follower forwards them to the leader, and either may redirect
  * the worker to another controller. Confined to the controller's event loop.
  */
 internal class HeartbeatRouter(
     private val member: String,
     private val role: ControllerRole,
     private val contacts: FollowerContacts,
-    private val batches: LeaderBatcher,
+    private val batcher: LeaderBatcher,
     private val distribution: WorkerDistribution,
     private val processingTimes: ProcessingTimes,
     private val monotonicMs: () -> Long,
@@ -32,7 +32,7 @@
     suspend fun handle(body: ByteArray): HttpReply {
         // Right after an election all workers send heartbeats at once, so one that can't be answered is rejected before decoding.
         if (role.activeTerm?.isReady == false || role.activeTerm == null && role.leader == null) return HttpReply(503)
-        if (role.activeTerm == null && batches.isLeaderUnreachable) return redirectTo(role.leader)
+        if (role.activeTerm == null && batcher.isLeaderUnreachable) return redirectTo(role.leader)
         val heartbeat = try {
             processingTimes.measure(ProcessingStage.HEARTBEAT_DECODING) { WorkerProtocol.heartbeat(body) }
         } catch (e: MalformedMessageException) {
@@ -55,7 +55,7 @@
         }
     }
 
-    private suspend fun forward(heartbeat: Heartbeat): HttpReply = when (val outcome = batches.forwardHeartbeat(heartbeat)) {
+    private suspend fun forward(heartbeat: Heartbeat): HttpReply = when (val outcome = batcher.forwardHeartbeat(heartbeat)) {
         is ForwardOutcome.Answered -> HttpReply(200, WorkerProtocol.answer(outcome.token, outcome.commands))
         ForwardOutcome.Unanswered -> HttpReply(503)
     }
--- a/src/main/kotlin/cleathitch/controller/ImageCacheHintSharing.kt
+++ b/src/main/kotlin/cleathitch/controller/ImageCacheHintSharing.kt
@@ -25,7 +25,7 @@
 ) {
     private val received = HashMap<MachineId, ImageCache>()
 
-    /** Stores hints that the current leader sent. */
+    /** Stores hints that a leader sent. */
     fun record(hints: PeerRequest.ImageCacheHints) {
         if (received.size > MAX_MACHINES) received.clear()
         received += hints.toImageCaches()
@@ -45,7 +45,10 @@
     }
 
     private companion object {
-        /** Bounds the hints about terminated machines. After a clear, the leader's next messages restore those about existing ones. */
+        /**
+         * The map is cleared when it exceeds this size, because hints about terminated machines aren't removed. The leader's next
+         * messages restore those about existing machines.
+         */
         const val MAX_MACHINES = 10_000
     }
 }
--- a/src/main/kotlin/cleathitch/controller/LeaderAnnouncer.kt
+++ b/src/main/kotlin/cleathitch/controller/LeaderAnnouncer.kt
@@ -49,7 +49,7 @@
     private companion object {
         const val ANNOUNCEMENTS_PER_LEASE = 3
 
-        /** A contact is recent if it was less than the lease duration divided by this ago. */
+        /** A contact counts as recent for the lease duration divided by this. */
         const val RECENT_CONTACT_DIVISOR = 6
     }
 }
--- a/src/main/kotlin/cleathitch/controller/PeerRequestHandler.kt
+++ b/src/main/kotlin/cleathitch/controller/PeerRequestHandler.kt
@@ -25,7 +25,7 @@
     private val contacts: FollowerContacts,
     private val imageCacheHints: ImageCacheHintSharing,
     private val userRequests: UserRequestRouter,
-    private val batches: LeaderBatcher,
+    private val batcher: LeaderBatcher,
     private val workers: WorkerClient,
     private val processingTimes: ProcessingTimes,
     private val scope: CoroutineScope,
@@ -71,7 +71,7 @@
 
     private suspend fun deliver(term: Long, command: DeliveryMessage) {
         val heartbeat = workers.send(command.toCommand()).valueOrNull()
-        if (heartbeat != null) batches.forwardDeliveryResult(DeliveryResult(term, command.id, heartbeat))
+        if (heartbeat != null) batcher.forwardDeliveryResult(DeliveryResult(term, command.id, heartbeat))
     }
 
     private fun reply(status: Int) = PeerReply(status, leader = role.leader, term = role.leaderTerm)
--- a/src/main/kotlin/cleathitch/controller/Readiness.kt
+++ b/src/main/kotlin/cleathitch/controller/Readiness.kt
@@ -25,15 +25,15 @@
 
     private fun isReadyAsFollower(): Boolean {
         val silentMs = monotonicMs() - (role.lastLeaderContactMs ?: return false)
-        // The leader's key expires with its lease. While the key exists, the leader is alive, but slow or cut off by a partition.
+        // The leader key expires with the lease, so no leader means an election. Otherwise the leader is alive, but slow or partitioned.
         return silentMs < leaderLeaseMs * if (role.leader == null) ELECTION_LEASES else LEADER_SILENCE_LEASES
     }
 
     private companion object {
-        /** The duration of an election in leases: one each for the expiry of the old lease, the log replay, and the announcement. */
+        /** The time allowed for an election: one lease duration each for the old lease's expiry, the log replay and the announcement. */
         const val ELECTION_LEASES = 3
 
-        /** A live leader announces itself within this many leases, even if it starts slowly. */
+        /** A live leader announces itself within this many lease durations, even if it starts slowly. */
         const val LEADER_SILENCE_LEASES = 3
     }
 }
--- a/src/main/kotlin/cleathitch/controller/UserRequest.kt
+++ b/src/main/kotlin/cleathitch/controller/UserRequest.kt
@@ -38,7 +38,7 @@
         /** Whether [path] begins like the path of a user request. */
         fun isUserPath(path: String) = path == PATH || path.startsWith("$PATH/")
 
-        /** Parses a request for whose path [isUserPath] is true. */
+        /** Parses a request; [isUserPath] must be true for its [path]. */
         fun parse(method: String, path: String, body: ByteArray): UserRequest {
             if (path == PATH) return if (method == "POST") parseSubmission(body) else MethodNotAllowed
             val parts = path.removePrefix("$PATH/").split('/')
--- a/src/main/kotlin/cleathitch/controller/UserRequestRouter.kt
+++ b/src/main/kotlin/cleathitch/controller/UserRequestRouter.kt
@@ -14,11 +14,11 @@
 /** Answers users' requests: the leader itself, a follower through the leader. Confined to the controller's event loop. */
 internal class UserRequestRouter(
     private val role: ControllerRole,
-    private val batches: LeaderBatcher,
+    private val batcher: LeaderBatcher,
     private val client: PeerClient,
     private val peerAddresses: Map<String, Address>,
 ) {
-    /** Answers one request. One that a peer [forwarded] isn't forwarded again, which could loop while two peers disagree on the leader. */
+    /** Answers one request. If a peer [forwarded] it, it isn't forwarded again: it could loop while two peers disagree on the leader. */
     suspend fun handle(method: String, path: String, body: ByteArray, forwarded: Boolean): HttpReply =
         when (val request = UserRequest.parse(method, path, body)) {
             UserRequest.MethodNotAllowed -> HttpReply(405)
@@ -29,7 +29,7 @@
                 when {
                     activeTerm != null -> UserProtocol.reply(answer(request, activeTerm.requests))
                     request is UserRequest.Poll -> poll(request.job)
-                    forwarded -> unreachableLeader()
+                    forwarded -> leaderUnreachableReply()
                     else -> forward(method, path, body)
                 }
             }
@@ -44,18 +44,18 @@
 
     /** Forwards a poll to the leader, in a batch with others. */
     private suspend fun poll(job: JobId): HttpReply {
-        if (role.knownLeader() == null || batches.isLeaderUnreachable) return unreachableLeader()
-        return batches.forwardPoll(job).replyOrNull()?.let(UserProtocol::reply) ?: unreachableLeader()
+        if (role.knownLeader() == null || batcher.isLeaderUnreachable) return leaderUnreachableReply()
+        return batcher.forwardPoll(job).replyOrNull()?.let(UserProtocol::reply) ?: leaderUnreachableReply()
     }
 
     private suspend fun forward(method: String, path: String, body: ByteArray): HttpReply {
-        val address = role.leader?.let(peerAddresses::get) ?: return unreachableLeader()
+        val address = role.leader?.let(peerAddresses::get) ?: return leaderUnreachableReply()
         val request = PeerRequest.ForwardUserRequest(method, path, body)
-        val reply = client.ask(address, request, FORWARD_TIMEOUT_MS).reply ?: return unreachableLeader()
+        val reply = client.ask(address, request, FORWARD_TIMEOUT_MS).reply ?: return leaderUnreachableReply()
         return HttpReply(reply.status, reply.body, reply.retryAfterS)
     }
 
-    private fun unreachableLeader() = UserProtocol.unavailableHere("no way to the leader")
+    private fun leaderUnreachableReply() = UserProtocol.unavailableHere("no way to the leader")
 
     private companion object {
         /** Users wait 2 s for an answer; the remaining 200 ms are for the round trip between the user and this controller. */
--- a/src/main/kotlin/cleathitch/peers/DeliveryMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/DeliveryMessage.kt
@@ -7,7 +7,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.CborArray
 
-/** Commands that a follower delivers to a worker; if [commands] is empty, it probes the worker. [token] is [FencingToken.packed]. */
+/** Commands that a follower delivers to a worker; without [commands], the follower probes the worker. [token] is [FencingToken.packed]. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 @CborArray
--- a/src/main/kotlin/cleathitch/peers/JobStatusMessage.kt
+++ b/src/main/kotlin/cleathitch/peers/JobStatusMessage.kt
@@ -49,7 +49,7 @@
         private val notFound = JobStatusMessage(Kind.NOT_FOUND, 0, 0)
         private val unavailable = JobStatusMessage(Kind.UNAVAILABLE, 0, 0)
 
-        /** The message for a poll's [reply]; a reply of a kind that no poll has becomes [Kind.UNAVAILABLE]. */
+        /** The message for the [reply] to a poll. Replies to other requests aren't expected, and become [Kind.UNAVAILABLE]. */
         fun of(reply: UserReply): JobStatusMessage = when (reply) {
             is UserReply.Status -> JobStatusMessage(kindOf(reply.state), reply.done, reply.running)
             UserReply.NotFound -> notFound
--- a/src/main/kotlin/cleathitch/peers/LeaderBatcher.kt
+++ b/src/main/kotlin/cleathitch/peers/LeaderBatcher.kt
@@ -84,7 +84,7 @@
     private fun nextBatch(term: Long) =
         OutgoingBatch(heartbeats.nextBatch(term, nowMs()), polls.take(MAX_POLLS_PER_BATCH), takeDeliveryResults(term))
 
-    /** Sends [batch]. An exception is logged and returned as a failure, so that the callers are completed and the loop continues. */
+    /** Sends [batch]. An exception is logged and returned as [BatchResult.NotLeading], so that the batch's callers get an outcome. */
     // An uncaught exception would end the loop in [run], and no more heartbeats would be forwarded.
     @Suppress("TooGenericExceptionCaught")
     private suspend fun sendSafely(receiver: KnownLeader, batch: OutgoingBatch, timeoutMs: Long): BatchResult = try {
@@ -108,7 +108,10 @@
         polls.completeUnanswered(batch.polls)
     }
 
-    /** Drops the results of earlier terms, whose IDs the current leader doesn't know. */
+    /**
+     * Removes the next results from the queue and returns those of [term]. Results of earlier terms are dropped, because delivery IDs
+     * are unique only within a term.
+     */
     private fun takeDeliveryResults(term: Long): List<DeliveryResult> {
         val taken = List(minOf(deliveryResults.size, MAX_DELIVERY_RESULTS_PER_BATCH)) { deliveryResults.removeFirst() }
         return taken.filter { it.term == term }
@@ -123,13 +126,13 @@
     private companion object {
         val log = LoggerFactory.getLogger("cleathitch.peers")
 
-        /** Workers wait 4 s for an answer; the remaining 1 s is for the network between the worker and this controller. */
+        /** Workers wait 4 s for an answer; the remaining 1 s is for the round trip between the worker and this controller. */
         const val HEARTBEAT_TIMEOUT_MS = 3000L
 
-        /** Users wait 2 s for an answer to a poll; the remaining 200 ms are for the network. */
+        /** Users wait 2 s for an answer; the remaining 200 ms are for the round trip between the user and this controller. */
         const val POLL_TIMEOUT_MS = 1800L
 
-        /** Polls and results are small, so their number is bounded, but not their size; for heartbeats see [HeartbeatQueue]. */
+        /** Polls and delivery results are small, so only their number is limited. [HeartbeatQueue] also limits the size of heartbeats. */
         const val MAX_POLLS_PER_BATCH = 400
         const val MAX_DELIVERY_RESULTS_PER_BATCH = 40
         const val MAX_DELIVERY_RESULTS = 2000
--- a/src/main/kotlin/cleathitch/peers/PeerClient.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerClient.kt
@@ -40,10 +40,13 @@
         /** The path at which every controller accepts requests of its peers. */
         const val PATH = "/peer"
 
-        /** In bytes. Batches are far smaller: each of their parts is bounded, or is a single message of at most [MessageCodec.MAX_BODY]. */
+        /**
+         * The maximum size of a request's body, in bytes. Batches are far smaller: each of their parts is limited, or is a single message
+         * of at most [MessageCodec.MAX_BODY].
+         */
         const val MAX_BODY = 4 * MessageCodec.MAX_BODY
 
-        /** The maximum per peer. Each connection handles one request at a time, which takes a few milliseconds. */
+        /** The maximum number of connections to each peer. Each handles one request at a time; a request takes a few milliseconds. */
         const val CONNECTIONS = 16
         private const val CONNECT_TIMEOUT_MS = 500
         private const val OK = 200
--- a/src/main/kotlin/cleathitch/peers/PeerRequest.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerRequest.kt
@@ -14,7 +14,10 @@
 @Serializable
 @Suppress("ArrayInDataClass") // never compared
 sealed interface PeerRequest {
-    /** Announces the leader and the term that the sender [from] knows; also shows that the sender is running. */
+    /**
+     * Announces that the sender [from] is running and is the leader of [term]. [leader] is kept for the message format: it is always
+     * sent as [from], and is ignored on receipt.
+     */
     @Serializable
     @SerialName("leads")
     data class AnnounceLeader(val from: String, val leader: String?, val term: Long) : PeerRequest
--- a/src/main/kotlin/cleathitch/peers/PeerResult.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerResult.kt
@@ -2,7 +2,7 @@
 
 /** The result of a request to another controller. */
 sealed interface PeerResult {
-    /** The controller's answer, with any status. */
+    /** The controller's answer, with any [PeerReply.status]. */
     class Answered(val reply: PeerReply) : PeerResult
 
     /** The connection failed, or the answer isn't a valid peer reply. The controller may have handled the request. */
--- a/src/main/kotlin/cleathitch/peers/PollOutcome.kt
+++ b/src/main/kotlin/cleathitch/peers/PollOutcome.kt
@@ -22,7 +22,7 @@
         TOO_LATE,
     }
 
-    /** The reply; null whatever the reason for its absence. */
+    /** The reply; null if there is none, for any [Reason]. */
     fun replyOrNull(): UserReply? = when (this) {
         is Answered -> reply
         is Unanswered -> null
--- a/src/main/kotlin/cleathitch/peers/PollQueue.kt
+++ b/src/main/kotlin/cleathitch/peers/PollQueue.kt
@@ -4,7 +4,7 @@
 import cleathitch.scheduler.model.JobId
 
 /**
- * Users' polls that a follower has received and that are to be answered by the leader. Polls for the same job that wait at the
+ * Users' polls that a follower has received and that the leader is to answer. Polls for the same job that wait at the
  * same time share an answer. The queue has no clock and does no I/O. Confined to the event loop of its [LeaderBatcher].
  */
 class PollQueue(private val answerTimeoutMs: Long) {
@@ -26,14 +26,14 @@
         waiting.getOrPut(job) { ArrayList() } += PendingPoll(nowMs, complete)
     }
 
-    /** Marks the polls of the jobs that have waited longest, at most [limit] jobs, as in flight, and returns these jobs. */
+    /** Marks the polls for the longest-waiting jobs, at most [limit] jobs, as in flight and returns these jobs. */
     fun take(limit: Int): List<JobId> {
         val jobs = waiting.keys.take(limit)
         jobs.forEach { inFlight[it] = waiting.remove(it).orEmpty() }
         return jobs
     }
 
-    /** Completes the polls of [jobs] with the leader's answers, in the same order; as unanswered if the numbers differ. */
+    /** Completes the polls for [jobs] with the leader's [statuses], in the same order, or as unanswered if the numbers differ. */
     fun completeAnswered(jobs: List<JobId>, statuses: List<UserReply>, nowMs: Long) {
         if (statuses.size != jobs.size) return completeUnanswered(jobs)
         for ((job, status) in jobs.zip(statuses)) {
--- a/src/main/kotlin/cleathitch/peers/WorkerCommandDelivery.kt
+++ b/src/main/kotlin/cleathitch/peers/WorkerCommandDelivery.kt
@@ -9,11 +9,12 @@
 
 /**
  * Sends the leader's commands to workers: through the follower that forwards the worker's heartbeats, in one request for many
- * workers, or directly. With a connection to each worker, the leader would spend more on connections than on all its other work.
+ * workers, or directly. Connections to all workers would cost the leader more than all its other work.
  *
- * Followers only relay commands. A late delivery is harmless, as on a slow network, because workers check the incarnation and the
- * fencing token, and followers check the term. A result is ignored unless its command was sent less than [resultTimeoutMs] ago: a
- * later one doesn't show that the machine is still alive. Confined to the leader's event loop; results are passed to [enqueue].
+ * Followers only relay commands. A delivery that a follower delays is as harmless as one that the network delays: workers check the
+ * incarnation and the fencing token, and followers check the term. A result is ignored unless its command was sent less than
+ * [resultTimeoutMs] ago: a later one doesn't show that the machine is still alive. Confined to the leader's event loop; results are
+ * passed to [enqueue].
  */
 class WorkerCommandDelivery(
     private val routes: WorkerCommandRoutes,
--- a/src/main/kotlin/cleathitch/workers/HeartbeatQueue.kt
+++ b/src/main/kotlin/cleathitch/workers/HeartbeatQueue.kt
@@ -6,7 +6,7 @@
 import cleathitch.scheduler.model.MachineId
 
 /**
- * The heartbeats that a follower has received and that are to be decided by the leader.
+ * The heartbeats that a follower has received and on which the leader is to decide.
  *
  * At most one heartbeat per machine is queued: a worker has only one request in flight, so an older one has timed out at the
  * worker. A heartbeat with the same content as one that the leader acknowledged in its current term is forwarded as
@@ -72,7 +72,7 @@
 
     private fun evictAcknowledged(leaderTerm: Long) {
         if (leaderTerm != term) {
-            // A new leader hasn't received these heartbeats from this controller, and perhaps from no other either.
+            // The new leader hasn't received these heartbeats from this controller, and may not have received them from another one.
             acknowledged.clear()
             term = leaderTerm
         }
@@ -157,10 +157,16 @@
         /** Batches of large heartbeats are further limited by [MAX_BATCH_BYTES]. */
         const val MAX_HEARTBEATS_PER_BATCH = 400
 
-        /** Half the maximum body size, because sizes are estimates. A larger heartbeat is sent alone, and fits into a peer request. */
+        /**
+         * Half the maximum body size of a worker's request, because sizes are estimates. A larger heartbeat is sent alone, and fits into a
+         * peer request.
+         */
         private const val MAX_BATCH_BYTES = 32 * 1024
 
-        /** Bounds the entries of terminated machines. Clearing the map costs one full heartbeat per existing machine. */
+        /**
+         * The map is cleared when it exceeds this size, because entries of terminated machines aren't removed during a term. Clearing it
+         * costs one full heartbeat per existing machine.
+         */
         private const val MAX_ACKNOWLEDGED = 10_000
 
         private const val UNCHANGED_HEARTBEAT_BYTES = 48
--- a/src/main/kotlin/cleathitch/workers/WorkerClient.kt
+++ b/src/main/kotlin/cleathitch/workers/WorkerClient.kt
@@ -35,7 +35,7 @@
     private val client = PooledHttpClient(vertx, "workers", maxConnections = 2, meterRegistry, keepAlive = false, logsOutages = false)
     private val permits = Semaphore(maxConcurrentCalls)
 
-    /** Sends [command]; the result is the worker's heartbeat, which it returns whether or not it executed the command. */
+    /** Sends [command]; the result is the heartbeat that the worker returns whether or not it executed the command. */
     suspend fun send(command: Effect.ToWorker): ServiceResult<Heartbeat> {
         val text = addressOf(command)
         val address = Address.parse(text) ?: return ServiceResult.Failure(ServiceError.InvalidAddress(text))
--- a/src/main/kotlin/cleathitch/workers/WorkerDistribution.kt
+++ b/src/main/kotlin/cleathitch/workers/WorkerDistribution.kt
@@ -3,7 +3,7 @@
 import cleathitch.scheduler.model.MachineId
 
 /**
- * Redirects workers that send their heartbeats to the leader to its followers, which forward heartbeats in batches.
+ * Redirects workers from the leader to its followers, which forward heartbeats in batches.
  *
  * The rate of redirects to each follower is limited: a follower that has just started is slow, and all workers whose heartbeats
  * time out there would return to the leader at once. A worker that returns soon after a redirect couldn't reach that follower; the
@@ -35,12 +35,15 @@
         lastRedirectMs[follower] = nowMs
     }
 
-    /** With only one follower, the leader keeps some of the workers, or the follower would have more load than the leader. */
+    /** With only one follower, the leader keeps some of the workers; otherwise the follower would have more load than the leader. */
     private fun isServedByLeader(machine: MachineId, followers: List<String>) =
         followers.size == 1 && Math.floorMod(machine.hashCode(), LEADER_SHARE_DIVISOR) == 0
 
     private companion object {
-        /** A worker that returns within this many heartbeat periods couldn't reach the follower; it is redirected again after them. */
+        /**
+         * A worker that returns within this many heartbeat periods after a redirect couldn't reach the follower. The leader serves it
+         * until they have passed, and then redirects it again.
+         */
         const val REDIRECT_RETRY_PERIODS = 5
 
         /** The maximum number of redirects to each follower within a heartbeat period. */
@@ -49,7 +52,10 @@
         /** With only one follower, the leader keeps one worker in this many. */
         const val LEADER_SHARE_DIVISOR = 3
 
-        /** Bounds the entries of terminated machines. Clearing the map costs at most one more redirect per existing machine. */
+        /**
+         * The map is cleared when it exceeds this size, because entries of terminated machines aren't removed. Clearing it costs at most
+         * one more redirect per existing machine.
+         */
         const val MAX_REDIRECTS = 100_000
     }
 }
--- a/src/test/kotlin/cleathitch/peers/PeerMessagesTest.kt
+++ b/src/test/kotlin/cleathitch/peers/PeerMessagesTest.kt
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Test
 
-/** Messages between controllers survive encoding and decoding, and malformed ones are rejected. */
+/** Messages between controllers are unchanged by encoding and decoding, and malformed ones are rejected. */
 class PeerMessagesTest {
     private val attempt = AttemptId(TaskId(JobId("j-000412"), 3), 7)
     private val token = FencingToken.first(9).next()
@@ -83,7 +83,10 @@
         assertEquals(listOf(command, probe), received.commands.map { it.toCommand() })
     }
 
-    /** Any other exception would end the coroutine that forwards heartbeats, and the follower could serve no more requests. */
+    /**
+     * Callers handle only [SerializationException]. Any other exception, unless caught further up, would end the coroutine that
+     * forwards heartbeats, and the follower could serve no more requests.
+     */
     @Test
     fun `truncated messages of any length are rejected`() {
         val request = PeerCodec.encode(batch())
--- a/src/test/kotlin/cleathitch/workers/HeartbeatQueueTest.kt
+++ b/src/test/kotlin/cleathitch/workers/HeartbeatQueueTest.kt
@@ -103,7 +103,7 @@
         assertEquals(listOf<ForwardOutcome>(ForwardOutcome.Unanswered), outcomes)
     }
 
-    /** For example, if the follower's process was paused between the leader's answer and its own. */
+    /** Decisions may be late, for example, if the follower's process was paused between the leader's answer and its own. */
     @Test
     fun `decisions after the timeout are discarded`() {
         add(heartbeat(), atMs = 0)
--- a/src/test/kotlin/cleathitch/workers/WorkerDistributionTest.kt
+++ b/src/test/kotlin/cleathitch/workers/WorkerDistributionTest.kt
@@ -19,7 +19,7 @@
         assertEquals(mapOf("n1" to 100, "n2" to 100, "n3" to 100), counts)
     }
 
-    /** A follower that has just started can't serve all workers at once: most heartbeats would time out and return to the leader. */
+    /** A follower that has just started can't serve all workers at once: most would get no answer in time and return to the leader. */
     @Test
     fun `redirects to a follower are rate-limited, and the leader serves the other workers`() {
         val atOnce = (1..1000).mapNotNull { distribution.followerFor(machine(it), followers, nowMs = 0) }
