--- a/src/main/kotlin/cleathitch/peers/PeerClient.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerClient.kt
@@ -42,12 +42,12 @@
         const val PATH = "/peer"
 
         /**
-         * In bytes. Batches are far smaller: each of their parts is bounded, or is a single message of at most
-         * [MessageCodec.MAX_BODY_BYTES].
+         * The maximum size of a request's body, in bytes. Batches are far smaller: each of their parts is limited, or is a single message
+         * of at most [MessageCodec.MAX_BODY_BYTES].
          */
         const val MAX_BODY_BYTES = 4 * MessageCodec.MAX_BODY_BYTES
 
-        /** The maximum per peer. Each connection handles one request at a time, which takes a few milliseconds. */
+        /** The maximum number of connections to each peer. Each handles one request at a time; a request takes a few milliseconds. */
         const val CONNECTIONS = 16
         private const val CONNECT_TIMEOUT_MS = 500
         private const val OK = 200
