--- a/src/main/kotlin/cleathitch/cli/Application.kt
+++ b/src/main/kotlin/cleathitch/cli/Application.kt
@@ -49,7 +49,10 @@
     private val sockets = SocketBudget(settings.maxSockets, settings.peers.size)
     private val storeTimeoutMs = timings.leaderLeaseMs / STORE_CALLS_PER_LEASE
 
-    /** Starts the controller. It serves other controllers at once, and users and workers once a leader is known. */
+    /**
+     * Starts the controller. It serves other controllers at once, but users and workers only when a leader is known or
+     * [Controller.start] stops waiting for one.
+     */
     fun start() {
         val controller = newController()
         scope.launch {
@@ -124,7 +127,7 @@
         newEndpoint(MessageCodec.MAX_BODY, sockets.maxPublicConnections, controller.requests::handle)
 
     private fun newEndpoint(maxBodyBytes: Int, maxConnections: Int, handle: RequestHandler): HttpEndpoint {
-        // Workers send heartbeats and users poll at shorter intervals.
+        // Workers send heartbeats, and users poll, at intervals shorter than this timeout.
         val idleTimeoutS = ceil(deployment.heartbeatPeriodS * IDLE_HEARTBEAT_PERIODS).toInt()
         return HttpEndpoint(vertx, scope, maxBodyBytes, idleTimeoutS, ConnectionLimit(maxConnections), handle)
     }
--- a/src/main/kotlin/cleathitch/cli/ClassArchiveTraining.kt
+++ b/src/main/kotlin/cleathitch/cli/ClassArchiveTraining.kt
@@ -48,15 +48,15 @@
         scope.launch {
             val (publicPort, internalPort) = freePorts()
             val application = startController(publicPort, internalPort, startPlatform())
-            val public = Address(LOOPBACK, publicPort)
-            val internal = Address(LOOPBACK, internalPort)
+            val publicAddress = Address(LOOPBACK, publicPort)
+            val internalAddress = Address(LOOPBACK, internalPort)
             repeat(ROUNDS) { round ->
-                sendUserRequests(public, round)
-                sendHeartbeat(public, round)
-                sendFollowerBatch(internal, sequenceNumber = round.toLong())
+                sendUserRequests(publicAddress, round)
+                sendHeartbeat(publicAddress, round)
+                sendFollowerBatch(internalAddress, sequenceNumber = round.toLong())
                 delay(ROUND_INTERVAL_MS)
             }
-            call(internal, HttpMethod.GET, "/metrics")
+            call(internalAddress, HttpMethod.GET, "/metrics")
             application.close()
             exitProcess(0)
         }
@@ -101,7 +101,7 @@
         client.call(controller, method, path, message?.let(MessageCodec::encode), TIMEOUT_MS)
     }
 
-    /** Sends a follower's batch of requests. The reply to the first batch contains the term, which the leader requires of later ones. */
+    /** Sends a follower's batch of requests. The reply to the first batch contains the leader's term, which later batches must contain. */
     private suspend fun sendFollowerBatch(controller: Address, sequenceNumber: Long) {
         val heartbeat =
             Heartbeat(MachineId("vm-000002"), "127.0.0.1:1", "m", "z", true, 1, sequenceNumber, FencingToken.NONE, null, emptyList())
--- a/src/main/kotlin/cleathitch/cli/Main.kt
+++ b/src/main/kotlin/cleathitch/cli/Main.kt
@@ -11,7 +11,7 @@
 import java.nio.file.Path
 import kotlin.system.exitProcess
 
-/** The root of the command line; the subcommands do the work. */
+/** The root command; the subcommands do the work. */
 @Command(
     name = "cleathitch",
     description = ["A cluster scheduler that keeps its state in a small consistent store."],
@@ -80,7 +80,7 @@
     val level = System.getenv("LOG_LEVEL")?.lowercase()?.takeIf { it in LOG_LEVELS } ?: "info"
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error")
     System.setProperty("org.slf4j.simpleLogger.log.cleathitch", level)
-    // It logs every connection that a peer or worker resets; the effects of a reset are logged by the code that handles them.
+    // This logger of Vert.x logs every connection that a peer or worker resets; the code that handles a reset logs its effects.
     System.setProperty("org.slf4j.simpleLogger.log.io.vertx.core.net.impl", "off")
     System.setProperty("org.slf4j.simpleLogger.showThreadName", "false")
     System.setProperty("org.slf4j.simpleLogger.showDateTime", "true")
@@ -97,7 +97,7 @@
             CommandLine.ExitCode.SOFTWARE
         }
         .execute(*args)
-    // After a successful `serve`, the server's threads continue to run.
+    // After a successful `serve`, the process must not exit: the event loops' threads continue to run.
     if (exit != CommandLine.ExitCode.OK) exitProcess(exit)
 }
 
--- a/src/main/kotlin/cleathitch/cli/SocketBudget.kt
+++ b/src/main/kotlin/cleathitch/cli/SocketBudget.kt
@@ -21,7 +21,7 @@
     val maxPublicConnections = maxOf(maxSockets / 2, maxSockets - outgoingConnections - maxInternalConnections)
 
     private companion object {
-        /** Direct calls to workers may use one in this many sockets; most of the others are for incoming connections. */
+        /** `maxSockets` divided by this is the number for direct calls to workers; most other sockets are for incoming connections. */
         const val DIRECT_CALL_DIVISOR = 10
 
         /**
--- a/src/main/kotlin/cleathitch/config/Settings.kt
+++ b/src/main/kotlin/cleathitch/config/Settings.kt
@@ -99,7 +99,7 @@
                 machineListLagS = cloud.nonNegativeNumber("list_lag_s"),
                 controllerCount = cluster.positiveNumber("initial_size").toInt(),
             )
-            // A cancelled task on an unreachable machine ends only when the machine's lease expires, which must be within cancel_s.
+            // A cancelled task on an unreachable machine ends only when the worker's lease expires, which must be within cancel_s.
             if (deployment.cancellationDeadlineS <= deployment.workerLeaseS) {
                 workers.fail(
                     "cancel_s",
--- a/src/main/kotlin/cleathitch/http/CallFailure.kt
+++ b/src/main/kotlin/cleathitch/http/CallFailure.kt
@@ -1,6 +1,9 @@
 package cleathitch.http
 
-/** The stage at which a call failed. Only if it failed before a connection was acquired is it certain that nothing was sent. */
+/**
+ * The stage at which a call failed. If it failed before a connection was acquired, nothing was sent; otherwise the request may have
+ * been sent.
+ */
 enum class CallFailure(val description: String) {
     /** The pool provided no connection within the timeout. */
     NO_CONNECTION_IN_TIME("no connection within the timeout"),
--- a/src/main/kotlin/cleathitch/http/CallResult.kt
+++ b/src/main/kotlin/cleathitch/http/CallResult.kt
@@ -5,7 +5,7 @@
     /** The server's complete response, whatever its [status]. */
     class Answered(val status: Int, val body: ByteArray) : CallResult
 
-    /** There is no complete response; whether the request was carried out is unknown. */
+    /** There is no complete response. Whether the request was carried out is unknown, unless [failure] means that it wasn't sent. */
     data class Failed(val failure: CallFailure) : CallResult
 }
 
--- a/src/main/kotlin/cleathitch/http/ClientMeters.kt
+++ b/src/main/kotlin/cleathitch/http/ClientMeters.kt
@@ -25,10 +25,10 @@
         waiting.incrementAndGet()
     }
 
-    /** Records that the pool has completed or failed an acquisition, whether or not its call still waits for it. */
-    fun recordAcquisitionEnd(gotConnection: Boolean) {
+    /** Records that an acquisition has succeeded or failed, even if the call that requested it has already ended. */
+    fun recordAcquisitionEnd(succeeded: Boolean) {
         waiting.decrementAndGet()
-        if (gotConnection) inUse.incrementAndGet()
+        if (succeeded) inUse.incrementAndGet()
     }
 
     /** Records that a connection has been returned to the pool or closed. */
--- a/src/main/kotlin/cleathitch/http/ConnectionCheckout.kt
+++ b/src/main/kotlin/cleathitch/http/ConnectionCheckout.kt
@@ -19,7 +19,7 @@
     /** Whether the pool has provided a connection to this call. */
     val isAcquired get() = request != null
 
-    /** Waits for [acquisition] and fails with its exception. */
+    /** Waits until [acquisition] has provided a connection; throws its exception if it fails. */
     suspend fun acquire(acquisition: Future<HttpClientRequest>): HttpClientRequest {
         meters.recordAcquisitionStart()
         acquisition.onComplete { outcome ->
--- a/src/main/kotlin/cleathitch/http/ConnectionLimit.kt
+++ b/src/main/kotlin/cleathitch/http/ConnectionLimit.kt
@@ -29,7 +29,7 @@
     }
 
     private companion object {
-        /** One in this many connections is reserved for new clients while all others are kept alive. */
+        /** `max` divided by this is the number of connections that are reserved for new clients; the others may be kept alive. */
         const val RESERVED_FRACTION_DIVISOR = 20
     }
 }
--- a/src/main/kotlin/cleathitch/http/HttpEndpoint.kt
+++ b/src/main/kotlin/cleathitch/http/HttpEndpoint.kt
@@ -21,7 +21,10 @@
     private val vertx: Vertx,
     private val scope: CoroutineScope,
     private val maxBodyBytes: Int,
-    /** The time in seconds after which an idle connection is closed; connections of terminated machines would exhaust the sockets. */
+    /**
+     * The time in seconds after which an idle connection is closed. Without this timeout, the connections of terminated machines would
+     * exhaust the sockets.
+     */
     private val idleTimeoutS: Int,
     private val connectionLimit: ConnectionLimit,
     private val handle: suspend (method: String, path: String, body: ByteArray) -> HttpReply,
@@ -102,7 +105,7 @@
         const val BAD_REQUEST = 400
         const val INTERNAL_SERVER_ERROR = 500
 
-        /** The number of connections that the kernel queues until the event loop accepts them; further ones are refused. */
+        /** The number of connections that the kernel queues until the event loop accepts them; further ones are dropped or refused. */
         const val ACCEPT_BACKLOG = 1024
     }
 }
--- a/src/main/kotlin/cleathitch/http/OutageLog.kt
+++ b/src/main/kotlin/cleathitch/http/OutageLog.kt
@@ -5,9 +5,9 @@
 /**
  * Logs when calls to a server begin to fail and when they succeed again, with the number of failures of each kind in between.
  * During an outage it logs each time the number of failures has doubled, so that a long outage produces few lines.
- * Confined to the event loop of its client; [nowMs] is a monotonic clock.
+ * Confined to the event loop of its client; [monotonicMs] is a monotonic clock.
  */
-internal class OutageLog(private val client: String, private val nowMs: () -> Long) {
+internal class OutageLog(private val client: String, private val monotonicMs: () -> Long) {
     private class Outage(val sinceMs: Long) {
         val countsByFailure = LinkedHashMap<String, Int>()
         var failures = 0
@@ -33,7 +33,7 @@
     }
 
     private fun recordFailure(server: Address, path: String, failure: String) {
-        val outage = outages.getOrPut(server) { Outage(nowMs()) }
+        val outage = outages.getOrPut(server) { Outage(monotonicMs()) }
         outage.recordFailure(failure)
         if (outage.failures == 1) {
             // The query is left out because it differs from call to call.
@@ -48,7 +48,7 @@
         log.info("event=calls_recovered client={} server={} {}", client, server, details(outage))
     }
 
-    private fun details(outage: Outage) = "duration_ms=${nowMs() - outage.sinceMs} failures=${outage.summary()}"
+    private fun details(outage: Outage) = "duration_ms=${monotonicMs() - outage.sinceMs} failures=${outage.summary()}"
 
     private fun isPowerOfTwo(number: Int) = number.countOneBits() == 1
 
--- a/src/main/kotlin/cleathitch/http/PooledHttpClient.kt
+++ b/src/main/kotlin/cleathitch/http/PooledHttpClient.kt
@@ -73,8 +73,8 @@
     private fun timedOut(checkout: ConnectionCheckout) =
         CallResult.Failed(if (checkout.isAcquired) CallFailure.NO_ANSWER_IN_TIME else CallFailure.NO_CONNECTION_IN_TIME)
 
-    private fun failureOf(e: Exception, gotConnection: Boolean) = when {
-        gotConnection -> CallFailure.CONNECTION_LOST
+    private fun failureOf(e: Exception, isAcquired: Boolean) = when {
+        isAcquired -> CallFailure.CONNECTION_LOST
         e is TimeoutException -> CallFailure.NO_CONNECTION_IN_TIME
         else -> CallFailure.CONNECT_FAILED
     }
--- a/src/main/kotlin/cleathitch/http/ServiceResult.kt
+++ b/src/main/kotlin/cleathitch/http/ServiceResult.kt
@@ -8,7 +8,7 @@
     /** There is no value; [error] is the reason. */
     data class Failure(val error: ServiceError) : ServiceResult<Nothing>
 
-    /** Returns the value, or null for callers that handle all failures alike. */
+    /** Returns the value, or null after a failure. Intended for callers that handle all failures alike. */
     fun valueOrNull(): T? = when (this) {
         is Success -> value
         is Failure -> null
--- a/src/main/kotlin/cleathitch/metrics/ProcessingStage.kt
+++ b/src/main/kotlin/cleathitch/metrics/ProcessingStage.kt
@@ -20,7 +20,7 @@
     /** Decoding one page of the cloud's list of machines. */
     MACHINE_LIST,
 
-    /** Replaying the stored log entries to the state with which a term starts. */
+    /** Replaying the stored log entries, which yields the state with which a term starts. */
     REPLAY,
 
     /** Encoding a part of the image cache hints. */
--- a/src/main/kotlin/cleathitch/protocol/KeyValueStoreProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/KeyValueStoreProtocol.kt
@@ -14,7 +14,7 @@
     /** One page of a list of keys as of [revision], ordered by key; [more] if another page follows. */
     class Page(val entries: List<Entry>, val more: Boolean, val revision: Long)
 
-    /** The result of a watch: the keys that were written or deleted up to [revision]. */
+    /** The result of a watch: the keys that were written or deleted after the requested revision, up to and including [revision]. */
     class WatchResult(val revision: Long, val changes: List<String>)
 
     /** One change of a transaction. */
@@ -41,7 +41,7 @@
     /** Decodes the id of a new lease. */
     fun lease(body: ByteArray): Long = MessageCodec.decodeMap(body).requiredLong("arriendo")
 
-    /** Decodes the keys whose guards did not hold, because of which a transaction was rejected. */
+    /** Decodes the response to a rejected transaction: the keys whose guards did not hold. */
     fun failedKeys(body: ByteArray): List<String> = MessageCodec.decodeMap(body).requiredTexts("failed")
 
     /** Decodes the reason for which a request was rejected; null if the store gave none. */
@@ -61,7 +61,10 @@
     /** Encodes a request for a lease with a time to live of [ms] milliseconds. */
     fun ttl(ms: Long): ByteArray = MessageCodec.encode(MessageCodec.newMap().put("ttlMs", ms))
 
-    /** Encodes a compare-and-swap. [guards] map each key to its expected revision; 0 means that the key must not exist. */
+    /**
+     * Encodes a compare-and-swap: a transaction that the store rejects unless each key in [guards] has the revision given there.
+     * Revision 0 means that the key must not exist.
+     */
     fun transaction(guards: Map<String, Long>, writes: List<Write>): ByteArray {
         val map = MessageCodec.newMap()
         val conditions = map.putArray("guards")
--- a/src/main/kotlin/cleathitch/protocol/MessageCodec.kt
+++ b/src/main/kotlin/cleathitch/protocol/MessageCodec.kt
@@ -12,13 +12,13 @@
 
 /** A message violates its protocol; the text names the field and the reason. No part of such a message may be used. */
 class MalformedMessageException(message: String, cause: Throwable? = null) : Exception(message, cause) {
-    // The stack trace of a parse error carries no information, and creating it would make a flood of malformed input more expensive.
+    // The stack trace of a parse error is of no use, and filling it in would make a flood of malformed input more expensive.
     override fun fillInStackTrace(): Throwable = this
 }
 
 /**
- * Converts MessagePack bodies to and from Jackson trees. Unlike generated deserializers, trees add little to the start-up time,
- * and fields are read by name anyway.
+ * Converts MessagePack bodies to and from Jackson trees. Unlike generated deserializers, trees add little to the start-up time.
+ * They suffice, because the decoding functions read each field by its name.
  */
 object MessageCodec {
     private val mapper = ObjectMapper(MessagePackFactory()).enable(DeserializationFeature.FAIL_ON_READING_DUP_TREE_KEY)
@@ -51,7 +51,10 @@
         throw MalformedMessageException("the body isn't MessagePack: ${e.message}", e)
     }
 
-    /** Replaces Jackson's FAIL_ON_TRAILING_TOKENS: its MessagePack parser throws at the end of input instead of returning no token. */
+    /**
+     * Replaces Jackson's FAIL_ON_TRAILING_TOKENS, which can't be used here: at the end of input, the MessagePack parser throws instead
+     * of returning no token.
+     */
     private fun checkNoTrailingBytes(bytes: ByteArray) = MessagePack.newDefaultUnpacker(bytes).use {
         it.skipValue()
         if (it.totalReadBytes != bytes.size.toLong()) {
--- a/src/main/kotlin/cleathitch/protocol/UserProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/UserProtocol.kt
@@ -36,10 +36,12 @@
      */
     fun submission(body: ByteArray): JobSpec {
         val map = MessageCodec.decodeMap(body)
-        // Read first because the response names the first malformed field that is read.
+        // Read before all other fields: if several are malformed, the error response names the one that is read first.
         val machineTypes = machineTypes(map)
         val spec = JobSpec(
-            id = jobId(map.requiredText("nameId")) ?: throw MalformedMessageException("nameId isn't of the form j-000412"),
+            id = jobId(map.requiredText("nameId")) ?: throw MalformedMessageException(
+                "nameId must be of the form j-000412, but is ${map.requiredText("nameId").take(MAX_QUOTED_LENGTH)}",
+            ),
             className = requiredName(map, "cuadrilla"),
             team = requiredName(map, "ownerCrew"),
             kind = kind(map.requiredText("oficio")),
@@ -113,7 +115,7 @@
         }
     }
 
-    /** Converts the scheduler's [reply] to a user's request into the HTTP response. */
+    /** Encodes [reply], the scheduler's reply to a user's request, as an HTTP response. */
     fun reply(reply: UserReply): HttpReply = when (reply) {
         is UserReply.Accepted -> HttpReply(if (reply.known) OK else CREATED, MessageCodec.encode(jobState(reply.job, reply.state)))
         is UserReply.Cancelled -> HttpReply(OK, MessageCodec.encode(jobState(reply.job, reply.state)))
@@ -124,8 +126,8 @@
     }
 
     /**
-     * The response of a controller that can't serve users at present while another controller may. It closes the connection,
-     * because a load balancer selects another controller only for a new connection.
+     * The response of a controller that can't serve users at present, although another controller may be able to. It closes the
+     * connection, because a load balancer selects another controller only for a new connection.
      */
     fun unavailableHere(reason: String): HttpReply {
         val unavailable = UserReply.Unavailable(reason)
--- a/src/main/kotlin/cleathitch/protocol/WorkerProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/WorkerProtocol.kt
@@ -61,7 +61,7 @@
         )
     }
 
-    /** Returns null for a reason that this version doesn't know. */
+    /** Returns null if the reason is missing or this version doesn't know it. */
     private fun exitReason(node: JsonNode): ExitReason? = exitReasons[node.optionalText("motivo")]
 
     /** Parses a task id such as `j-000412/3`: the job's id and the task's index in the job. */
@@ -72,10 +72,10 @@
         return TaskId(JobId(text.substring(0, slash)), index)
     }
 
-    /** Encodes the leader's response to a heartbeat, which renews the worker's lease. */
+    /** Encodes the leader's response to a heartbeat; the response renews the worker's lease. */
     fun answer(token: FencingToken, commands: List<WorkerCommand>): ByteArray = MessageCodec.encode(commands(token, commands))
 
-    /** Encodes commands that are sent to a worker outside of a heartbeat's response; a worker of another [incarnation] rejects them. */
+    /** Encodes commands sent in a request of their own, not in a heartbeat's response; a worker of another [incarnation] rejects them. */
     fun directCommands(token: FencingToken, incarnation: Long, commands: List<WorkerCommand>): ByteArray =
         MessageCodec.encode(commands(token, commands).put("jornada", incarnation))
 
