--- a/src/test/kotlin/cleathitch/scheduler/CancellationFaultsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/CancellationFaultsTest.kt
@@ -15,12 +15,12 @@
 /** Cancellations combined with failovers, outages of the key-value store, lost commands and completing tasks. */
 class CancellationFaultsTest : CombinedFaultsHarness() {
     /**
-     * An old leader's grace period begins when its lease ends, which is before its successor confirms any cancellation. The last
-     * heartbeat that it answers in that period renews a worker's lease, and only when this lease has expired is a cancelled task
-     * certain to have stopped.
+     * A leader's grace period begins when its lease expires, which is before its successor can confirm a cancellation. The leader's
+     * last answer to a heartbeat in the grace period may renew a worker's lease. A cancelled task has certainly stopped only when
+     * that lease has expired too.
      */
     @Test
-    fun `grace period, worker lease and margin end before the cancellation deadline at every heartbeat interval`() {
+    fun `grace period, worker lease and margin end before the cancellation deadline at every heartbeat period`() {
         for (heartbeatPeriodS in listOf(1.0, 3.0, 6.0, 10.0)) {
             for (cancellationDeadlineS in listOf(deployment.workerLeaseS + 12, 64.0, 120.0)) {
                 val timings = SchedulerTimings.of(
@@ -35,8 +35,8 @@
     }
 
     /**
-     * In an outage of the key-value store right after the commit, no controller may answer the machine's heartbeats. Without the
-     * direct call the task would run until the worker's lease expires.
+     * If the key-value store fails right after the commit, it is possible that no controller answers the machine's heartbeats.
+     * Without the direct call the task would then run until the worker's lease expires.
      */
     @Test
     fun `a committed cancellation is sent to the machine before its next heartbeat`() {
@@ -108,7 +108,7 @@
     }
 
     @Test
-    fun `a cancellation, a poll and a repeated submission during the last task's completion report one final state, once committed`() {
+    fun `a job that is cancelled, polled and submitted again as its last task completes is reported as done, after the commit only`() {
         becomeLeaderWithFleet()
         startJob(1)
         machine.completeTasks()
--- a/src/test/kotlin/cleathitch/scheduler/CombinedFaultsHarness.kt
+++ b/src/test/kotlin/cleathitch/scheduler/CombinedFaultsHarness.kt
@@ -14,8 +14,8 @@
 abstract class CombinedFaultsHarness(maxCpus: Double? = null) : SchedulerHarness(maxCpus = maxCpus) {
     protected val machine = fakeMachine(0)
 
-    /** The number of heartbeat intervals after which a worker's lease has certainly expired. */
-    protected val intervalsUntilLeaseExpiry get() = (deployment.workerLeaseS / deployment.heartbeatPeriodS).toInt() + 1
+    /** The number of heartbeat periods after which a worker's lease has certainly expired. */
+    protected val periodsUntilLeaseExpiry get() = (deployment.workerLeaseS / deployment.heartbeatPeriodS).toInt() + 1
 
     protected fun fakeMachine(number: Int) = FakeMachine(heartbeat(number))
 
@@ -61,8 +61,8 @@
         return machine.attempts.filter { it.task.job == taskId(job).job }
     }
 
-    /** Advances the clock by [count] heartbeat intervals; each of [machines] sends one heartbeat per interval. */
-    protected fun runIntervals(count: Int, machines: List<FakeMachine> = listOf(machine)) = (1..count).flatMap {
+    /** Advances the clock by [count] heartbeat periods; each of [machines] sends one heartbeat per period. */
+    protected fun runPeriods(count: Int, machines: List<FakeMachine> = listOf(machine)) = (1..count).flatMap {
         machines.flatMap { it.sendHeartbeat() } + runRounds(roundsPerHeartbeat)
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/CommitVisibilityTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/CommitVisibilityTest.kt
@@ -26,7 +26,7 @@
     /** If this leader reported the job as done and failed before the commit, the next leader would report it as queued. */
     @Test
     fun `a final state that is recorded and archived by one commit isn't reported before the commit`() {
-        completeJobWithArchiveUncommitted()
+        completeJobWithoutCommit()
 
         for ((name, query) in queries) {
             assertFalse(JobState.DONE in reportedStates(step(query()))) { "DONE before the commit in reply to $name" }
@@ -38,7 +38,7 @@
 
     @Test
     fun `a final state that is recorded and archived by one commit is reported after the commit, and by the next leader`() {
-        completeJobWithArchiveUncommitted()
+        completeJobWithoutCommit()
         val cancellation = step(Input.Cancel(request(), job))
         assertEquals(emptyList<JobState?>(), reportedStates(cancellation))
 
@@ -68,8 +68,11 @@
         assertEquals(JobState.CANCELLED, jobStateIn(poll(1)))
     }
 
-    /** The last task's result arrives when a compaction is due, so that one commit records and archives the job's final state. */
-    private fun completeJobWithArchiveUncommitted() {
+    /**
+     * Completes the last task when a compaction is due, so that one commit records and archives the job's final state. The commit
+     * stays pending.
+     */
+    private fun completeJobWithoutCommit() {
         becomeLeaderWithFleet()
         startJob(1)
         machine.sendHeartbeat()
--- a/src/test/kotlin/cleathitch/scheduler/FailoverFaultsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FailoverFaultsTest.kt
@@ -10,11 +10,11 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Failovers combined with completing tasks, late heartbeats, lost machines and lost replies. */
+/** Failovers combined with completing tasks, delayed heartbeats, lost machines and lost replies. */
 class FailoverFaultsTest : CombinedFaultsHarness() {
-    /** The first task's result is committed, and its machine no longer reports it; the second task completes under the next leader. */
+    /** The first task's completion is committed, and the machine no longer reports that task when the next leader takes over. */
     @Test
-    fun `a job whose two tasks complete before and after a failover is done once both are`() {
+    fun `a job is done when one of its tasks completes before a failover and the other after it`() {
         becomeLeaderWithFleet()
         val (first, second) = startJob(1, tasks = 2)
         machine.exit(first, ExitReason.DONE)
@@ -33,9 +33,9 @@
         assertEquals(JobState.DONE, statusOf(1).state)
     }
 
-    /** The stored records still list the other attempt as live. */
+    /** The attempt that the stored records list as live isn't the one that completed the task. */
     @Test
-    fun `a task completed by another attempt isn't started again after a failover`() {
+    fun `a task isn't started again after a failover if an attempt other than the recorded one completed it`() {
         becomeLeaderWithFleet()
         val (attempt) = startJob(1, tasks = 2)
         machine.exit(AttemptId(attempt.task, 77), ExitReason.DONE)
@@ -61,7 +61,7 @@
         assertEquals(emptyList<AttemptId>(), (machine.sendHeartbeat() + runRounds(4)).startedAttempts())
     }
 
-    /** The new leader's first heartbeat from the machine was sent before the task started, so it doesn't list the attempt. */
+    /** The first heartbeat that the new leader receives was sent before the task started, so it doesn't list the attempt. */
     @Test
     fun `a heartbeat sent before a start and received after a failover doesn't cause a second attempt`() {
         becomeLeaderWithFleet()
@@ -70,13 +70,13 @@
         failOver()
 
         sendHeartbeat(delayedHeartbeat)
-        val effects = runIntervals(2, listOf(fakeMachine(2)))
+        val effects = runPeriods(2, listOf(fakeMachine(2)))
 
         assertEquals(emptyList<AttemptId>(), effects.startedAttempts().filter { it.task == attempt.task && it != attempt })
         assertTrue(machine.sendHeartbeat().any { it is Effect.AnswerHeartbeat })
     }
 
-    /** Each leader inherits worker leases that outlast its term, so only the cloud provider's confirmation allows a restart of the task. */
+    /** The inherited worker leases outlast each term, so the task can restart only once the cloud provider confirms the termination. */
     @Test
     fun `the task of a terminated machine is restarted although each term lasts only a dozen seconds`() {
         becomeLeaderWithFleet()
@@ -86,7 +86,7 @@
         val effects = (1..4).flatMap {
             failOver()
             step(Input.MachinesListed(listOf(listedMachine(0), listedMachine(2))))
-            val termEffects = runIntervals(4, listOf(other))
+            val termEffects = runPeriods(4, listOf(other))
             val terminated = termEffects.terminatedMachines().toList()
             termEffects + if (terminated.isEmpty()) emptyList() else step(Input.MachinesTerminated(terminated)) + runRounds(2)
         }
@@ -94,7 +94,7 @@
         assertEquals(attempt.task, effects.startedAttempts().firstOrNull()?.task)
     }
 
-    /** The task may run there until the lease that the old leader renewed has certainly expired, so it isn't started elsewhere. */
+    /** The heartbeats report the task as running: the worker's lease, which the old leader renewed, may not have expired yet. */
     @Test
     fun `a task on a machine that misses the new leader's replies isn't started elsewhere while it runs`() {
         becomeLeaderWithFleet()
@@ -102,8 +102,8 @@
         failOver()
         val other = fakeMachine(2)
 
-        val effects = (1..intervalsUntilLeaseExpiry * 2).flatMap {
-            machine.sendHeartbeat(missesReplies = true) + runIntervals(1, listOf(other))
+        val effects = (1..periodsUntilLeaseExpiry * 2).flatMap {
+            machine.sendHeartbeat(missesReplies = true) + runPeriods(1, listOf(other))
         }
 
         assertEquals(emptyList<AttemptId>(), effects.startedAttempts().filter { it.task == attempt.task && it != attempt })
@@ -116,7 +116,7 @@
         failOver()
         step(Input.MachinesListed(listOf(listedMachine(4))))
 
-        val effects = runIntervals(intervalsUntilLeaseExpiry + 6)
+        val effects = runPeriods(periodsUntilLeaseExpiry + 6)
 
         assertTrue(MachineId("vm-000004") in effects.terminatedMachines())
     }
--- a/src/test/kotlin/cleathitch/scheduler/FailoverTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FailoverTest.kt
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A new leader in term 9 recovers a log in which a task was started on machine 1, which has sent it no heartbeat yet. */
+/** A new leader in term 9 recovers a log in which a task was started on machine 1. It has no heartbeat from that machine yet. */
 class FailoverTest : SchedulerHarness(term = 9, recovered = recoveredState()) {
     /** The old leader may have renewed the worker's lease until the end of its grace period. */
     @Test
@@ -48,9 +48,9 @@
         assertTrue(answer.token > FencingToken.first(9))
     }
 
-    /** The late heartbeat was sent before a heartbeat that already reported the task as running. */
+    /** The leader has already received a heartbeat that was sent later and reports the task as running. */
     @Test
-    fun `a late heartbeat that doesn't list the task is refused and doesn't cause a second attempt`() {
+    fun `a delayed heartbeat that doesn't list the task is refused and doesn't cause a second attempt`() {
         becomeLeader()
         val running = heartbeat(1, sequenceNumber = 4, FencingToken.first(7))
             .copy(tasks = listOf(TaskStatus(STARTED_ATTEMPT, TaskState.RUNNING)))
--- a/src/test/kotlin/cleathitch/scheduler/FailureDetectorTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FailureDetectorTest.kt
@@ -20,12 +20,12 @@
     /** The newest fencing token that each machine received through a follower, and reports in its next heartbeat. */
     private val receivedTokens = HashMap<Int, FencingToken>()
 
-    /** If each machine were judged alone once it is overdue, a silent fleet would be terminated machine by machine. */
+    /** If each overdue machine were considered by itself, a silent fleet would be terminated machine by machine. */
     @Test
     fun `when all heartbeats stop arriving, no machine is terminated before its lease has expired`() {
         becomeLeaderWithBusyFleet()
 
-        val effects = (1..(deployment.workerLeaseS / deployment.heartbeatPeriodS).toInt()).flatMap { runInterval(emptyList()) }
+        val effects = (1..(deployment.workerLeaseS / deployment.heartbeatPeriodS).toInt()).flatMap { runPeriod(emptyList()) }
 
         assertEquals(emptySet<MachineId>(), effects.terminatedMachines())
     }
@@ -34,10 +34,10 @@
     @Test
     fun `a leader whose direct calls are lost transfers leadership`() {
         becomeLeaderWithBusyFleet()
-        runInterval(FLEET, throughFollower = true)
+        runPeriod(FLEET, throughFollower = true)
         loseDirectCalls(4)
 
-        val stepDown = (1..2).flatMap { runInterval(FLEET, throughFollower = true) }.stepDowns().single()
+        val stepDown = (1..2).flatMap { runPeriod(FLEET, throughFollower = true) }.stepDowns().single()
 
         assertTrue(stepDown.transferLeadership)
     }
@@ -48,7 +48,7 @@
         becomeLeaderWithBusyFleet()
         loseDirectCalls(2)
 
-        val effects = (1..8).flatMap { runInterval(FLEET, throughFollower = true) }
+        val effects = (1..8).flatMap { runPeriod(FLEET, throughFollower = true) }
 
         assertEquals(emptyList<Effect>(), effects.stepDowns())
     }
@@ -61,7 +61,7 @@
         val old = FencingToken.first(revision)
 
         val effects = (1..4).flatMap {
-            runInterval(10 until 40, throughFollower = true) + runInterval(5 until 10, token = old, throughFollower = true)
+            runPeriod(10 until 40, throughFollower = true) + runPeriod(5 until 10, token = old, throughFollower = true)
         }
 
         assertEquals(emptyList<Effect>(), effects.stepDowns())
@@ -69,38 +69,44 @@
 
     /** One answered call proves that the leader's network works. */
     @Test
-    fun `a leader doesn't step down when another direct call is answered`() {
+    fun `a leader doesn't step down when some direct calls are lost and one is answered`() {
         becomeLeaderWithBusyFleet()
         loseDirectCalls(4)
         step(Input.ProbeAnswered(heartbeat(20, sequenceNumber = 1000)))
 
-        val effects = (1..4).flatMap { runInterval(0 until 20, throughFollower = true) }
+        val effects = (1..4).flatMap { runPeriod(0 until 20, throughFollower = true) }
 
         assertEquals(emptyList<Effect>(), effects.stepDowns())
     }
 
-    /** The machines run their tasks until their leases expire, and jobs that spread over zones can't run elsewhere anyway. */
+    /**
+     * The machines still run their tasks until their leases expire, and the tasks of jobs that spread over zones can't be started in
+     * the other zone anyway.
+     */
     @Test
     fun `the machines of a partitioned zone aren't terminated, and new ones are rented in the other zone`() {
         becomeLeaderWithBusyFleet()
         val zoneB = FLEET.filter { it % 2 == 1 }
-        runInterval(zoneB)
+        runPeriod(zoneB)
 
-        val beforeJobs = (1..4).flatMap { runInterval(zoneB) }
+        val beforeJobs = (1..4).flatMap { runPeriod(zoneB) }
         submitJobs(3, tasks = 4)
-        val effects = beforeJobs + (1..4).flatMap { runInterval(zoneB) }
+        val effects = beforeJobs + (1..4).flatMap { runPeriod(zoneB) }
 
         assertEquals(emptySet<MachineId>(), effects.terminatedMachines())
         assertEquals(setOf("b"), effects.filterIsInstance<Effect.Rent>().map { it.rental.offer.zone }.toSet())
     }
 
-    /** This happens when answers take longer than the workers' timeout. Judged machine by machine, all would be terminated. */
+    /**
+     * This happens when answers take longer than the workers' timeout. If each machine were considered by itself, all would be
+     * terminated.
+     */
     @Test
     fun `when all machines miss the leader's replies, none is terminated`() {
         becomeLeaderWithBusyFleet()
         val old = FencingToken.first(7)
 
-        val effects = (1..8).flatMap { runInterval(FLEET, token = old) }
+        val effects = (1..8).flatMap { runPeriod(FLEET, token = old) }
 
         assertEquals(emptySet<MachineId>(), effects.terminatedMachines())
     }
@@ -111,7 +117,7 @@
         becomeLeaderWithBusyFleet()
         val rack = (0 until 12).mapTo(HashSet()) { machineId(it) }
 
-        val effects = (1..5).flatMap { runInterval(12 until 40) }
+        val effects = (1..5).flatMap { runPeriod(12 until 40) }
 
         assertEquals(rack, effects.terminatedMachines())
     }
@@ -121,14 +127,14 @@
         becomeLeaderWithFleet(FLEET.count())
         val request = request()
         step(Input.Submit(request, SimulatedCluster.job(request.number.toInt(), JobKind.SERVICE, tasks = 2 * FLEET.count())))
-        repeat(3) { runInterval(FLEET) }
+        repeat(3) { runPeriod(FLEET) }
     }
 
     /** Reports a direct call to each of the first [count] machines as unanswered. */
     private fun loseDirectCalls(count: Int) = repeat(count) { step(Input.DirectCallUnanswered(machineId(it))) }
 
-    /** Advances the clock by a heartbeat interval in which the heartbeats of [machines] arrive, spread over its rounds. */
-    private fun runInterval(machines: Iterable<Int>, token: FencingToken? = null, throughFollower: Boolean = false): List<Effect> {
+    /** Advances the clock by a heartbeat period in which the heartbeats of [machines] arrive, spread over its rounds. */
+    private fun runPeriod(machines: Iterable<Int>, token: FencingToken? = null, throughFollower: Boolean = false): List<Effect> {
         sequenceNumber++
         return (0 until roundsPerHeartbeat).flatMap { round ->
             machines.filter { it % roundsPerHeartbeat == round }.flatMap { machine ->
--- a/src/test/kotlin/cleathitch/scheduler/ForwardedHeartbeatsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/ForwardedHeartbeatsTest.kt
@@ -24,9 +24,9 @@
     fun `an unchanged heartbeat counts as a repetition of its base`() {
         startOneTask()
 
-        val effects = (1L..20).flatMap { interval ->
-            advanceTo(nowMs + heartbeatIntervalMs)
-            val decision = forward(unchanged(0, sequenceNumber = 2 + interval, baseSequenceNumber = 1 + interval)).single()
+        val effects = (1L..20).flatMap { period ->
+            advanceTo(nowMs + heartbeatPeriodMs)
+            val decision = forward(unchanged(0, sequenceNumber = 2 + period, baseSequenceNumber = 1 + period)).single()
             assertTrue(decision is HeartbeatDecision.Answer)
             runRounds(1)
         }
@@ -76,9 +76,9 @@
         assertTrue(second[1] is HeartbeatDecision.Answer)
     }
 
-    /** The worker's lease runs from when it sent the heartbeat; the leader knows only the later arrival, and must count from that. */
+    /** The worker's lease begins when it sends the heartbeat. The leader knows only the later time of arrival and must count from that. */
     @Test
-    fun `tasks of a machine aren't started elsewhere within a lease from the arrival of its delayed heartbeat`() {
+    fun `tasks of a machine aren't started elsewhere before a full lease duration has passed since its delayed heartbeat arrived`() {
         startOneTask()
         advanceTo(nowMs + workerLeaseMs / 2)
         forward(unchanged(0, sequenceNumber = 3, baseSequenceNumber = 2))
@@ -109,7 +109,7 @@
         assertEquals(HeartbeatDecision.Refuse, forward(unchanged(0, sequenceNumber = 4, baseSequenceNumber = 3)).single())
     }
 
-    /** A newer leader has answered a machine that reports a higher token, so the heartbeats after it in the batch are refused too. */
+    /** A higher token proves that there is a newer leader, so the later heartbeats of the batch are refused too. */
     @Test
     fun `a leader that finds a higher fencing token in a batch steps down and refuses the whole batch`() {
         becomeLeaderWithFleet(machines = 2)
--- a/src/test/kotlin/cleathitch/scheduler/IsolatedLeaderTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/IsolatedLeaderTest.kt
@@ -11,7 +11,10 @@
 
 /** A leader that still reaches its workers, but neither the key-value store nor other controllers. */
 class IsolatedLeaderTest : SchedulerHarness() {
-    /** Without a bound, its workers' leases would be renewed forever, and no successor could start their tasks elsewhere. */
+    /**
+     * If it answered heartbeats without a time limit, its workers' leases would be renewed forever, and no successor could start their
+     * tasks elsewhere.
+     */
     @Test
     fun `a leader without a lease answers heartbeats for its grace period, decides nothing and refuses user requests`() {
         becomeLeaderWithFleet(machines = 2, leaseUntilMs = 1000)
--- a/src/test/kotlin/cleathitch/scheduler/LargeFleetTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/LargeFleetTest.kt
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test
 
 /**
- * Checks the work between an election and the first answers that grows with the fleet, at 4,000 machines under the limits of a
- * small key-value store. Times and memory are printed but not checked: `mvn -Dtest=LargeFleetTest test`.
+ * Checks, at 4,000 machines and under the limits of a small key-value store, the part of a failover that grows with the fleet: the
+ * work between an election and the first answers. Times and memory are printed but not checked: `mvn -Dtest=LargeFleetTest test`.
  */
 class LargeFleetTest : SchedulerHarness() {
     @Test
@@ -30,10 +30,10 @@
         val startNs = System.nanoTime()
         failOver()
         val replayMs = (System.nanoTime() - startNs) / 1_000_000
-        val probed = probedInFirstInterval()
+        val probed = probedInFirstPeriod()
         println(
             "$MACHINES machines, $MACHINES tasks: ${stored.size} entries, ${bytes / 1000} kB, $pages pages, replay $replayMs ms; " +
-                "${probed.size} machines probed in a heartbeat interval of $heartbeatIntervalMs ms; " +
+                "${probed.size} machines probed in a heartbeat period of $heartbeatPeriodMs ms; " +
                 "heap $heapBeforeMb MB before, $heapWithSchedulerMb MB with the scheduler, ${usedHeapMb()} MB after its successor's replay",
         )
         val answered = heartbeats.count { heartbeat -> sendHeartbeat(heartbeat.next()).any { it is Effect.AnswerHeartbeat } }
@@ -92,12 +92,12 @@
 
     private fun Heartbeat.next() = copy(sequenceNumber = sequenceNumber + 1)
 
-    /** Returns the machines that a new leader probes in its first heartbeat interval. */
-    private fun probedInFirstInterval(): Set<MachineId> {
+    /** Returns the machines that a new leader probes in its first heartbeat period. */
+    private fun probedInFirstPeriod(): Set<MachineId> {
         step(Input.MachinesListed(List(MACHINES) { listedMachine(it) }))
         val startMs = nowMs
         val probed = HashSet<MachineId>()
-        while (nowMs - startMs < heartbeatIntervalMs) probed += runRounds(1).probedMachines()
+        while (nowMs - startMs < heartbeatPeriodMs) probed += runRounds(1).probedMachines()
         return probed
     }
 
--- a/src/test/kotlin/cleathitch/scheduler/QuotaFaultsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/QuotaFaultsTest.kt
@@ -19,8 +19,8 @@
         val other = fakeMachine(2)
         val boundMs = timings.graceMs + workerLeaseMs + timings.leaseMarginMs
 
-        val withinBound = runIntervals((boundMs / heartbeatIntervalMs - 1).toInt(), listOf(other))
-        val afterBound = runIntervals(6, listOf(other))
+        val withinBound = runPeriods((boundMs / heartbeatPeriodMs - 1).toInt(), listOf(other))
+        val afterBound = runPeriods(6, listOf(other))
 
         assertEquals(emptyList<AttemptId>(), withinBound.startedAttempts())
         assertEquals(listOf(taskId(2)), afterBound.startedTasks())
@@ -28,7 +28,7 @@
 
     /** The machine may still execute the start commands until it reports a higher fencing token than theirs. */
     @Test
-    fun `cancelled starts that no heartbeat reports count against the limit until the machine reports a higher fencing token`() {
+    fun `starts of a cancelled job that no heartbeat reports count against the limit until the machine reports a higher fencing token`() {
         becomeLeaderWithFleet()
         submit(1, tasks = 2)
         runRounds(2)
@@ -37,7 +37,7 @@
 
         val beforeToken = machine.sendHeartbeat(missesReplies = true) + runRounds(2)
         machine.sendHeartbeat()
-        val afterToken = runIntervals(2)
+        val afterToken = runPeriods(2)
 
         assertNoStartsOf(2, beforeToken)
         assertEquals(listOf(taskId(2)), afterToken.startedTasks())
@@ -57,7 +57,7 @@
         repeat(2) { assertNoStartsOf(2, machine.sendHeartbeat(missesReplies = true) + runRounds(2)) }
         machine.expireLease()
         machine.sendHeartbeat(missesReplies = true)
-        val afterNewIncarnation = runIntervals(2, listOf(fakeMachine(2)))
+        val afterNewIncarnation = runPeriods(2, listOf(fakeMachine(2)))
 
         assertEquals(listOf(taskId(2)), afterNewIncarnation.startedTasks())
     }
--- a/src/test/kotlin/cleathitch/scheduler/ScalabilityTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/ScalabilityTest.kt
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test
 
 /**
- * A scheduler with the fleet and the queue of a large deployment. Costs are counted in candidates and bytes instead of seconds,
+ * A scheduler with the fleet and the queue of a large deployment. Costs are counted in candidate machines and bytes instead of seconds,
  * so that the result is the same on every computer.
  */
 class ScalabilityTest : SchedulerHarness() {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** The first heartbeat that a new leader receives from a machine may be a late copy, while the machine was terminated long ago. */
+    /** The first heartbeat that a new leader receives may be a delayed duplicate from a machine that was terminated long ago. */
     @Test
     fun `a machine gets tasks once it reports a fencing token of this term, not before`() {
         becomeLeader()
@@ -80,9 +80,9 @@
         assertEquals(emptySet<MachineId>(), afterOutage.terminatedMachines())
     }
 
-    /** Otherwise its free capacity and the starts that the old leader didn't deliver would have to wait for its next heartbeat. */
+    /** Without the probe, starts that the old leader didn't deliver and new tasks would have to wait for the machine's next heartbeat. */
     @Test
-    fun `after a failover a machine that the cloud lists is probed, and its answer suffices to place tasks there`() {
+    fun `after a failover a machine that the cloud provider lists is probed, and its answer suffices to place tasks there`() {
         becomeLeader()
         val heartbeat = heartbeat(1, sequenceNumber = 5, FencingToken.first(3))
         step(Input.MachinesListed(listOf(listedMachine(1).copy(ageS = 100.0))))
@@ -96,7 +96,7 @@
 
     /** Tasks placed there would never run, which would be noticed only when the machine is detected as silent. */
     @Test
-    fun `a late copy of a heartbeat doesn't revive a terminated machine`() {
+    fun `a delayed duplicate of a terminated machine's heartbeat is refused, and the machine gets no tasks`() {
         becomeLeaderWithFleet(machines = 1)
         val terminated = runRounds(4 * 70).filterIsInstance<Effect.TerminateMachines>().first().machines
         step(Input.MachinesTerminated(terminated))
@@ -127,7 +127,7 @@
         assertEquals(setOf(MachineId("vm-000000")), terminated)
     }
 
-    /** Returns how many candidates the first round that places any task evaluates. */
+    /** Returns the number of candidate machines evaluated in the first round that places a task. */
     private fun candidatesEvaluated(machines: Int, jobs: Int): Long {
         val harness = ScalabilityTest()
         harness.becomeLeaderWithFleet(machines)
--- a/src/test/kotlin/cleathitch/scheduler/SchedulerHarness.kt
+++ b/src/test/kotlin/cleathitch/scheduler/SchedulerHarness.kt
@@ -29,7 +29,7 @@
     protected val type = machineType()
     protected val deployment = SimulatedCluster.standard.copy(teams = mapOf("red" to Team("red", 8.0, maxCpus, 0.0, null)))
     protected val timings = SchedulerTimings.of(deployment)
-    protected val heartbeatIntervalMs = (deployment.heartbeatPeriodS * 1000).toLong()
+    protected val heartbeatPeriodMs = (deployment.heartbeatPeriodS * 1000).toLong()
     protected val workerLeaseMs = (deployment.workerLeaseS * 1000).toLong()
     protected val roundsPerHeartbeat = (deployment.heartbeatPeriodS * 1000 / timings.roundPeriodMs).toInt()
 
--- a/src/test/kotlin/cleathitch/scheduler/SchedulerTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/SchedulerTest.kt
@@ -94,7 +94,7 @@
     }
 
     @Test
-    fun `fencing tokens are ordered by term, revision and count, and stay below 2 to the 63`() {
+    fun `fencing tokens are ordered by revision, then by count, and stay below 2 to the 63`() {
         val old = FencingToken.first(41)
 
         assertTrue(old.next() > old)
--- a/src/test/kotlin/cleathitch/scheduler/StoreOutageTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/StoreOutageTest.kt
@@ -16,10 +16,10 @@
         val started = submit(1, tasks = 12) { copy(kind = JobKind.SERVICE) } + runRounds(2)
         deliver(started.directCalls(), fleet)
         isStoreUnavailable = true
-        runIntervals((deployment.cancellationDeadlineS / deployment.heartbeatPeriodS).toInt() + 10, fleet)
+        runPeriods((deployment.cancellationDeadlineS / deployment.heartbeatPeriodS).toInt() + 10, fleet)
         fleet.forEach { it.expireLease() }
 
-        val effects = step(Input.LeaseRenewed(NO_EXPIRY_MS)) + endStoreOutage() + runIntervals(3, fleet)
+        val effects = step(Input.LeaseRenewed(NO_EXPIRY_MS)) + endStoreOutage() + runPeriods(3, fleet)
 
         assertEquals(emptySet<MachineId>(), effects.terminatedMachines())
         assertEquals(12, effects.startedAttempts().mapTo(HashSet()) { it.task }.size)
--- a/src/test/kotlin/cleathitch/scheduler/UnreachableMachinesTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/UnreachableMachinesTest.kt
@@ -14,20 +14,20 @@
     @Test
     fun `a machine whose heartbeats are lost gets no new tasks, although it answers probes`() {
         becomeLeaderWithFleet()
-        runIntervalsWithProbes(listOf(machine), count = 4)
+        runPeriodsWithProbes(listOf(machine), count = 4)
 
-        val effects = submit(1) + runIntervalsWithProbes(listOf(machine), count = 2)
+        val effects = submit(1) + runPeriodsWithProbes(listOf(machine), count = 2)
 
         assertEquals(emptyList<AttemptId>(), effects.startedAttempts())
     }
 
-    /** When the heartbeats of all machines are lost, the fault lies elsewhere, just as when no machine answers at all. */
+    /** The loss of all machines' heartbeats is treated as a network partition, like the silence of all machines. */
     @Test
     fun `a fleet whose heartbeats are lost isn't terminated when its leases expire`() {
         val fleet = fleet(12)
         becomeLeaderWithBusyFleet(fleet)
 
-        val effects = runIntervalsWithProbes(fleet, count = intervalsUntilLeaseExpiry + 3)
+        val effects = runPeriodsWithProbes(fleet, count = periodsUntilLeaseExpiry + 3)
 
         assertEquals(emptySet<MachineId>(), effects.terminatedMachines())
     }
@@ -37,7 +37,7 @@
         val fleet = fleet(12)
         becomeLeaderWithBusyFleet(fleet)
 
-        val effects = (1..intervalsUntilLeaseExpiry + 3).flatMap { fleet[0].answerProbe() + runIntervals(1, fleet.drop(1)) }
+        val effects = (1..periodsUntilLeaseExpiry + 3).flatMap { fleet[0].answerProbe() + runPeriods(1, fleet.drop(1)) }
 
         assertEquals(setOf(fleet[0].id), effects.terminatedMachines())
     }
@@ -47,17 +47,17 @@
      * same zone although another zone has free capacity. Once the machine is terminated, the job may run in any zone.
      */
     @Test
-    fun `a single-zone array job is restarted in another zone once none of its tasks may run in the first`() {
+    fun `a single-zone array job is restarted in another zone once none of its tasks can still be running in the first`() {
         becomeLeaderWithFleet()
         val other = fakeMachine(1)
-        runIntervals(2, listOf(machine, other))
+        runPeriods(2, listOf(machine, other))
         val started = submit(1, tasks = 3) { copy(oneZone = true) } + runRounds(2)
         val used = if (started.directCalls().single().machine == machine.id) machine else other
         val unused = if (used === machine) other else machine
         deliver(started.directCalls(), listOf(used))
 
-        val whileLost = runIntervals(6, listOf(unused))
-        val afterTermination = step(Input.MachinesTerminated(listOf(used.id))) + runIntervals(2, listOf(unused))
+        val whileLost = runPeriods(6, listOf(unused))
+        val afterTermination = step(Input.MachinesTerminated(listOf(used.id))) + runPeriods(2, listOf(unused))
 
         assertEquals(emptyList<AttemptId>(), whileLost.startedAttempts())
         assertEquals(setOf(used.id), whileLost.terminatedMachines())
@@ -71,8 +71,8 @@
         deliver(runRounds(2).directCalls(), fleet)
     }
 
-    /** Advances the clock by [count] heartbeat intervals in which [machines] answer probes and none of their heartbeats arrives. */
-    private fun runIntervalsWithProbes(machines: List<FakeMachine>, count: Int): List<Effect> = (1..count).flatMap {
+    /** Advances the clock by [count] heartbeat periods in which [machines] answer probes and none of their heartbeats arrives. */
+    private fun runPeriodsWithProbes(machines: List<FakeMachine>, count: Int): List<Effect> = (1..count).flatMap {
         machines.flatMap { it.answerProbe() } + runRounds(roundsPerHeartbeat)
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/capacity/CapacityPlannerTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/capacity/CapacityPlannerTest.kt
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Rental planning. Two of the requested tasks fit on a machine of the only type. */
+/** Rental planning. Two of the requested tasks fit on a machine of the only machine type. */
 class CapacityPlannerTest {
     private val deployment = Deployment(
         zones = listOf("a", "b"), teams = emptyMap(), objectives = emptyList(),
@@ -58,7 +58,7 @@
     }
 
     @Test
-    fun `booting machines and unanswered rentals serve demands first`() {
+    fun `the capacity of booting machines and unanswered rentals is used before more machines are rented`() {
         inventory.register(MachineId("m-1"), offer("b"), 0)
         assertEquals(listOf(PlannedRental(offer("a"), 2)), plan(demand(6)))
         inventory.apply(Event.RentalRequested("r-1", offer("a"), 2))
--- a/src/test/kotlin/cleathitch/scheduler/model/PlacementClassTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/model/PlacementClassTest.kt
@@ -26,7 +26,7 @@
     }
 
     @Test
-    fun `a rounding error doesn't keep a task off a machine, and an overcommitted machine fits none`() {
+    fun `a rounding error doesn't prevent a task from fitting, and no task fits on an overcommitted machine`() {
         val tenth = placementClass(cpus = 0.1, memoryGb = 0.1)
         val leftOfOne = 1.0 - (0.1 + 0.2 + 0.3 + 0.3)
         assertTrue(leftOfOne < 0.1)
@@ -35,7 +35,7 @@
     }
 
     @Test
-    fun `an offer is permitted by type, zone and spot`() {
+    fun `an offer is permitted only if its type, its zone and its use of spot machines are allowed`() {
         val offer = Offer("m4", "a", spot = true)
         assertFalse(placementClass().permits(offer))
         assertTrue(placementClass(spotAllowed = true).permits(offer))
--- a/src/test/kotlin/cleathitch/scheduler/placement/PlacementRoundTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/placement/PlacementRoundTest.kt
@@ -62,7 +62,7 @@
     private fun round() = PlacementRound(inventory, jobTable, inventory.machines.values.toList(), nowMs = 0)
 
     @Test
-    fun `machines that cache the image are filled first, then others, and then no machine is chosen`() {
+    fun `machines that cache the image are filled first, then others, and no machine is chosen once all are full`() {
         machine("m-1")
         machine("m-2").recordImage("image", 1.0)
         val job = accept(spec("j-1"))
@@ -105,7 +105,7 @@
     }
 
     @Test
-    fun `preemption stops only tasks of lower priority and counts resources that stopping tasks will free`() {
+    fun `preemption stops only tasks of lower priority and counts resources of tasks that are already being stopped`() {
         val machine = machine("m-1")
         val low = accept(spec("j-1", priority = Priority.LOW))
         val equal = accept(spec("j-2", priority = Priority.PRODUCTION))
--- a/src/test/kotlin/cleathitch/scheduler/simulation/FaultSchedule.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/FaultSchedule.kt
@@ -19,8 +19,8 @@
     val machineLossEveryS: Double = 0.0,
     /** Makes a machine hang for up to 40 s. */
     val machineHangEveryS: Double = 0.0,
-    /** Share of heartbeats of which a duplicate arrives late, by up to twice a worker's lease. */
-    val lateHeartbeatDuplicates: Double = 0.0,
+    /** Share of heartbeats of which a duplicate arrives, delayed by up to twice a worker's lease. */
+    val delayedHeartbeatDuplicates: Double = 0.0,
     /** Permanently drops everything sent to a machine, while its heartbeats still arrive. */
     val permanentReplyLossEveryS: Double = 0.0,
     /** Restarts a machine without a delay. */
@@ -54,10 +54,10 @@
      * cancel jobs, and then the store is unavailable for longer than `cancellationDeadlineS`.
      */
     val failoverThenOutageAtS: Double = 0.0,
-    /** Share of commits archiving jobs that are never sent, as the leader is killed within the time to live of its lease. */
+    /** Share of job-archiving commits that are never sent; the leader is killed within the time to live of its lease instead. */
     val leaderKillsBeforeArchival: Double = 0.0,
     /** Seconds between log compactions; null for the default. */
     val compactionEveryS: Double? = null,
-    /** Tasks complete within a heartbeat interval, so that most have already exited when a heartbeat first reports them. */
+    /** Tasks complete within a heartbeat period, so that most have already exited when a heartbeat first reports them. */
     val shortTasks: Boolean = false,
 )
--- a/src/test/kotlin/cleathitch/scheduler/simulation/FaultSchedules.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/FaultSchedules.kt
@@ -10,12 +10,12 @@
         "leaders isolated from the key-value store" to FaultSchedule(messageDelay = 0.03, leaderIsolationEveryS = 20.0),
         "lost and hanging machines" to
             FaultSchedule(messageDelay = 0.02, machineLossEveryS = 15.0, machineHangEveryS = 10.0),
-        "late copies of heartbeats" to
-            FaultSchedule(messageDelay = 0.02, lateHeartbeatDuplicates = 0.3, leaderKillEveryS = 20.0),
-        "machines that lose replies" to FaultSchedule(lateHeartbeatDuplicates = 0.05, permanentReplyLossEveryS = 20.0),
+        "delayed duplicates of heartbeats" to
+            FaultSchedule(messageDelay = 0.02, delayedHeartbeatDuplicates = 0.3, leaderKillEveryS = 20.0),
+        "machines that lose replies" to FaultSchedule(delayedHeartbeatDuplicates = 0.05, permanentReplyLossEveryS = 20.0),
         "quick restarts of processes and machines" to FaultSchedule(
             messageDelay = 0.02,
-            lateHeartbeatDuplicates = 0.1,
+            delayedHeartbeatDuplicates = 0.1,
             leaderKillEveryS = 10.0,
             machineRestartEveryS = 6.0,
             quickRestarts = true,
@@ -24,12 +24,12 @@
             messageDelay = 0.02,
             rackFailureEveryS = 40.0,
             zonePartitionEveryS = 40.0,
-            lateHeartbeatDuplicates = 0.05,
+            delayedHeartbeatDuplicates = 0.05,
             leaderKillEveryS = 40.0,
         ),
         "paused controllers" to FaultSchedule(
             messageDelay = 0.02,
-            lateHeartbeatDuplicates = 0.1,
+            delayedHeartbeatDuplicates = 0.1,
             controllerPauseEveryS = 8.0,
             machineHangEveryS = 20.0,
         ),
@@ -66,14 +66,14 @@
             FaultSchedule(leaderKillsBeforeArchival = 0.3, compactionEveryS = 0.2, shortTasks = true, cancellationsAtCompletion = 0.2),
         "all controllers down" to FaultSchedule(
             messageDelay = 0.02,
-            lateHeartbeatDuplicates = 0.1,
+            delayedHeartbeatDuplicates = 0.1,
             allControllersDownEveryS = 50.0,
             massCancellationEveryS = 40.0,
         ),
         "failover, then an outage of the key-value store" to FaultSchedule(failoverThenOutageAtS = 30.0),
         "failover, then an outage, with delayed messages and hanging machines" to FaultSchedule(
             messageDelay = 0.03,
-            lateHeartbeatDuplicates = 0.05,
+            delayedHeartbeatDuplicates = 0.05,
             machineHangEveryS = 20.0,
             failoverThenOutageAtS = 30.0,
         ),
@@ -85,7 +85,7 @@
             leaderIsolationEveryS = 30.0,
             machineLossEveryS = 20.0,
             machineHangEveryS = 15.0,
-            lateHeartbeatDuplicates = 0.05,
+            delayedHeartbeatDuplicates = 0.05,
             permanentReplyLossEveryS = 40.0,
             machineRestartEveryS = 30.0,
             rackFailureEveryS = 60.0,
--- a/src/test/kotlin/cleathitch/scheduler/simulation/InvariantChecker.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/InvariantChecker.kt
@@ -7,8 +7,8 @@
 import cleathitch.scheduler.simulation.SimulatedUsers.ObservedState
 
 /**
- * Properties that must hold under every combination of faults. [meaning] begins with the name that the protocol documentation gives
- * to a violation, where it has one.
+ * Properties that must hold under every combination of faults. If the protocol documentation names the violation of a property,
+ * [meaning] begins with that name.
  */
 enum class Invariant(private val meaning: String) {
     NO_DUPLICATE_EXECUTION("ran_twice: no task runs on two machines at the same time"),
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCloud.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCloud.kt
@@ -3,7 +3,7 @@
 import cleathitch.scheduler.log.Event
 import cleathitch.scheduler.model.MachineId
 
-/** Simulated cloud that rents out and terminates machines. Rental requests are idempotent: a retry returns the same machines. */
+/** Simulated cloud provider that rents out and terminates machines. Rental requests are idempotent: a retry returns the same machines. */
 class SimulatedCloud(private val cluster: SimulatedCluster, private val maxMachines: Int) {
     private val rentals = HashMap<String, List<MachineId>>()
     private val workers = LinkedHashMap<MachineId, SimulatedWorker>()
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
@@ -14,9 +14,9 @@
 import kotlin.random.Random
 
 /**
- * Deterministic simulation in virtual time of real schedulers with simulated controllers, workers, cloud, key-value store, network
- * and users. The [seed] determines every random draw and therefore the whole run. [InvariantChecker] checks the invariants after
- * each event, and the run stops at the first violation.
+ * Deterministic simulation in virtual time of real schedulers with simulated controllers, workers, cloud provider, key-value store,
+ * network and users. The [seed] determines every random draw and therefore the whole run. [InvariantChecker] checks the invariants
+ * after each event, and the run stops at the first violation.
  */
 class SimulatedCluster(private val seed: Long, val faults: FaultSchedule, val deployment: Deployment = standard, maxMachines: Int = 24) {
     val random = Random(seed)
@@ -43,7 +43,7 @@
     val invariants = InvariantChecker(this)
     private val faultInjector = FaultInjector(this, random)
 
-    /** The leading controller. If a deposed leader has not noticed yet, prefers the controller that holds the leader's key. */
+    /** The controller that considers itself the leader; if there are several, the one that holds the leader's key is preferred. */
     val leader: SimulatedController? get() = leaders().maxByOrNull { if (it === store.leader) 1 else 0 }
 
     /** A controller that considers itself the leader; it may have been deposed. Null if there is none. */
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedController.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedController.kt
@@ -166,7 +166,7 @@
         }
     }
 
-    /** Calls a worker directly. After one heartbeat interval without an answer the scheduler is told that the call is unanswered. */
+    /** Calls a worker directly. After one heartbeat period without an answer the scheduler is told that the call is unanswered. */
     private fun callWorker(machine: MachineId, deliver: (SimulatedWorker) -> Heartbeat?) {
         val callingTerm = term
         var isAnswered = false
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedNetwork.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedNetwork.kt
@@ -2,7 +2,7 @@
 
 import kotlin.random.Random
 
-/** Delays, duplicates or drops messages according to the fault schedule, and holds messages of partitioned zones until they heal. */
+/** Delays, duplicates or drops messages according to the fault schedule, and records until when zones are partitioned. */
 class SimulatedNetwork(
     private val events: EventQueue,
     private val random: Random,
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedWorker.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedWorker.kt
@@ -140,7 +140,7 @@
         val sentMs = nowMs
         val target = controller
         var isAnswered = false
-        if (!cluster.faultsEnded && random.nextDouble() < cluster.faults.lateHeartbeatDuplicates) sendLateDuplicate(heartbeat)
+        if (!cluster.faultsEnded && random.nextDouble() < cluster.faults.delayedHeartbeatDuplicates) sendDelayedDuplicate(heartbeat)
         cluster.network.send(partitionRemainingMs) {
             target.receive(heartbeat) { newToken, commands ->
                 cluster.network.send(partitionRemainingMs) {
@@ -154,8 +154,8 @@
         events.schedule(ANSWER_TIMEOUT_MS) { if (!isAnswered) controller = cluster.randomController() }
     }
 
-    /** Delivers a duplicate of [heartbeat] late, to the controller that leads by then. Its answer is dropped. */
-    private fun sendLateDuplicate(heartbeat: Heartbeat) {
+    /** Delivers a duplicate of [heartbeat] after a delay, to the controller that leads by then. Its answer is dropped. */
+    private fun sendDelayedDuplicate(heartbeat: Heartbeat) {
         val delayMs = random.nextLong(1000, (cluster.deployment.workerLeaseS * 2000).toLong())
         events.schedule(delayMs) {
             cluster.leader?.handle(Input.HeartbeatReceived(cluster.pendingRequests.newRequestId(), heartbeat))
