--- a/src/test/kotlin/cleathitch/architecture/SourceTree.kt
+++ b/src/test/kotlin/cleathitch/architecture/SourceTree.kt
@@ -58,7 +58,7 @@
         return packages.firstNotNullOfOrNull { search(listOf(it)) }
     }
 
-    /** The package that declares the imported name [import], which may be nested in a type. Null if it is not one of [declaredPackages]. */
+    /** The package in [declaredPackages] that declares [import], which may be nested in a type, or null if there is none. */
     private fun packageOf(import: String) = declaredPackages.filter { import.startsWith("$it.") }.maxByOrNull { it.length }
 
     private fun shortName(packageName: String) = packageName.removePrefix("cleathitch").removePrefix(".").ifEmpty { "(root)" }
--- a/src/test/kotlin/cleathitch/formats/StoredFormatTest.kt
+++ b/src/test/kotlin/cleathitch/formats/StoredFormatTest.kt
@@ -92,7 +92,7 @@
     }
 
     @Test
-    fun `the encoding of an inventory snapshot with rentals and returned machines is unchanged`() {
+    fun `the encoding of an inventory snapshot with pending rentals and terminating machines is unchanged`() {
         GoldenFiles.assertMatches("fleet", encoded(StoredValue.Inventory(inventorySnapshot)).single())
         assertEquals(inventorySnapshot, LogCodec.decodeRecoveredState(listOf(entry("fleet", "fleet"))).inventory)
     }
--- a/src/test/kotlin/cleathitch/http/CallOutcomeTest.kt
+++ b/src/test/kotlin/cleathitch/http/CallOutcomeTest.kt
@@ -3,7 +3,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** The classification of calls that metrics and the outage log share. */
+/** Tests the classification of call results, which is the same in the metrics and in the log of outages. */
 class CallOutcomeTest {
     private fun outcome(status: Int) = CallOutcome.of(CallResult.Answered(status, ByteArray(0)))
 
--- a/src/test/kotlin/cleathitch/http/HttpEndpointTest.kt
+++ b/src/test/kotlin/cleathitch/http/HttpEndpointTest.kt
@@ -124,8 +124,8 @@
     }
 
     /**
-     * The limit applies to connections that are open at the same time: any number of successive connections are served, because
-     * the response to each one closes it.
+     * The limit applies only to connections that are open at the same time. Above the keep-alive limit, any number of clients can
+     * be served one after the other, because each response closes its connection.
      */
     @Test
     fun `above the keep-alive limit each response closes its connection, and makes room for the next`() {
@@ -147,7 +147,7 @@
      * store. Pending requests occupy the last connections here, so that none is closed while further clients try to connect.
      */
     @Test
-    fun `above the maximum a connection is closed without a response, until another one has ended`() {
+    fun `at the maximum each new connection is closed without a response, until an open connection ends`() {
         val kept = openKeptAlive()
         val held = List(max - maxKeptAlive) { open().also { it.send(HELD_PATH) } }
         awaitReceived(held.size)
@@ -176,7 +176,7 @@
         assertEquals(-1, socket.readOrEnd())
     }
 
-    /** Connections that are closed or reset before, during or after a request must not remain counted, or the limit would fill up. */
+    /** Connections that are closed or reset before, during or after a request must not stay counted: the count would reach the limit. */
     @Test
     fun `connections aren't counted after their end, however they end`() {
         val random = Random(SEED)
--- a/src/test/kotlin/cleathitch/http/StubServer.kt
+++ b/src/test/kotlin/cleathitch/http/StubServer.kt
@@ -7,8 +7,8 @@
 import java.util.concurrent.ConcurrentLinkedQueue
 
 /**
- * An HTTP server on loopback that responds at once, late, partially, on demand or not at all, on its own event loop. A request's
- * path selects the behavior, unless [choose] maps the path to another one.
+ * An HTTP server on loopback that responds at once, late, partially, on demand or not at all, on its own event loop. The path of
+ * a request selects the behavior; if [choose] is given, its result for the path selects the behavior instead.
  */
 class StubServer(private val choose: ((String) -> String)? = null) : AutoCloseable {
     private val vertx = Vertx.vertx()
@@ -49,9 +49,9 @@
         const val LATE = "/late"
         const val RESET = "/reset"
         const val CUT_OFF = "/cut-off"
-        val TREATMENTS = listOf(AT_ONCE, HELD, LATE, RESET, CUT_OFF)
+        val BEHAVIORS = listOf(AT_ONCE, HELD, LATE, RESET, CUT_OFF)
 
-        /** The status of all responses, for which no client decodes the body. */
+        /** The status of all responses. No client decodes the body of a response with this status. */
         const val STATUS = 503
         private const val LATE_MS = 15L
     }
--- a/src/test/kotlin/cleathitch/loopback/ConnectionLeakTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/ConnectionLeakTest.kt
@@ -29,7 +29,7 @@
 /**
  * Guards against connection leaks in each of a controller's HTTP clients. Thousands of calls time out or are cancelled while
  * they wait for a connection, for the response head or for the response body. Afterwards no connection may be in use, and new
- * calls must be answered.
+ * calls must get a response.
  */
 class ConnectionLeakTest {
     private val random = Random(SEED)
@@ -37,7 +37,7 @@
 
     @Volatile
     private var isFaulty = true
-    private val server = StubServer { if (isFaulty) StubServer.TREATMENTS.random(serverRandom) else StubServer.AT_ONCE }
+    private val server = StubServer { if (isFaulty) StubServer.BEHAVIORS.random(serverRandom) else StubServer.AT_ONCE }
     private val vertx = Vertx.vertx()
     private val scope = CoroutineScope(vertx.dispatcher() + SupervisorJob())
     private val meterRegistry = SimpleMeterRegistry()
@@ -72,10 +72,10 @@
 
     @TestFactory
     fun `calls that time out or are cancelled release their connections`() = calls.map { (client, call) ->
-        DynamicTest.dynamicTest(client) { runBlocking { abandonCallsThenExpectAnswer(client, call) } }
+        DynamicTest.dynamicTest(client) { runBlocking { abandonCallsThenExpectResponse(client, call) } }
     }
 
-    private suspend fun abandonCallsThenExpectAnswer(client: String, call: suspend () -> Any?) {
+    private suspend fun abandonCallsThenExpectResponse(client: String, call: suspend () -> Any?) {
         isFaulty = true
         repeat(CALLS / CONCURRENT_CALLS) {
             val burst = List(CONCURRENT_CALLS) { scope.launch { call() } }
@@ -87,13 +87,13 @@
         isFaulty = false
         server.release()
         await("$client: no connection in use or awaited") { isIdle(client) }
-        val answeredBefore = answered(client)
+        val responsesBefore = responseCount(client)
         // On a loaded machine a response can take longer than the call's timeout, so the call is repeated.
-        await("$client: a call is answered") {
+        await("$client: a call gets a response") {
             scope.launch { call() }
-            answered(client) > answeredBefore
+            responseCount(client) > responsesBefore
         }
-        await("$client: no connection in use or awaited after an answered call") { isIdle(client) }
+        await("$client: no connection in use or awaited after a call with a response") { isIdle(client) }
     }
 
     private fun cancelLater(call: Job) {
@@ -108,9 +108,10 @@
 
     private fun gauge(client: String, name: String) = meterRegistry.get("http.client.$name").tag("client", client).gauge().value().toInt()
 
-    /** How many calls were answered: the stub server's status 503 is counted with the outcome `refused`. */
-    private fun answered(client: String) = meterRegistry.find("http.client.calls").tag("client", client).tag("outcome", "refused").counter()
-        ?.count()?.toInt() ?: 0
+    /** The number of calls that got a response. The stub server responds with status 503, which counts as the outcome `refused`. */
+    private fun responseCount(client: String) =
+        meterRegistry.find("http.client.calls").tag("client", client).tag("outcome", "refused").counter()
+            ?.count()?.toInt() ?: 0
 
     private suspend fun await(what: String, condition: () -> Boolean) {
         val endMs = monotonicMs() + AWAIT_TIMEOUT_MS
--- a/src/test/kotlin/cleathitch/loopback/FaultyProxy.kt
+++ b/src/test/kotlin/cleathitch/loopback/FaultyProxy.kt
@@ -78,7 +78,7 @@
             }
             NetworkFault.SERVICE_UNAVAILABLE -> if (isRequest) {
                 from.getOutputStream().write(UNAVAILABLE_RESPONSE)
-                return drainAndClose(from.getInputStream())
+                return drain(from.getInputStream())
             }
             NetworkFault.SLOW -> Thread.sleep(synchronized(random) { random.nextLong(MAX_DELAY_MS) })
             NetworkFault.NONE, NetworkFault.STALL_ALL, NetworkFault.STALL_DATA -> Unit
@@ -87,8 +87,8 @@
         return true
     }
 
-    /** Gives the client time to read the response before the connection is closed. */
-    private fun drainAndClose(input: InputStream): Boolean {
+    /** Waits so that the client can read the response and discards its remaining data. Returns false: the caller closes the connection. */
+    private fun drain(input: InputStream): Boolean {
         Thread.sleep(RESPONSE_READ_MS)
         input.skip(input.available().toLong())
         return false
--- a/src/test/kotlin/cleathitch/loopback/LoopbackHttp.kt
+++ b/src/test/kotlin/cleathitch/loopback/LoopbackHttp.kt
@@ -15,7 +15,7 @@
     /** The job's state if the reply is about a job, otherwise null. */
     val jobState: String? get() = body?.get("estado")?.textValue()
 
-    /** The submission was accepted, now or earlier, or the poll was answered. */
+    /** Whether a submission is accepted (201, or 200 if it was accepted before) or a poll is answered with the job's state (200). */
     val isSuccess get() = status == 200 || status == 201
 }
 
--- a/src/test/kotlin/cleathitch/loopback/LoopbackTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/LoopbackTest.kt
@@ -20,7 +20,7 @@
         platform.close()
     }
 
-    /** The process is restarted during the election, before the lease of the killed process has expired. */
+    /** The killed process is restarted during the election, before the lease that it held has expired. */
     @Test
     fun `accepted jobs run once and stay known when the leader is killed and restarted immediately`() {
         val address = "127.0.0.1:${LoopbackHttp.freePorts(1).single()}"
--- a/src/test/kotlin/cleathitch/loopback/SimulatedKeyValueStore.kt
+++ b/src/test/kotlin/cleathitch/loopback/SimulatedKeyValueStore.kt
@@ -21,7 +21,7 @@
     private var revision = 1L
     private var lastLeaseId = 0L
 
-    /** Makes every release of a lease fail, so that leases end only by expiry. */
+    /** Makes every revocation of a lease fail, so that leases end only by expiry. */
     @Volatile
     var rejectsLeaseRevocations = false
 
@@ -39,7 +39,7 @@
             path == "/holds" -> grantLease(body!!.get("ttlMs").longValue())
             path.startsWith("/holds/") -> {
                 val lease = path.split('/')[2].toLong()
-                if (method == "DELETE") releaseLease(lease) else extendLease(lease)
+                if (method == "DELETE") revokeLease(lease) else renewLease(lease)
             }
             path == "/follow" -> SimulatedReply(200, newReplyBody().also { it.putArray("log") })
             else -> null
@@ -82,13 +82,13 @@
         return SimulatedReply(200, newReplyBody().put("arriendo", lastLeaseId))
     }
 
-    private fun extendLease(id: Long): SimulatedReply {
+    private fun renewLease(id: Long): SimulatedReply {
         val lease = leases[id] ?: return SimulatedReply(404, newReplyBody())
         lease.expiresAtMs = nowMs() + lease.ttlMs
         return SimulatedReply(200, newReplyBody())
     }
 
-    private fun releaseLease(id: Long): SimulatedReply {
+    private fun revokeLease(id: Long): SimulatedReply {
         if (rejectsLeaseRevocations) return SimulatedReply(503, newReplyBody())
         val reply = SimulatedReply(if (id in leases) 200 else 404, newReplyBody())
         leases.remove(id)
--- a/src/test/kotlin/cleathitch/loopback/SimulatedUser.kt
+++ b/src/test/kotlin/cleathitch/loopback/SimulatedUser.kt
@@ -48,7 +48,7 @@
     fun pollOrNull(node: Int, id: String) = request(node, "GET", "/submissions/$id", id)
 
     private fun request(node: Int, method: String, path: String, id: String, body: JsonNode? = null): ControllerReply? {
-        // Read before the call: a poll that overlaps the first reply with the state `done` may correctly return the earlier state.
+        // Read before the call: a poll that is sent before the first reply with the state `done` arrives may return an earlier state.
         val wasDone = id in doneJobs
         val reply = LoopbackHttp.callOrNull(cluster.port(node), method, path, body) ?: return null
         if (reply.status == 404) foundViolations += "$id: n$node replied 404 to $method $path"
--- a/src/test/kotlin/cleathitch/loopback/SimulatedWorker.kt
+++ b/src/test/kotlin/cleathitch/loopback/SimulatedWorker.kt
@@ -20,8 +20,8 @@
     private data class Attempt(val task: String, val number: Long)
 
     /**
-     * The earliest end of each attempt that has not been cleared. Confined to the heartbeat thread, like all state here that is not
-     * made for concurrent access.
+     * The earliest end of each attempt that has not been cleared. Like all state of this class that is not thread-safe, it is
+     * confined to the heartbeat thread.
      */
     private val attemptEndsMs = LinkedHashMap<Attempt, Long>()
     private var fencingToken = 0L
--- a/src/test/kotlin/cleathitch/loopback/SoakTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/SoakTest.kt
@@ -10,8 +10,8 @@
 
 /**
  * Injects faults between three controller processes and the key-value store, in an order given by a seed: the connections of
- * one or all controllers stall, slow down, are reset or are answered with 503. Afterwards every accepted job must be done in
- * time, no reply may have contradicted an earlier one, and no HTTP client may have leaked a connection.
+ * one or all controllers stall, slow down or are reset, or their requests are answered with status 503. Afterwards every accepted
+ * job must be done in time, no reply may have contradicted an earlier one, and no HTTP client may have leaked a connection.
  *
  * For a longer run: `mvn -Dtest=SoakTest -Dsoak.seconds=1200 -Dsoak.seed=7 test`.
  */
@@ -105,7 +105,7 @@
         const val MIN_PAUSE_MS = 200L
         const val MAX_PAUSE_MS = 3000L
 
-        /** The HTTP clients that have no call in progress while there is no fault. */
+        /** The HTTP clients that do not constantly have a call in progress while there is no fault. */
         val IDLE_CLIENTS = listOf("state", "lease", "cloud", "workers")
     }
 }
--- a/src/test/kotlin/cleathitch/loopback/UpgradeTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/UpgradeTest.kt
@@ -9,8 +9,8 @@
 import kotlin.random.Random
 
 /**
- * A rolling upgrade of three controller processes on 127.0.0.1 from a previous build to the current one, and the rollback. The
- * members and the stored state stay the same, while users submit and poll jobs and workers send heartbeats. The leader is
+ * A rolling upgrade of three controller processes on 127.0.0.1 from a previous build to the current one, and its rollback. Upgrade
+ * and rollback keep the members and the stored state. Meanwhile users submit and poll jobs, and workers send heartbeats. The leader is
  * replaced last, so that each build leads followers that run the other build and recovers from the log that the other wrote.
  *
  * `mvn -Dtest=UpgradeTest -Dprevious.jar=/path/to/cleathitch.jar test`; without the property the previous build is the current one.
--- a/src/test/kotlin/cleathitch/protocol/AnswerDecodingTest.kt
+++ b/src/test/kotlin/cleathitch/protocol/AnswerDecodingTest.kt
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Test
 
-/** Tests that the decoding of a response returns either its value or the reason of the failure. */
+/** Tests that the decoding of a response returns either its value or the reason for the failure. */
 class AnswerDecodingTest {
     private val body = MessageCodec.encode(MessageCodec.newMap().put("arriendo", 7))
 
--- a/src/test/kotlin/cleathitch/protocol/ProtocolCodecTest.kt
+++ b/src/test/kotlin/cleathitch/protocol/ProtocolCodecTest.kt
@@ -83,8 +83,8 @@
     )
 
     @TestFactory
-    fun `each message is decoded, and is malformed without any required field`() = messages.flatMap { message ->
-        val valid = DynamicTest.dynamicTest("${message.name} is decoded, unknown fields included") {
+    fun `each message is decoded, and is malformed if a required field is missing or of another type`() = messages.flatMap { message ->
+        val valid = DynamicTest.dynamicTest("${message.name} with an unknown field is decoded") {
             message.decode(MessageCodec.encode(node(message.text).put("later", 1)))
         }
         listOf(valid) + message.requiredFields.flatMap { field ->
