--- a/src/main/kotlin/cleathitch/cli/Application.kt
+++ b/src/main/kotlin/cleathitch/cli/Application.kt
@@ -8,7 +8,7 @@
 import cleathitch.election.LeaderElection
 import cleathitch.http.ConnectionLimit
 import cleathitch.http.HttpEndpoint
-import cleathitch.http.HttpReply
+import cleathitch.http.HttpResponse
 import cleathitch.leader.Clocks
 import cleathitch.leader.LeaderDependencies
 import cleathitch.leader.heartbeatPeriodMs
@@ -117,11 +117,11 @@
 
     private fun internalEndpoint(controller: Controller): HttpEndpoint {
         val router = InternalRouter(controller.peerRequests, meterRegistry)
-        return newEndpoint(PeerClient.MAX_BODY, sockets.maxInternalConnections, router::handle)
+        return newEndpoint(PeerClient.MAX_BODY_BYTES, sockets.maxInternalConnections, router::handle)
     }
 
     private fun publicEndpoint(controller: Controller): HttpEndpoint =
-        newEndpoint(MessageCodec.MAX_BODY, sockets.maxPublicConnections, controller.requests::handle)
+        newEndpoint(MessageCodec.MAX_BODY_BYTES, sockets.maxPublicConnections, controller.requests::handle)
 
     private fun newEndpoint(maxBodyBytes: Int, maxConnections: Int, handle: RequestHandler): HttpEndpoint {
         // Workers send heartbeats and users poll at shorter intervals.
@@ -146,4 +146,4 @@
     }
 }
 
-private typealias RequestHandler = suspend (method: String, path: String, body: ByteArray) -> HttpReply
+private typealias RequestHandler = suspend (method: String, path: String, body: ByteArray) -> HttpResponse
--- a/src/main/kotlin/cleathitch/cli/ClassArchiveTraining.kt
+++ b/src/main/kotlin/cleathitch/cli/ClassArchiveTraining.kt
@@ -65,7 +65,7 @@
     /** Starts a platform on loopback and returns its port. */
     private suspend fun startPlatform(): Int {
         val platform = TrainingPlatform()
-        val endpoint = HttpEndpoint(vertx, scope, MessageCodec.MAX_BODY, PLATFORM_IDLE_S, ConnectionLimit(PLATFORM_CONNECTIONS)) {
+        val endpoint = HttpEndpoint(vertx, scope, MessageCodec.MAX_BODY_BYTES, PLATFORM_IDLE_S, ConnectionLimit(PLATFORM_CONNECTIONS)) {
                 method,
                 path,
                 _,
@@ -109,7 +109,7 @@
         queue.add(heartbeat, nowMs = 0) {}
         val batch = queue.nextBatch(leaderTerm, nowMs = 0)
         val outgoing = OutgoingBatch(batch, listOf(JobId("j-000001")), emptyList())
-        val reply = peers.ask(controller, PeerRequest.FollowerBatch.of("n1", outgoing), TIMEOUT_MS).reply ?: return
+        val reply = peers.request(controller, PeerRequest.FollowerBatch.of("n1", outgoing), TIMEOUT_MS).reply ?: return
         leaderTerm = reply.term
         queue.completeWithDecisions(batch, reply.decisions.orEmpty().map { it.toDecision() }, reply.term, nowMs = 0)
     }
--- a/src/main/kotlin/cleathitch/cli/TrainingPlatform.kt
+++ b/src/main/kotlin/cleathitch/cli/TrainingPlatform.kt
@@ -1,6 +1,6 @@
 package cleathitch.cli
 
-import cleathitch.http.HttpReply
+import cleathitch.http.HttpResponse
 import cleathitch.protocol.TrainingMessages
 
 /** A stub for [ClassArchiveTraining] that acts as both key-value store and cloud, and responds to every request with success. */
@@ -8,6 +8,6 @@
     private var revision = 1L
 
     /** Returns a response with the fields of every response of both services. */
-    fun respond(method: String, path: String): HttpReply =
-        HttpReply(200, TrainingMessages.platformResponse(++revision, isRental = method == "POST" && path == "/hosts"))
+    fun respond(method: String, path: String): HttpResponse =
+        HttpResponse(200, TrainingMessages.platformResponse(++revision, isRental = method == "POST" && path == "/hosts"))
 }
--- a/src/main/kotlin/cleathitch/cloud/CloudClient.kt
+++ b/src/main/kotlin/cleathitch/cloud/CloudClient.kt
@@ -9,8 +9,8 @@
 import cleathitch.metrics.ProcessingStage
 import cleathitch.metrics.ProcessingTimes
 import cleathitch.protocol.CloudProtocol
-import cleathitch.protocol.decodeAnswer
 import cleathitch.protocol.decodeBody
+import cleathitch.protocol.decodeResponse
 import cleathitch.scheduler.api.RentalAnswer
 import cleathitch.scheduler.log.Event
 import cleathitch.scheduler.model.ListedMachine
@@ -38,7 +38,7 @@
 
     /** Fetches the machine types that can be rented. */
     suspend fun machineTypes(): ServiceResult<List<MachineType>> =
-        call(HttpMethod.GET, "/flavors").decodeAnswer(OK, decode = CloudProtocol::machineTypes).also(::logIfMalformed)
+        call(HttpMethod.GET, "/flavors").decodeResponse(OK, decode = CloudProtocol::machineTypes).also(::logIfMalformed)
 
     /** Fetches the list of all machines, page by page; fails if any page can't be read. */
     suspend fun machines(): ServiceResult<List<ListedMachine>> {
@@ -58,7 +58,7 @@
     private suspend fun machinePage(after: MachineId?): ServiceResult<CloudProtocol.MachinePage> {
         val since = if (after == null) "" else "&since=${after.text}"
         return call(HttpMethod.GET, "/hosts?most=$PAGE_SIZE$since")
-            .decodeAnswer(OK) { body -> processingTimes.measure(ProcessingStage.MACHINE_LIST) { CloudProtocol.machinePage(body) } }
+            .decodeResponse(OK) { body -> processingTimes.measure(ProcessingStage.MACHINE_LIST) { CloudProtocol.machinePage(body) } }
             .also(::logIfMalformed)
     }
 
@@ -87,7 +87,7 @@
     }
 
     private fun logIfMalformed(result: ServiceResult<*>) {
-        val error = (result as? ServiceResult.Failure)?.error as? ServiceError.MalformedAnswer ?: return
+        val error = (result as? ServiceResult.Failure)?.error as? ServiceError.MalformedResponse ?: return
         log.error("event=malformed_answer client=cloud server={} error=\"{}\"", address, error.message)
     }
 
--- a/src/main/kotlin/cleathitch/controller/BatchForwarder.kt
+++ b/src/main/kotlin/cleathitch/controller/BatchForwarder.kt
@@ -26,7 +26,7 @@
         val encoded = processingTimes.measure(ProcessingStage.BATCH_ENCODING) {
             PeerCodec.encode(PeerRequest.FollowerBatch.of(member, batch))
         }
-        return when (val result = client.ask(address, encoded, timeoutMs)) {
+        return when (val result = client.request(address, encoded, timeoutMs)) {
             is PeerResult.Answered -> resultOf(leader, batch, result.reply)
             PeerResult.Unreachable -> BatchResult.Unreachable
             PeerResult.TimedOut -> BatchResult.TimedOut
--- a/src/main/kotlin/cleathitch/controller/HeartbeatRouter.kt
+++ b/src/main/kotlin/cleathitch/controller/HeartbeatRouter.kt
@@ -1,6 +1,6 @@
 package cleathitch.controller
 
-import cleathitch.http.HttpReply
+import cleathitch.http.HttpResponse
 import cleathitch.leader.LeaderTerm
 import cleathitch.leader.RequestOutcome
 import cleathitch.metrics.ProcessingStage
@@ -29,38 +29,38 @@
     private val monotonicMs: () -> Long,
 ) {
     /** Answers the heartbeat in the request body [body]. */
-    suspend fun handle(body: ByteArray): HttpReply {
+    suspend fun handle(body: ByteArray): HttpResponse {
         // Right after an election all workers send heartbeats at once, so one that can't be answered is rejected before decoding.
-        if (role.activeTerm?.isReady == false || role.activeTerm == null && role.leader == null) return HttpReply(503)
+        if (role.activeTerm?.isReady == false || role.activeTerm == null && role.leader == null) return HttpResponse(503)
         if (role.activeTerm == null && batches.isLeaderUnreachable) return redirectTo(role.leader)
         val heartbeat = try {
             processingTimes.measure(ProcessingStage.HEARTBEAT_DECODING) { WorkerProtocol.heartbeat(body) }
         } catch (e: MalformedMessageException) {
             log.error("event=malformed_heartbeat error={}", logValue(e.message.orEmpty()))
-            return HttpReply(400, UserProtocol.error(e.message.orEmpty()))
+            return HttpResponse(400, UserProtocol.error(e.message.orEmpty()))
         }
         return role.activeTerm?.let { answer(it, heartbeat) } ?: forward(heartbeat)
     }
 
-    private suspend fun answer(term: LeaderTerm, heartbeat: Heartbeat): HttpReply {
+    private suspend fun answer(term: LeaderTerm, heartbeat: Heartbeat): HttpResponse {
         val follower = distribution.followerFor(heartbeat.machine, contacts.reachableFollowers(), monotonicMs())
         if (follower != null) return redirectTo(follower)
         return when (val outcome = term.requests.heartbeat(heartbeat)) {
-            is RequestOutcome.Answered -> HttpReply(200, WorkerProtocol.answer(outcome.answer.token, outcome.answer.commands))
+            is RequestOutcome.Answered -> HttpResponse(200, WorkerProtocol.heartbeatResponse(outcome.answer.token, outcome.answer.commands))
             is RequestOutcome.Unanswered -> if (role.activeTerm === term) {
-                HttpReply(503)
+                HttpResponse(503)
             } else {
                 redirectTo(role.leader.takeIf { it != member })
             }
         }
     }
 
-    private suspend fun forward(heartbeat: Heartbeat): HttpReply = when (val outcome = batches.forwardHeartbeat(heartbeat)) {
-        is ForwardOutcome.Answered -> HttpReply(200, WorkerProtocol.answer(outcome.token, outcome.commands))
-        ForwardOutcome.Unanswered -> HttpReply(503)
+    private suspend fun forward(heartbeat: Heartbeat): HttpResponse = when (val outcome = batches.forwardHeartbeat(heartbeat)) {
+        is ForwardOutcome.Answered -> HttpResponse(200, WorkerProtocol.heartbeatResponse(outcome.token, outcome.commands))
+        ForwardOutcome.Unanswered -> HttpResponse(503)
     }
 
-    private fun redirectTo(controller: String?) = HttpReply(421, WorkerProtocol.redirect(controller))
+    private fun redirectTo(controller: String?) = HttpResponse(421, WorkerProtocol.redirect(controller))
 
     private companion object {
         val log = LoggerFactory.getLogger("cleathitch.controller")
--- a/src/main/kotlin/cleathitch/controller/ImageCacheHintSharing.kt
+++ b/src/main/kotlin/cleathitch/controller/ImageCacheHintSharing.kt
@@ -39,7 +39,7 @@
         scope.launch {
             for (part in PeerRequest.ImageCacheHints.of(images)) {
                 val encoded = processingTimes.measure(ProcessingStage.IMAGE_HINTS_ENCODING) { PeerCodec.encode(part) }
-                peers.map { peer -> launch { client.ask(peer.address, encoded, timeoutMs) } }.joinAll()
+                peers.map { peer -> launch { client.request(peer.address, encoded, timeoutMs) } }.joinAll()
             }
         }
     }
--- a/src/main/kotlin/cleathitch/controller/LeaderAnnouncer.kt
+++ b/src/main/kotlin/cleathitch/controller/LeaderAnnouncer.kt
@@ -41,7 +41,7 @@
 
     private suspend fun announce(term: LeaderTerm, peer: Peer) {
         val announcement = PeerRequest.AnnounceLeader(member, member, term.revision)
-        val reply = client.ask(peer.address, announcement, timeoutMs = periodMs).reply ?: return
+        val reply = client.request(peer.address, announcement, timeoutMs = periodMs).reply ?: return
         contacts.recordContact(peer.member)
         if (reply.term > term.revision) role.stepDown(term.term, "newer_term: ${peer.member} knows ${reply.term}")
     }
--- a/src/main/kotlin/cleathitch/controller/PeerRequestHandler.kt
+++ b/src/main/kotlin/cleathitch/controller/PeerRequestHandler.kt
@@ -1,6 +1,6 @@
 package cleathitch.controller
 
-import cleathitch.http.HttpReply
+import cleathitch.http.HttpResponse
 import cleathitch.leader.RequestOutcome
 import cleathitch.metrics.ProcessingStage
 import cleathitch.metrics.ProcessingTimes
@@ -76,7 +76,7 @@
 
     private fun reply(status: Int) = PeerReply(status, leader = role.leader, term = role.leaderTerm)
 
-    private fun reply(reply: HttpReply) = PeerReply(reply.status, reply.body, reply.retryAfterS, role.leader, role.leaderTerm)
+    private fun reply(reply: HttpResponse) = PeerReply(reply.status, reply.body, reply.retryAfterS, role.leader, role.leaderTerm)
 
     private fun reply(answer: Effect.AnswerFollower) = PeerReply(
         status = 200,
--- a/src/main/kotlin/cleathitch/controller/TermCommandRoutes.kt
+++ b/src/main/kotlin/cleathitch/controller/TermCommandRoutes.kt
@@ -27,7 +27,7 @@
     override suspend fun sendToFollower(follower: String, commands: List<DeliveryMessage>): Boolean {
         val address = peerAddresses[follower] ?: return false
         val request = PeerRequest.DeliverCommands(member, term.revision, commands)
-        return client.ask(address, request, timeoutMs).reply?.status == 200
+        return client.request(address, request, timeoutMs).reply?.status == 200
     }
 
     override suspend fun sendToWorker(command: Effect.ToWorker) = workers.send(command)
--- a/src/main/kotlin/cleathitch/controller/UserRequestRouter.kt
+++ b/src/main/kotlin/cleathitch/controller/UserRequestRouter.kt
@@ -1,7 +1,7 @@
 package cleathitch.controller
 
 import cleathitch.http.Address
-import cleathitch.http.HttpReply
+import cleathitch.http.HttpResponse
 import cleathitch.leader.TermRequests
 import cleathitch.peers.LeaderBatcher
 import cleathitch.peers.PeerClient
@@ -19,11 +19,11 @@
     private val peerAddresses: Map<String, Address>,
 ) {
     /** Answers one request. One that a peer [forwarded] isn't forwarded again, which could loop while two peers disagree on the leader. */
-    suspend fun handle(method: String, path: String, body: ByteArray, forwarded: Boolean): HttpReply =
+    suspend fun handle(method: String, path: String, body: ByteArray, forwarded: Boolean): HttpResponse =
         when (val request = UserRequest.parse(method, path, body)) {
-            UserRequest.MethodNotAllowed -> HttpReply(405)
-            UserRequest.UnknownPath -> HttpReply(404)
-            is UserRequest.Malformed -> HttpReply(400, UserProtocol.error(request.reason))
+            UserRequest.MethodNotAllowed -> HttpResponse(405)
+            UserRequest.UnknownPath -> HttpResponse(404)
+            is UserRequest.Malformed -> HttpResponse(400, UserProtocol.error(request.reason))
             is UserRequest.ForLeader -> {
                 val activeTerm = role.activeTerm
                 when {
@@ -43,19 +43,19 @@
     }
 
     /** Forwards a poll to the leader, in a batch with others. */
-    private suspend fun poll(job: JobId): HttpReply {
+    private suspend fun poll(job: JobId): HttpResponse {
         if (role.knownLeader() == null || batches.isLeaderUnreachable) return unreachableLeader()
         return batches.forwardPoll(job).replyOrNull()?.let(UserProtocol::reply) ?: unreachableLeader()
     }
 
-    private suspend fun forward(method: String, path: String, body: ByteArray): HttpReply {
+    private suspend fun forward(method: String, path: String, body: ByteArray): HttpResponse {
         val address = role.leader?.let(peerAddresses::get) ?: return unreachableLeader()
         val request = PeerRequest.ForwardUserRequest(method, path, body)
-        val reply = client.ask(address, request, FORWARD_TIMEOUT_MS).reply ?: return unreachableLeader()
-        return HttpReply(reply.status, reply.body, reply.retryAfterS)
+        val reply = client.request(address, request, FORWARD_TIMEOUT_MS).reply ?: return unreachableLeader()
+        return HttpResponse(reply.status, reply.body, reply.retryAfterS)
     }
 
-    private fun unreachableLeader() = UserProtocol.unavailableHere("no way to the leader")
+    private fun unreachableLeader() = UserProtocol.unavailableOnThisController("no way to the leader")
 
     private companion object {
         /** Users wait 2 s for an answer; the remaining 200 ms are for the round trip between the user and this controller. */
--- a/src/main/kotlin/cleathitch/http/HttpEndpoint.kt
+++ b/src/main/kotlin/cleathitch/http/HttpEndpoint.kt
@@ -24,7 +24,7 @@
     /** The time in seconds after which an idle connection is closed; connections of terminated machines would exhaust the sockets. */
     private val idleTimeoutS: Int,
     private val connectionLimit: ConnectionLimit,
-    private val handle: suspend (method: String, path: String, body: ByteArray) -> HttpReply,
+    private val handle: suspend (method: String, path: String, body: ByteArray) -> HttpResponse,
 ) {
     /** Starts listening and returns the port, which the system assigns if that of [address] is 0. Throws if the port is in use. */
     suspend fun listen(address: Address): Int {
@@ -64,7 +64,7 @@
             } else {
                 isRejected = true
                 // The rest of the body isn't read, so the connection can't be reused for another request.
-                respond(request, HttpReply(BAD_REQUEST, closesConnection = true))
+                respond(request, HttpResponse(BAD_REQUEST, closesConnection = true))
             }
         }
         request.endHandler { if (!isRejected) handleComplete(request, body) }
@@ -77,16 +77,16 @@
 
     // Whatever the exception, the request gets a response and the failure is logged; the server and other requests aren't affected.
     @Suppress("TooGenericExceptionCaught")
-    private suspend fun replyTo(request: HttpServerRequest, body: ByteArray): HttpReply = try {
+    private suspend fun replyTo(request: HttpServerRequest, body: ByteArray): HttpResponse = try {
         handle(request.method().name(), request.path() ?: "", body)
     } catch (e: CancellationException) {
         throw e
     } catch (e: Exception) {
         log.error("event=request_failed method={} path={}", request.method(), request.path(), e)
-        HttpReply(INTERNAL_SERVER_ERROR)
+        HttpResponse(INTERNAL_SERVER_ERROR)
     }
 
-    private fun respond(request: HttpServerRequest, reply: HttpReply) {
+    private fun respond(request: HttpServerRequest, reply: HttpResponse) {
         val response = request.response()
         if (response.closed() || response.ended()) return
         response.setStatusCode(reply.status)
--- a/src/main/kotlin/cleathitch/http/HttpReply.kt
+++ b/src/main/kotlin/cleathitch/http/HttpResponse.kt
@@ -4,4 +4,4 @@
  * An HTTP response that any controller can send. [retryAfterS] becomes the header `Retry-After`, in seconds. If
  * [closesConnection], the server closes the connection after the response, so that the load balancer selects a controller anew.
  */
-class HttpReply(val status: Int, val body: ByteArray? = null, val retryAfterS: Int? = null, val closesConnection: Boolean = false)
+class HttpResponse(val status: Int, val body: ByteArray? = null, val retryAfterS: Int? = null, val closesConnection: Boolean = false)
--- a/src/main/kotlin/cleathitch/http/ServiceError.kt
+++ b/src/main/kotlin/cleathitch/http/ServiceError.kt
@@ -3,7 +3,7 @@
 /** The reason why a call to another service returned no usable value; `toString` is its text in log lines. */
 sealed interface ServiceError {
     /** No complete response arrived; the request may have been carried out nevertheless. */
-    data class NoAnswer(val failure: CallFailure) : ServiceError {
+    data class NoResponse(val failure: CallFailure) : ServiceError {
         override fun toString() = failure.description
     }
 
@@ -13,7 +13,7 @@
     }
 
     /** The response's body violates the protocol; [message] names the field and the reason. */
-    data class MalformedAnswer(val message: String) : ServiceError {
+    data class MalformedResponse(val message: String) : ServiceError {
         override fun toString() = "malformed response: $message"
     }
 
--- a/src/main/kotlin/cleathitch/leader/CloudPolling.kt
+++ b/src/main/kotlin/cleathitch/leader/CloudPolling.kt
@@ -25,7 +25,7 @@
 
     /** Polls no more often than the cloud provider updates its list: a more frequent request would return the same list. */
     private suspend fun pollMachines() {
-        val periodMs = maxOf(deployment.listLagMs, deployment.heartbeatPeriodMs)
+        val periodMs = maxOf(deployment.machineListLagMs, deployment.heartbeatPeriodMs)
         while (true) {
             cloud.machines().valueOrNull()?.let { enqueue(Input.MachinesListed(it)) }
             delay(periodMs)
--- a/src/main/kotlin/cleathitch/leader/DeploymentPeriods.kt
+++ b/src/main/kotlin/cleathitch/leader/DeploymentPeriods.kt
@@ -11,6 +11,6 @@
 val Deployment.workerLeaseMs get() = toMs(workerLeaseS)
 
 /** How far the cloud provider's list of machines may lag behind its actual state. */
-val Deployment.listLagMs get() = toMs(machineListLagS)
+val Deployment.machineListLagMs get() = toMs(machineListLagS)
 
 private fun toMs(seconds: Double) = (seconds * 1000).toLong()
--- a/src/main/kotlin/cleathitch/leader/TermRequests.kt
+++ b/src/main/kotlin/cleathitch/leader/TermRequests.kt
@@ -93,10 +93,10 @@
     }
 
     private fun unavailable(reason: UnansweredReason) = when (reason) {
-        UnansweredReason.RECOVERING -> UserReply.Unavailable("taking over")
+        UnansweredReason.RECOVERING -> UserReply.Unavailable("the leader is recovering its state")
         UnansweredReason.QUEUE_FULL -> UserReply.Unavailable("too many requests wait", estimatedDrainSeconds())
         UnansweredReason.REFUSED, UnansweredReason.TIMED_OUT, UnansweredReason.TERM_ENDED ->
-            UserReply.Unavailable("not the leader any more")
+            UserReply.Unavailable("this controller is no longer the leader")
     }
 
     /** The estimated time in which the queued requests are handled, at the last batch's rate; the queue has room again by then. */
--- a/src/main/kotlin/cleathitch/peers/PeerClient.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerClient.kt
@@ -17,10 +17,11 @@
         PooledHttpClient(vertx, "peers", maxConnections = CONNECTIONS, meterRegistry, connectTimeoutMs = CONNECT_TIMEOUT_MS)
 
     /** Sends [request] and waits for the answer, for at most [timeoutMs]. */
-    suspend fun ask(peer: Address, request: PeerRequest, timeoutMs: Long): PeerResult = ask(peer, PeerCodec.encode(request), timeoutMs)
+    suspend fun request(peer: Address, request: PeerRequest, timeoutMs: Long): PeerResult =
+        request(peer, PeerCodec.encode(request), timeoutMs)
 
     /** Sends a request that is already encoded, so that one for several peers is encoded only once. */
-    suspend fun ask(peer: Address, encoded: ByteArray, timeoutMs: Long): PeerResult =
+    suspend fun request(peer: Address, encoded: ByteArray, timeoutMs: Long): PeerResult =
         when (val result = client.call(peer, HttpMethod.POST, PATH, encoded, timeoutMs)) {
             is CallResult.Answered -> if (result.status == OK) decode(peer, result) else PeerResult.Unreachable
             is CallResult.Failed -> when (result.failure) {
@@ -40,8 +41,11 @@
         /** The path at which every controller accepts requests of its peers. */
         const val PATH = "/peer"
 
-        /** In bytes. Batches are far smaller: each of their parts is bounded, or is a single message of at most [MessageCodec.MAX_BODY]. */
-        const val MAX_BODY = 4 * MessageCodec.MAX_BODY
+        /**
+         * In bytes. Batches are far smaller: each of their parts is bounded, or is a single message of at most
+         * [MessageCodec.MAX_BODY_BYTES].
+         */
+        const val MAX_BODY_BYTES = 4 * MessageCodec.MAX_BODY_BYTES
 
         /** The maximum per peer. Each connection handles one request at a time, which takes a few milliseconds. */
         const val CONNECTIONS = 16
--- a/src/main/kotlin/cleathitch/peers/PeerRequest.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerRequest.kt
@@ -45,7 +45,7 @@
             indexes.filter { it in images.indices && it in sizesGb.indices }.associate { images[it] to sizesGb[it] }
 
         companion object {
-            /** Keeps a message well below [PeerClient.MAX_BODY], and limits how long its encoding blocks the event loop. */
+            /** Keeps a message well below [PeerClient.MAX_BODY_BYTES], and limits how long its encoding blocks the event loop. */
             private const val MACHINES_PER_MESSAGE = 200
 
             /** The messages that together contain [caches]. */
--- a/src/main/kotlin/cleathitch/protocol/KeyValueStoreProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/KeyValueStoreProtocol.kt
@@ -11,8 +11,8 @@
     /** A key, its value and the store's revision at the key's last write. */
     class Entry(val key: String, val value: JsonNode, val revision: Long)
 
-    /** One page of a list of keys as of [revision], ordered by key; [more] if another page follows. */
-    class Page(val entries: List<Entry>, val more: Boolean, val revision: Long)
+    /** One page of a list of keys as of [revision], ordered by key; [hasMore] if another page follows. */
+    class Page(val entries: List<Entry>, val hasMore: Boolean, val revision: Long)
 
     /** The result of a watch: the keys that were written or deleted up to [revision]. */
     class WatchResult(val revision: Long, val changes: List<String>)
@@ -58,14 +58,14 @@
         )
     }
 
-    /** Encodes a request for a lease with a time to live of [ms] milliseconds. */
-    fun ttl(ms: Long): ByteArray = MessageCodec.encode(MessageCodec.newMap().put("ttlMs", ms))
+    /** Encodes a request for a lease with a time to live of [ttlMs] milliseconds. */
+    fun leaseRequest(ttlMs: Long): ByteArray = MessageCodec.encode(MessageCodec.newMap().put("ttlMs", ttlMs))
 
-    /** Encodes a compare-and-swap. [guards] map each key to its expected revision; 0 means that the key must not exist. */
-    fun transaction(guards: Map<String, Long>, writes: List<Write>): ByteArray {
+    /** Encodes a compare-and-swap. [expectedRevisions] maps each key to its expected revision; 0 means that the key must not exist. */
+    fun transaction(expectedRevisions: Map<String, Long>, writes: List<Write>): ByteArray {
         val map = MessageCodec.newMap()
         val conditions = map.putArray("guards")
-        guards.forEach { (key, revision) -> conditions.addObject().put("k", key).put("retoque", revision) }
+        expectedRevisions.forEach { (key, revision) -> conditions.addObject().put("k", key).put("retoque", revision) }
         val changes = map.putArray("apply")
         writes.forEach { putWrite(changes.addObject(), it) }
         return MessageCodec.encode(map)
--- a/src/main/kotlin/cleathitch/protocol/MessageCodec.kt
+++ b/src/main/kotlin/cleathitch/protocol/MessageCodec.kt
@@ -24,7 +24,7 @@
     private val mapper = ObjectMapper(MessagePackFactory()).enable(DeserializationFeature.FAIL_ON_READING_DUP_TREE_KEY)
 
     /** The maximum size of the body of a worker's or user's request, in bytes. */
-    const val MAX_BODY = 64 * 1024
+    const val MAX_BODY_BYTES = 64 * 1024
 
     /** Creates an empty message, to be filled and passed to [encode]. */
     fun newMap(): ObjectNode = JsonNodeFactory.instance.objectNode()
--- a/src/main/kotlin/cleathitch/protocol/UserProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/UserProtocol.kt
@@ -1,6 +1,6 @@
 package cleathitch.protocol
 
-import cleathitch.http.HttpReply
+import cleathitch.http.HttpResponse
 import cleathitch.scheduler.api.JobState
 import cleathitch.scheduler.api.UserReply
 import cleathitch.scheduler.model.JobId
@@ -114,22 +114,22 @@
     }
 
     /** Converts the scheduler's [reply] to a user's request into the HTTP response. */
-    fun reply(reply: UserReply): HttpReply = when (reply) {
-        is UserReply.Accepted -> HttpReply(if (reply.known) OK else CREATED, MessageCodec.encode(jobState(reply.job, reply.state)))
-        is UserReply.Cancelled -> HttpReply(OK, MessageCodec.encode(jobState(reply.job, reply.state)))
-        is UserReply.Status -> HttpReply(OK, MessageCodec.encode(jobStatus(reply)))
-        is UserReply.Unsatisfiable -> HttpReply(UNPROCESSABLE, error(reply.reason))
-        UserReply.NotFound -> HttpReply(NOT_FOUND, error("no such job"))
-        is UserReply.Unavailable -> HttpReply(UNAVAILABLE, error(reply.reason), reply.retryAfterS)
+    fun reply(reply: UserReply): HttpResponse = when (reply) {
+        is UserReply.Accepted -> HttpResponse(if (reply.known) OK else CREATED, MessageCodec.encode(jobState(reply.job, reply.state)))
+        is UserReply.Cancelled -> HttpResponse(OK, MessageCodec.encode(jobState(reply.job, reply.state)))
+        is UserReply.Status -> HttpResponse(OK, MessageCodec.encode(jobStatus(reply)))
+        is UserReply.Unsatisfiable -> HttpResponse(UNPROCESSABLE, error(reply.reason))
+        UserReply.NotFound -> HttpResponse(NOT_FOUND, error("no such job"))
+        is UserReply.Unavailable -> HttpResponse(UNAVAILABLE, error(reply.reason), reply.retryAfterS)
     }
 
     /**
      * The response of a controller that can't serve users at present while another controller may. It closes the connection,
      * because a load balancer selects another controller only for a new connection.
      */
-    fun unavailableHere(reason: String): HttpReply {
+    fun unavailableOnThisController(reason: String): HttpResponse {
         val unavailable = UserReply.Unavailable(reason)
-        return HttpReply(UNAVAILABLE, error(reason), unavailable.retryAfterS, closesConnection = true)
+        return HttpResponse(UNAVAILABLE, error(reason), unavailable.retryAfterS, closesConnection = true)
     }
 
     /** Encodes [text] as the body of an error response. */
--- a/src/main/kotlin/cleathitch/protocol/WorkerProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/WorkerProtocol.kt
@@ -73,7 +73,7 @@
     }
 
     /** Encodes the leader's response to a heartbeat, which renews the worker's lease. */
-    fun answer(token: FencingToken, commands: List<WorkerCommand>): ByteArray = MessageCodec.encode(commands(token, commands))
+    fun heartbeatResponse(token: FencingToken, commands: List<WorkerCommand>): ByteArray = MessageCodec.encode(commands(token, commands))
 
     /** Encodes commands that are sent to a worker outside of a heartbeat's response; a worker of another [incarnation] rejects them. */
     fun directCommands(token: FencingToken, incarnation: Long, commands: List<WorkerCommand>): ByteArray =
--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -106,7 +106,7 @@
         failureDetector,
         directReachability,
         start,
-        findOverdueBoots = { scaleInCandidates.overdueBootingMachines(this.now.monotonicMs, lease.listeningSinceMs) },
+        findOverdueBootingMachines = { scaleInCandidates.overdueBootingMachines(this.now.monotonicMs, lease.listeningSinceMs) },
         terminate = cloudRequests::requestTermination,
     )
 
@@ -149,10 +149,10 @@
             is Input.Submit -> jobRequests.submit(input)
             is Input.Poll -> jobRequests.poll(input)
             is Input.Cancel -> jobRequests.cancel(input)
-            is Input.HeartbeatReceived -> heartbeatHandler.heartbeatReceived(input)
+            is Input.HeartbeatReceived -> heartbeatHandler.onHeartbeatReceived(input)
             is Input.FollowerBatchReceived -> followerBatchReceived(input)
-            is Input.ProbeAnswered -> heartbeatHandler.probeAnswered(input.heartbeat)
-            is Input.DirectCallUnanswered -> heartbeatHandler.directCallUnanswered(input.machine)
+            is Input.ProbeAnswered -> heartbeatHandler.onProbeAnswered(input.heartbeat)
+            is Input.DirectCallUnanswered -> heartbeatHandler.onDirectCallUnanswered(input.machine)
             is Input.LeaseRenewed -> lease.renew(input.untilMs)
             is Input.CommitSucceeded -> commitSucceeded(input)
             is Input.MachineTypesListed -> cloudInventoryHandler.onMachineTypesListed(input.types)
@@ -167,7 +167,7 @@
     private fun followerBatchReceived(input: Input.FollowerBatchReceived) {
         val decisions = input.heartbeats.map(heartbeatHandler::decideForwarded)
         val statuses = input.polls.map {
-            if (hasSteppedDown) UserReply.Unavailable("not the leader any more") else jobRequests.currentStatus(it)
+            if (hasSteppedDown) UserReply.Unavailable("this controller is no longer the leader") else jobRequests.currentStatus(it)
         }
         effects += Effect.AnswerFollower(input.request, decisions, statuses)
     }
--- a/src/main/kotlin/cleathitch/scheduler/machines/FleetMonitor.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/FleetMonitor.kt
@@ -22,7 +22,7 @@
     private val failureDetector: FailureDetector,
     private val directReachability: DirectReachability,
     start: ClockReading,
-    private val findOverdueBoots: () -> List<Machine>,
+    private val findOverdueBootingMachines: () -> List<Machine>,
     private val terminate: (MachineId, TerminationReason) -> Unit,
 ) {
     private val startedMs = start.monotonicMs
@@ -37,7 +37,7 @@
         if (context.hasSteppedDown) return
         failureDetector.terminateUnresponsive()
         failureDetector.terminateMissingReplies()
-        findOverdueBoots().forEach { terminate(it.id, TerminationReason.NEVER_STARTED) }
+        findOverdueBootingMachines().forEach { terminate(it.id, TerminationReason.NEVER_STARTED) }
     }
 
     /** A worker kills its tasks when its lease expires, so they may be started elsewhere from then on. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatHandler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatHandler.kt
@@ -29,7 +29,7 @@
     private val imageCacheHints: ImageCacheHints,
 ) {
     /** Handles a heartbeat that a worker sent to this controller directly. */
-    fun heartbeatReceived(input: Input.HeartbeatReceived) {
+    fun onHeartbeatReceived(input: Input.HeartbeatReceived) {
         when (val decision = decide(input.heartbeat)) {
             is HeartbeatDecision.Answer -> context.emit(Effect.AnswerHeartbeat(input.request, decision.token, decision.commands))
             HeartbeatDecision.Refuse, HeartbeatDecision.RequestFull -> context.emit(Effect.RefuseHeartbeat(input.request))
@@ -55,7 +55,7 @@
      * Handles a worker's response to a direct call. Unlike a heartbeat that the worker sent, [heartbeat] can't be a delayed
      * duplicate, so the machine is alive and commands can be sent immediately.
      */
-    fun probeAnswered(heartbeat: Heartbeat) {
+    fun onProbeAnswered(heartbeat: Heartbeat) {
         val isFirstContact = inventory.machines[heartbeat.machine]?.lastContactMs == null
         if (!applyHeartbeat(heartbeat)) return
         val machine = inventory.machines.getValue(heartbeat.machine)
@@ -65,7 +65,7 @@
     }
 
     /** Handles a direct call to the machine that wasn't answered. */
-    fun directCallUnanswered(id: MachineId) {
+    fun onDirectCallUnanswered(id: MachineId) {
         inventory.machines[id]?.let { directReachability.recordUnansweredCall(it, context.now.monotonicMs) }
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
@@ -28,9 +28,9 @@
     }
 
     /** Removes the committed outcomes of attempts that the machine's newest heartbeat no longer reports. */
-    fun removeCommittedOutcomes(machine: MachineId, listedAttempts: Set<AttemptId>) {
+    fun removeCommittedOutcomes(machine: MachineId, reportedAttempts: Set<AttemptId>) {
         val outcomes = outcomeRecords[machine] ?: return
-        outcomes.entries.removeAll { (id, recordIndex) -> id !in listedAttempts && recordIndex <= decisionLog.committedIndex }
+        outcomes.entries.removeAll { (id, recordIndex) -> id !in reportedAttempts && recordIndex <= decisionLog.committedIndex }
         if (outcomes.isEmpty()) outcomeRecords.remove(machine)
     }
 
@@ -57,9 +57,9 @@
                 else -> command?.let { stops += it }
             }
         }
-        val listedAttempts = machine.reportedTasks.mapTo(HashSet()) { it.attempt }
+        val reportedAttempts = machine.reportedTasks.mapTo(HashSet()) { it.attempt }
         for (attempt in jobTable.attemptsOn(machine.id)) {
-            if (attempt.id in listedAttempts) continue
+            if (attempt.id in reportedAttempts) continue
             when (val command = commandForMissing(machine, attempt)) {
                 is WorkerCommand.Start -> starts += command
                 else -> command?.let { stops += it }
--- a/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
@@ -49,7 +49,7 @@
         val archived = jobTable.finalState(spec.id)
         val job = jobTable.job(spec.id)
         when {
-            !context.isLeaseHeld() -> answer(request, UserReply.Unavailable("no lease"))
+            !context.isLeaseHeld() -> answer(request, UserReply.Unavailable("the leader's lease has expired"))
             archived != null -> answer(request, UserReply.Accepted(spec.id, jobState(archived), known = true))
             job != null -> answerAfter(job.acceptedIndex, request, UserReply.Accepted(job.id, committedState(job), known = true))
             else -> submitNew(request, spec)
@@ -92,7 +92,7 @@
     /** Answers with the job's status once the job's acceptance is committed. */
     fun poll(poll: Input.Poll) {
         val (request, id) = poll
-        if (!context.isLeaseHeld()) return answer(request, UserReply.Unavailable("no lease"))
+        if (!context.isLeaseHeld()) return answer(request, UserReply.Unavailable("the leader's lease has expired"))
         answerAfter(acceptanceRecord(id), request, status(id))
     }
 
@@ -101,7 +101,7 @@
      * yet: the polls of a batch share one answer, which must not wait for the commit of a single job.
      */
     fun currentStatus(id: JobId): UserReply {
-        if (!context.isLeaseHeld()) return UserReply.Unavailable("no lease")
+        if (!context.isLeaseHeld()) return UserReply.Unavailable("the leader's lease has expired")
         val isCommitted = acceptanceRecord(id) <= decisionLog.committedIndex
         return if (isCommitted) status(id) else UserReply.Unavailable("the acceptance of job $id isn't committed yet")
     }
@@ -127,7 +127,7 @@
         val archived = jobTable.finalState(id)
         val job = jobTable.job(id)
         when {
-            !context.isLeaseHeld() -> answer(request, UserReply.Unavailable("no lease"))
+            !context.isLeaseHeld() -> answer(request, UserReply.Unavailable("the leader's lease has expired"))
             archived != null -> answer(request, UserReply.Cancelled(id, jobState(archived)))
             job == null -> answer(request, UserReply.NotFound)
             !job.isTerminal && context.isCommitStalled() -> answer(request, UserReply.Unavailable("the key-value store doesn't answer"))
--- a/src/main/kotlin/cleathitch/storage/KeyValueStoreClient.kt
+++ b/src/main/kotlin/cleathitch/storage/KeyValueStoreClient.kt
@@ -6,8 +6,8 @@
 import cleathitch.http.ServiceError
 import cleathitch.http.ServiceResult
 import cleathitch.protocol.KeyValueStoreProtocol
-import cleathitch.protocol.decodeAnswer
 import cleathitch.protocol.decodeBody
+import cleathitch.protocol.decodeResponse
 import io.micrometer.core.instrument.MeterRegistry
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry
 import io.vertx.core.Vertx
@@ -47,7 +47,7 @@
     suspend fun compareAndSwap(expectedRevisions: Map<String, Long>, writes: List<KeyValueStoreProtocol.Write>): CompareAndSwapResult {
         val body = KeyValueStoreProtocol.transaction(expectedRevisions, writes)
         return when (val result = call(HttpMethod.POST, "/txn", body, timeoutMs)) {
-            is CallResult.Failed -> CompareAndSwapResult.Unknown(ServiceError.NoAnswer(result.failure))
+            is CallResult.Failed -> CompareAndSwapResult.Unknown(ServiceError.NoResponse(result.failure))
             is CallResult.Answered -> when (val decoded = decodeBody(result.body) { compareAndSwapResult(result) }) {
                 is ServiceResult.Success -> decoded.value
                 is ServiceResult.Failure -> CompareAndSwapResult.Unknown(decoded.error.also(::logIfMalformed))
@@ -70,14 +70,14 @@
 
     /** Requests a new lease with the time to live [ttlMs], and returns its id. */
     suspend fun grantLease(ttlMs: Long): ServiceResult<Long> {
-        val result = call(HttpMethod.POST, "/holds", KeyValueStoreProtocol.ttl(ttlMs), timeoutMs)
+        val result = call(HttpMethod.POST, "/holds", KeyValueStoreProtocol.leaseRequest(ttlMs), timeoutMs)
         return read(result) { KeyValueStoreProtocol.lease(it) }
     }
 
     /** Renews [lease] for its full time to live. */
     suspend fun renewLease(lease: Long): LeaseRenewal =
         when (val result = call(HttpMethod.POST, "/holds/$lease/extend", EMPTY_MAP, timeoutMs)) {
-            is CallResult.Failed -> LeaseRenewal.Unknown(ServiceError.NoAnswer(result.failure))
+            is CallResult.Failed -> LeaseRenewal.Unknown(ServiceError.NoResponse(result.failure))
             is CallResult.Answered -> when (result.status) {
                 HTTP_OK -> LeaseRenewal.Renewed
                 HTTP_NOT_FOUND -> LeaseRenewal.Expired
@@ -105,10 +105,10 @@
         client.call(address, method, path, body, timeoutMs)
 
     private inline fun <T> read(result: CallResult, decode: (ByteArray) -> T): ServiceResult<T> =
-        result.decodeAnswer(HTTP_OK, decode = decode).also { if (it is ServiceResult.Failure) logIfMalformed(it.error) }
+        result.decodeResponse(HTTP_OK, decode = decode).also { if (it is ServiceResult.Failure) logIfMalformed(it.error) }
 
     private fun logIfMalformed(error: ServiceError) {
-        if (error is ServiceError.MalformedAnswer) log.error("event=malformed_answer client={} error=\"{}\"", name, error.message)
+        if (error is ServiceError.MalformedResponse) log.error("event=malformed_answer client={} error=\"{}\"", name, error.message)
     }
 
     private fun encodeQuery(text: String) = URLEncoder.encode(text, Charsets.UTF_8)
--- a/src/main/kotlin/cleathitch/storage/LogStorage.kt
+++ b/src/main/kotlin/cleathitch/storage/LogStorage.kt
@@ -71,7 +71,7 @@
             pages++
             entries += page.entries
             lastKey = page.entries.lastOrNull()?.key
-            if (!page.more) return ServiceResult.Success(LogContents(entries, pages))
+            if (!page.hasMore) return ServiceResult.Success(LogContents(entries, pages))
         }
     }
 
--- a/src/main/kotlin/cleathitch/workers/WorkerClient.kt
+++ b/src/main/kotlin/cleathitch/workers/WorkerClient.kt
@@ -6,7 +6,7 @@
 import cleathitch.http.ServiceError
 import cleathitch.http.ServiceResult
 import cleathitch.protocol.WorkerProtocol
-import cleathitch.protocol.decodeAnswer
+import cleathitch.protocol.decodeResponse
 import cleathitch.scheduler.api.Effect
 import cleathitch.scheduler.model.Heartbeat
 import cleathitch.scheduler.model.MachineId
@@ -55,17 +55,18 @@
     private suspend fun sendCommands(address: Address, command: Effect.SendCommands): ServiceResult<Heartbeat> {
         val body = WorkerProtocol.directCommands(command.token, command.incarnation, command.commands)
         // A worker that rejects the token or the incarnation also answers with its heartbeat, with status 409.
-        return call(address, HttpMethod.POST, "/do", body, commandTimeoutMs).decodeAnswer(OK, CONFLICT, decode = WorkerProtocol::heartbeat)
+        return call(address, HttpMethod.POST, "/do", body, commandTimeoutMs)
+            .decodeResponse(OK, CONFLICT, decode = WorkerProtocol::heartbeat)
     }
 
     private suspend fun probe(address: Address): ServiceResult<Heartbeat> =
-        call(address, HttpMethod.GET, "/inspect", null, probeTimeoutMs).decodeAnswer(OK, decode = WorkerProtocol::heartbeat)
+        call(address, HttpMethod.GET, "/inspect", null, probeTimeoutMs).decodeResponse(OK, decode = WorkerProtocol::heartbeat)
 
     private suspend fun call(address: Address, method: HttpMethod, path: String, body: ByteArray?, timeoutMs: Long): CallResult =
         permits.withPermit { client.call(address, method, path, body, timeoutMs) }
 
     private fun logIfMalformed(machine: MachineId, error: ServiceError) {
-        if (error !is ServiceError.MalformedAnswer) return
+        if (error !is ServiceError.MalformedResponse) return
         log.error("event=malformed_answer client=workers machine={} error=\"{}\"", machine, error.message)
     }
 
--- a/src/test/kotlin/cleathitch/http/HttpEndpointTest.kt
+++ b/src/test/kotlin/cleathitch/http/HttpEndpointTest.kt
@@ -36,7 +36,7 @@
         HttpEndpoint(vertx, CoroutineScope(eventLoop.dispatcher()), maxBodyBytes = 1024, idleTimeoutS = 60, limit) { _, path, _ ->
             received.release()
             if (path == HELD_PATH) release.await()
-            HttpReply(if (path == "/elsewhere") 503 else 200, closesConnection = path == "/elsewhere")
+            HttpResponse(if (path == "/elsewhere") 503 else 200, closesConnection = path == "/elsewhere")
         }.listen(Address("127.0.0.1", 0))
     }
     private val sockets = ArrayList<Socket>()
--- a/src/test/kotlin/cleathitch/http/PooledHttpClientTest.kt
+++ b/src/test/kotlin/cleathitch/http/PooledHttpClientTest.kt
@@ -50,7 +50,7 @@
 
     private suspend fun assertAllConnectionsFree() {
         awaitCondition("all connections free") { gauge("http.client.in_use") == 0 && gauge("http.client.waiting") == 0 }
-        val calls = List(CONNECTIONS) { call(StubServer.AT_ONCE, timeoutMs = TIMEOUT_MS.toLong()) }
+        val calls = List(CONNECTIONS) { call(StubServer.IMMEDIATE, timeoutMs = TIMEOUT_MS.toLong()) }
         calls.forEach { assertTrue(it.await() is CallResult.Answered) }
     }
 
@@ -62,7 +62,7 @@
     @Test
     fun `a connection that becomes free after its call timed out returns to the pool`(): Unit = runBlocking {
         holdAllConnections()
-        val timedOut = List(CONNECTIONS) { call(StubServer.AT_ONCE, timeoutMs = 50) }
+        val timedOut = List(CONNECTIONS) { call(StubServer.IMMEDIATE, timeoutMs = 50) }
         timedOut.forEach { assertEquals(CallResult.Failed(CallFailure.NO_CONNECTION_IN_TIME), it.await()) }
         server.release()
         assertAllConnectionsFree()
@@ -72,7 +72,7 @@
     @Test
     fun `a connection that becomes free after its call was cancelled returns to the pool`(): Unit = runBlocking {
         holdAllConnections()
-        val cancelled = List(CONNECTIONS) { call(StubServer.AT_ONCE, timeoutMs = TIMEOUT_MS.toLong()) }
+        val cancelled = List(CONNECTIONS) { call(StubServer.IMMEDIATE, timeoutMs = TIMEOUT_MS.toLong()) }
         awaitCondition("all calls wait") { gauge("http.client.waiting") == CONNECTIONS }
         cancelled.forEach { it.cancel() }
         server.release()
--- a/src/test/kotlin/cleathitch/http/StubServer.kt
+++ b/src/test/kotlin/cleathitch/http/StubServer.kt
@@ -8,9 +8,9 @@
 
 /**
  * An HTTP server on loopback that responds at once, late, partially, on demand or not at all, on its own event loop. The path of
- * a request selects the behavior; if [choose] is given, its result for the path selects the behavior instead.
+ * a request selects the behavior; if [modeForPath] is given, its result for the path selects the behavior instead.
  */
-class StubServer(private val choose: ((String) -> String)? = null) : AutoCloseable {
+class StubServer(private val modeForPath: ((String) -> String)? = null) : AutoCloseable {
     private val vertx = Vertx.vertx()
     private val held = ConcurrentLinkedQueue<HttpServerRequest>()
 
@@ -18,7 +18,7 @@
     val address = Address("127.0.0.1", runBlocking { server.listen(0, "127.0.0.1").coAwait().actualPort() })
 
     private fun receive(request: HttpServerRequest) {
-        when (choose?.invoke(request.path()) ?: request.path()) {
+        when (modeForPath?.invoke(request.path()) ?: request.path()) {
             HELD -> held += request
             LATE -> vertx.setTimer(LATE_MS) { respond(request) }
             RESET -> request.connection().close()
@@ -44,12 +44,12 @@
     }
 
     companion object {
-        const val AT_ONCE = "/at-once"
+        const val IMMEDIATE = "/at-once"
         const val HELD = "/held"
         const val LATE = "/late"
         const val RESET = "/reset"
         const val CUT_OFF = "/cut-off"
-        val BEHAVIORS = listOf(AT_ONCE, HELD, LATE, RESET, CUT_OFF)
+        val BEHAVIORS = listOf(IMMEDIATE, HELD, LATE, RESET, CUT_OFF)
 
         /** The status of all responses. No client decodes the body of a response with this status. */
         const val STATUS = 503
--- a/src/test/kotlin/cleathitch/leader/InputQueueTest.kt
+++ b/src/test/kotlin/cleathitch/leader/InputQueueTest.kt
@@ -15,9 +15,9 @@
     private var requests = 0L
 
     private fun request() = RequestId(++requests)
-    private fun submit(job: Int) = Input.Submit(request(), SimulatedCluster.job(job))
-    private fun poll(job: Int) = Input.Poll(request(), SimulatedCluster.job(job).id)
-    private fun cancel(job: Int) = Input.Cancel(request(), SimulatedCluster.job(job).id)
+    private fun submit(job: Int) = Input.Submit(request(), SimulatedCluster.jobSpec(job))
+    private fun poll(job: Int) = Input.Poll(request(), SimulatedCluster.jobSpec(job).id)
+    private fun cancel(job: Int) = Input.Cancel(request(), SimulatedCluster.jobSpec(job).id)
     private fun next(isAwaited: (Input) -> Boolean = { true }) = queue.nextBatch(isAwaited)
 
     @Test
--- a/src/test/kotlin/cleathitch/leader/TermRequestsTest.kt
+++ b/src/test/kotlin/cleathitch/leader/TermRequestsTest.kt
@@ -23,7 +23,7 @@
 
     @Test
     fun `requests are refused with a reason and not queued until the log has been replayed`() = runBlocking {
-        assertEquals(UserReply.Unavailable("taking over"), requests.poll(job))
+        assertEquals(UserReply.Unavailable("the leader is recovering its state"), requests.poll(job))
         assertEquals(RequestOutcome.Unanswered(UnansweredReason.RECOVERING), requests.followerBatch(emptyList(), listOf(job)))
         assertTrue(queue.isEmpty)
     }
@@ -43,9 +43,9 @@
         requests.open()
         val poll = polling()
         requests.close()
-        assertEquals(UserReply.Unavailable("not the leader any more"), poll.await())
+        assertEquals(UserReply.Unavailable("this controller is no longer the leader"), poll.await())
         assertFalse(requests.isOpen)
-        assertEquals(UserReply.Unavailable("taking over"), requests.poll(job))
+        assertEquals(UserReply.Unavailable("the leader is recovering its state"), requests.poll(job))
     }
 
     @Test
@@ -57,7 +57,7 @@
         assertTrue(poll.isActive)
         nowMs = 3000
         requests.expire()
-        assertEquals(UserReply.Unavailable("not the leader any more"), poll.await())
+        assertEquals(UserReply.Unavailable("this controller is no longer the leader"), poll.await())
     }
 
     @Test
--- a/src/test/kotlin/cleathitch/loopback/ConnectionLeakTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/ConnectionLeakTest.kt
@@ -37,7 +37,7 @@
 
     @Volatile
     private var isFaulty = true
-    private val server = StubServer { if (isFaulty) StubServer.BEHAVIORS.random(serverRandom) else StubServer.AT_ONCE }
+    private val server = StubServer { if (isFaulty) StubServer.BEHAVIORS.random(serverRandom) else StubServer.IMMEDIATE }
     private val vertx = Vertx.vertx()
     private val scope = CoroutineScope(vertx.dispatcher() + SupervisorJob())
     private val meterRegistry = SimpleMeterRegistry()
@@ -59,7 +59,7 @@
     private val calls: Map<String, suspend () -> Any?> = mapOf(
         "state" to { state.renewLease(lease = 1) },
         "state-watch" to { state.watch("x", since = 1, waitMs = 0) },
-        "peers" to { peers.ask(server.address, byteArrayOf(1), TIMEOUT_MS) },
+        "peers" to { peers.request(server.address, byteArrayOf(1), TIMEOUT_MS) },
         "workers" to { workers.send(Effect.Probe(MachineId("vm-000001"), server.address.toString())) },
         "cloud" to { cloud.machineTypes() },
     )
--- a/src/test/kotlin/cleathitch/peers/WorkerCommandDeliveryTest.kt
+++ b/src/test/kotlin/cleathitch/peers/WorkerCommandDeliveryTest.kt
@@ -44,7 +44,7 @@
 
         override suspend fun sendToWorker(command: Effect.ToWorker): ServiceResult<Heartbeat> {
             sentDirectly += command.machine
-            if (!workersAnswer) return ServiceResult.Failure(ServiceError.NoAnswer(CallFailure.NO_ANSWER_IN_TIME))
+            if (!workersAnswer) return ServiceResult.Failure(ServiceError.NoResponse(CallFailure.NO_ANSWER_IN_TIME))
             return ServiceResult.Success(heartbeat(command.machine))
         }
     }
--- a/src/test/kotlin/cleathitch/protocol/AnswerDecodingTest.kt
+++ b/src/test/kotlin/cleathitch/protocol/ResponseDecodingTest.kt
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test
 
 /** Tests that the decoding of a response returns either its value or the reason for the failure. */
-class AnswerDecodingTest {
+class ResponseDecodingTest {
     private val body = MessageCodec.encode(MessageCodec.newMap().put("arriendo", 7))
 
-    private fun decode(result: CallResult) = result.decodeAnswer(200, 409, decode = KeyValueStoreProtocol::lease)
+    private fun decode(result: CallResult) = result.decodeResponse(200, 409, decode = KeyValueStoreProtocol::lease)
 
     private fun failure(error: ServiceError) = ServiceResult.Failure(error)
 
@@ -24,10 +24,10 @@
     @Test
     fun `every failure has its reason`() {
         val failed = decode(CallResult.Failed(CallFailure.CONNECT_FAILED))
-        assertEquals(failure(ServiceError.NoAnswer(CallFailure.CONNECT_FAILED)), failed)
+        assertEquals(failure(ServiceError.NoResponse(CallFailure.CONNECT_FAILED)), failed)
         assertEquals(failure(ServiceError.UnexpectedStatus(503)), decode(CallResult.Answered(503, body)))
         val empty = decode(CallResult.Answered(200, ByteArray(0)))
-        assertEquals(failure(ServiceError.MalformedAnswer("the body is empty")), empty)
+        assertEquals(failure(ServiceError.MalformedResponse("the body is empty")), empty)
         assertNull(empty.valueOrNull())
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/CancellationFaultsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/CancellationFaultsTest.kt
@@ -113,7 +113,7 @@
         startJob(1)
         machine.completeTasks()
         isStoreUnavailable = true
-        val spec = SimulatedCluster.job(1, tasks = 1)
+        val spec = SimulatedCluster.jobSpec(1, tasks = 1)
 
         val uncommitted = step(
             Input.HeartbeatReceived(request(), machine.heartbeat()),
--- a/src/test/kotlin/cleathitch/scheduler/CombinedFaultsHarness.kt
+++ b/src/test/kotlin/cleathitch/scheduler/CombinedFaultsHarness.kt
@@ -43,7 +43,7 @@
     protected fun taskId(job: Int, index: Int = 0) = TaskId(JobId("j-%06d".format(job)), index)
 
     protected fun submit(job: Int, tasks: Int = 1, change: JobSpec.() -> JobSpec = { this }) =
-        step(Input.Submit(request(), SimulatedCluster.job(job, tasks = tasks).change()))
+        step(Input.Submit(request(), SimulatedCluster.jobSpec(job, tasks = tasks).change()))
 
     protected fun cancel(job: Int) = step(Input.Cancel(request(), taskId(job).job))
 
--- a/src/test/kotlin/cleathitch/scheduler/CommitVisibilityTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/CommitVisibilityTest.kt
@@ -18,7 +18,7 @@
     /** All requests through which a user or a follower learns a job's state. */
     private val queries = mapOf<String, () -> Input>(
         "a poll" to { Input.Poll(request(), job) },
-        "a repeated submission" to { Input.Submit(request(), SimulatedCluster.job(1, tasks = 1)) },
+        "a repeated submission" to { Input.Submit(request(), SimulatedCluster.jobSpec(1, tasks = 1)) },
         "a cancellation" to { Input.Cancel(request(), job) },
         "a follower's batch of polls" to { Input.FollowerBatchReceived(request(), emptyList(), listOf(job)) },
     )
--- a/src/test/kotlin/cleathitch/scheduler/FailoverTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FailoverTest.kt
@@ -80,7 +80,7 @@
         fun recoveredState(): RecoveredState {
             val job = JobSnapshot(
                 lastIncludedIndex = LogIndex(5),
-                spec = SimulatedCluster.job(1, tasks = 1),
+                spec = SimulatedCluster.jobSpec(1, tasks = 1),
                 acceptedAtWallMs = 0,
                 isCancelled = false,
                 completedTasks = byteArrayOf(),
--- a/src/test/kotlin/cleathitch/scheduler/FailureDetectorTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FailureDetectorTest.kt
@@ -120,7 +120,7 @@
     private fun becomeLeaderWithBusyFleet() {
         becomeLeaderWithFleet(FLEET.count())
         val request = request()
-        step(Input.Submit(request, SimulatedCluster.job(request.number.toInt(), JobKind.SERVICE, tasks = 2 * FLEET.count())))
+        step(Input.Submit(request, SimulatedCluster.jobSpec(request.number.toInt(), JobKind.SERVICE, tasks = 2 * FLEET.count())))
         repeat(3) { runInterval(FLEET) }
     }
 
--- a/src/test/kotlin/cleathitch/scheduler/IsolatedLeaderTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/IsolatedLeaderTest.kt
@@ -20,7 +20,7 @@
 
         val heartbeat = answerTo(Input.HeartbeatReceived(request(), heartbeat(0, sequenceNumber = 2)))
         val poll = answerTo(Input.Poll(request(), JobId("j-000003"))) as Effect.Answer
-        val submission = answerTo(Input.Submit(request(), SimulatedCluster.job(99))) as Effect.Answer
+        val submission = answerTo(Input.Submit(request(), SimulatedCluster.jobSpec(99))) as Effect.Answer
         val ticks = (1..20).flatMap { step(Input.Tick) }
 
         assertTrue(heartbeat is Effect.AnswerHeartbeat)
--- a/src/test/kotlin/cleathitch/scheduler/MachineTypes.kt
+++ b/src/test/kotlin/cleathitch/scheduler/MachineTypes.kt
@@ -2,7 +2,7 @@
 
 import cleathitch.scheduler.model.MachineType
 
-/** The machine type used in tests, with capacity for two tasks of [cleathitch.scheduler.simulation.SimulatedCluster.job]. */
+/** The machine type used in tests, with capacity for two tasks of [cleathitch.scheduler.simulation.SimulatedCluster.jobSpec]. */
 fun machineType(zones: List<String> = listOf("a", "b")) = MachineType(
     name = "m4",
     cpus = 4.0,
--- a/src/test/kotlin/cleathitch/scheduler/SchedulerHarness.kt
+++ b/src/test/kotlin/cleathitch/scheduler/SchedulerHarness.kt
@@ -27,7 +27,7 @@
  */
 abstract class SchedulerHarness(private var term: Long = 7, recovered: RecoveredState = RecoveredState.EMPTY, maxCpus: Double? = null) {
     protected val type = machineType()
-    protected val deployment = SimulatedCluster.standard.copy(teams = mapOf("red" to Team("red", 8.0, maxCpus, 0.0, null)))
+    protected val deployment = SimulatedCluster.defaultDeployment.copy(teams = mapOf("red" to Team("red", 8.0, maxCpus, 0.0, null)))
     protected val timings = SchedulerTimings.of(deployment)
     protected val heartbeatIntervalMs = (deployment.heartbeatPeriodS * 1000).toLong()
     protected val workerLeaseMs = (deployment.workerLeaseS * 1000).toLong()
@@ -136,7 +136,7 @@
 
     protected fun submitJobs(count: Int, tasks: Int) = repeat(count) {
         val request = request()
-        step(Input.Submit(request, SimulatedCluster.job(request.number.toInt(), tasks = tasks)))
+        step(Input.Submit(request, SimulatedCluster.jobSpec(request.number.toInt(), tasks = tasks)))
     }
 
     protected companion object {
--- a/src/test/kotlin/cleathitch/scheduler/SchedulerTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/SchedulerTest.kt
@@ -24,8 +24,8 @@
 /** Basic behaviour of a scheduler, where each test decides when a commit succeeds. */
 class SchedulerTest {
     private val scheduler = Scheduler(
-        SimulatedCluster.standard,
-        SchedulerTimings.of(SimulatedCluster.standard),
+        SimulatedCluster.defaultDeployment,
+        SchedulerTimings.of(SimulatedCluster.defaultDeployment),
         Term(7),
         RecoveredState.EMPTY,
         ClockReading(0, 0),
@@ -44,7 +44,7 @@
         step(Input.HeartbeatReceived(RequestId(2), heartbeat(2, FencingToken.first(7))))
         nowMs += 300
 
-        val submission = step(Input.Submit(RequestId(3), SimulatedCluster.job(1, tasks = 1)))
+        val submission = step(Input.Submit(RequestId(3), SimulatedCluster.jobSpec(1, tasks = 1)))
 
         val call = commit(submission).directCalls().single()
         assertEquals(listOf(WorkerCommand.Start(AttemptId(TaskId(JobId("j-000001"), 0), 1))), call.commands)
@@ -55,9 +55,9 @@
         renewLease()
         step(Input.MachineTypesListed(listOf(machineType())))
 
-        val first = step(Input.Submit(RequestId(1), SimulatedCluster.job(1)))
+        val first = step(Input.Submit(RequestId(1), SimulatedCluster.jobSpec(1)))
         // Submissions that arrive while a commit is in flight share the next record.
-        val others = step(Input.Submit(RequestId(2), SimulatedCluster.job(2)), Input.Submit(RequestId(3), SimulatedCluster.job(3)))
+        val others = step(Input.Submit(RequestId(2), SimulatedCluster.jobSpec(2)), Input.Submit(RequestId(3), SimulatedCluster.jobSpec(3)))
         val firstCommitted = commit(first)
         val othersCommitted = commit(firstCommitted)
 
--- a/src/test/kotlin/cleathitch/scheduler/log/DecisionLogTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/log/DecisionLogTest.kt
@@ -15,11 +15,11 @@
 
 /** Tests [DecisionLog] and its compaction with fake jobs and fixed sizes. */
 class DecisionLogTest {
-    private val deployment = SimulatedCluster.standard
+    private val deployment = SimulatedCluster.defaultDeployment
     private val jobs = FakeJobs()
     private val decisionLog = DecisionLog(deployment, FixedSizes)
-    private val spec = SimulatedCluster.job(1)
-    private val otherSpec = SimulatedCluster.job(2)
+    private val spec = SimulatedCluster.jobSpec(1)
+    private val otherSpec = SimulatedCluster.jobSpec(2)
     private val start = Event.AttemptStarted(spec.id, 0, 1, MachineId("vm-000001"))
 
     private object FixedSizes : SizeEstimator {
@@ -46,7 +46,7 @@
 
         fun snapshot(id: JobId, lastIncludedIndex: LogIndex) = JobSnapshot(
             lastIncludedIndex,
-            SimulatedCluster.job(1).copy(id = id),
+            SimulatedCluster.jobSpec(1).copy(id = id),
             acceptedAtWallMs = 0,
             isCancelled = false,
             NO_COMPLETED_TASKS,
--- a/src/test/kotlin/cleathitch/scheduler/placement/SchedulingOrderTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/placement/SchedulingOrderTest.kt
@@ -19,7 +19,7 @@
     private val completionObjectives = mapOf("batch" to listOf(100.0, 200.0))
 
     private fun job(number: Int, submittedS: Int, tasks: Int, team: String = "blue", kind: JobKind = JobKind.ARRAY) =
-        Job(SimulatedCluster.job(number, kind, tasks, team), submittedS * 1000L, LogIndex(1))
+        Job(SimulatedCluster.jobSpec(number, kind, tasks, team), submittedS * 1000L, LogIndex(1))
 
     private fun order(nowS: Int, vararg jobs: Job) =
         SchedulingOrder(completionObjectives, quota, nowS * 1000L).order(jobs.toList()).map { it.id.text.removePrefix("j-").toInt() }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/FairnessTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/FairnessTest.kt
@@ -14,7 +14,7 @@
     private val cluster = SimulatedCluster(
         seed = 5,
         faults = FaultSchedule(messageDelay = 0.01, leaderKillEveryS = 90.0),
-        deployment = SimulatedCluster.standard.copy(teams = teams.associateWith { Team(it, 8.0, null, 0.0, null) }),
+        deployment = SimulatedCluster.defaultDeployment.copy(teams = teams.associateWith { Team(it, 8.0, null, 0.0, null) }),
     )
     private val submissions = ArrayList<Submission>()
 
@@ -41,7 +41,7 @@
     /** Schedules the job of [second], with class and team by round-robin; every [LARGE_JOB_INTERVAL_S]th job is large. */
     private fun scheduleSubmission(second: Int) {
         val tasks = if (second % LARGE_JOB_INTERVAL_S == 0) LARGE_JOB_TASKS else SMALL_JOB_TASKS
-        val spec = SimulatedCluster.job(second, tasks = tasks, team = teams[second % teams.size])
+        val spec = SimulatedCluster.jobSpec(second, tasks = tasks, team = teams[second % teams.size])
             .copy(className = classes[second % classes.size])
         val submission = Submission(spec, second * 1000L)
         submissions += submission
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SafetyInvariantsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SafetyInvariantsTest.kt
@@ -42,7 +42,7 @@
 
     private fun jobSpec(number: Int): JobSpec {
         val kind = if (number % 4 == 3) JobKind.SERVICE else JobKind.ARRAY
-        val spec = SimulatedCluster.job(number, kind, tasks = 1 + number % 5, team = if (number % 3 == 0) "blue" else "red")
+        val spec = SimulatedCluster.jobSpec(number, kind, tasks = 1 + number % 5, team = if (number % 3 == 0) "blue" else "red")
         return when (number % 5) {
             1 -> spec.copy(spread = true)
             2 -> spec.copy(oneZone = true)
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
@@ -18,7 +18,12 @@
  * and users. The [seed] determines every random draw and therefore the whole run. [InvariantChecker] checks the invariants after
  * each event, and the run stops at the first violation.
  */
-class SimulatedCluster(private val seed: Long, val faults: FaultSchedule, val deployment: Deployment = standard, maxMachines: Int = 24) {
+class SimulatedCluster(
+    private val seed: Long,
+    val faults: FaultSchedule,
+    val deployment: Deployment = defaultDeployment,
+    maxMachines: Int = 24,
+) {
     val random = Random(seed)
     val events = EventQueue()
 
@@ -90,7 +95,7 @@
         private const val CONTROLLER_COUNT = 3
         private const val LOG_LINES_SHOWN = 40
 
-        val standard = Deployment(
+        val defaultDeployment = Deployment(
             zones = listOf("a", "b"),
             teams = mapOf("red" to Team("red", 8.0, 12.0, 0.0, null), "blue" to Team("blue", 0.0, null, 0.0, null)),
             objectives = listOf(Objective.StartDelay("web", 1.0, 0.9), Objective.Completion("batch", 60.0, 0.9)),
@@ -100,7 +105,7 @@
         )
 
         /** A job of [tasks] tasks with 2 CPUs each. Services have production priority and do not allow spot machines. */
-        fun job(number: Int, kind: JobKind = JobKind.ARRAY, tasks: Int = 3, team: String = "red") = JobSpec(
+        fun jobSpec(number: Int, kind: JobKind = JobKind.ARRAY, tasks: Int = 3, team: String = "red") = JobSpec(
             id = JobId("j-%06d".format(number)),
             className = if (kind == JobKind.SERVICE) "web" else "batch",
             team = team,
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedUsers.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedUsers.kt
@@ -96,7 +96,7 @@
     }
 
     private fun submitUnsatisfiableJob() {
-        val satisfiable = SimulatedCluster.job(900_000 + random.nextInt(100_000))
+        val satisfiable = SimulatedCluster.jobSpec(900_000 + random.nextInt(100_000))
         val unsatisfiable = listOf(
             satisfiable.copy(team = "green"),
             satisfiable.copy(cpus = 99.0),
--- a/src/test/kotlin/cleathitch/workers/HeartbeatQueueTest.kt
+++ b/src/test/kotlin/cleathitch/workers/HeartbeatQueueTest.kt
@@ -148,7 +148,7 @@
             val batch = queue.nextBatch(9, 0)
             if (batch.isEmpty) break
             seen += batch.heartbeats.map { it.machine }
-            assertTrue(PeerCodec.encode(message(batch)).size <= PeerClient.MAX_BODY)
+            assertTrue(PeerCodec.encode(message(batch)).size <= PeerClient.MAX_BODY_BYTES)
             queue.completeWithDecisions(batch, batch.heartbeats.map { answer }, currentTerm = 9, nowMs = 0)
         }
         assertEquals(machines + 1, seen.size)
