--- a/src/main/kotlin/cleathitch/leader/EffectExecutor.kt
+++ b/src/main/kotlin/cleathitch/leader/EffectExecutor.kt
@@ -89,6 +89,6 @@
 
     private companion object {
         val log = LoggerFactory.getLogger("cleathitch.leader")
-        val NO_LEASE = UserReply.Unavailable("the leader's lease has expired")
+        val NO_LEASE = UserReply.Unavailable("the leader does not hold a valid lease")
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -107,7 +107,7 @@
         failureDetector,
         directReachability,
         start,
-        findOverdueBootingMachines = { scaleInCandidates.overdueBootingMachines(this.now.monotonicMs, lease.listeningSinceMs) },
+        findOverdueBootingMachines = { scaleInCandidates.overdueBootingMachines(this.now.monotonicMs, lease.answeringSinceMs) },
         terminate = cloudRequests::requestTermination,
     )
 
@@ -133,7 +133,7 @@
     fun handle(batch: List<Input>, now: ClockReading): List<Effect> {
         this.now = now
         effects.clear()
-        lease.updateListeningPeriod()
+        lease.updateAnsweringPeriod()
         for (input in batch) if (!hasSteppedDown) dispatch(input)
         if (!hasSteppedDown) {
             checkFleetIfDue()
@@ -199,7 +199,7 @@
     /** The part of the term's state that the components share. */
     private inner class Context : SchedulerContext {
         override val now get() = this@Scheduler.now
-        override val listeningSinceMs get() = lease.listeningSinceMs
+        override val answeringSinceMs get() = lease.answeringSinceMs
         override val hasSteppedDown get() = this@Scheduler.hasSteppedDown
 
         override fun isLeaseHeld() = lease.isHeld()
--- a/src/main/kotlin/cleathitch/scheduler/TermLease.kt
+++ b/src/main/kotlin/cleathitch/scheduler/TermLease.kt
@@ -18,15 +18,15 @@
     private var validUntilMs = startedMs
 
     /**
-     * Since when heartbeats are answered without interruption. During an outage of the key-value store that outlasts the grace
-     * period no heartbeat is answered and every machine appears silent; counting that time would terminate healthy machines.
+     * The time since which heartbeats could be answered without interruption. During an outage of the key-value store that outlasts
+     * the grace period no heartbeat is answered and every machine appears silent; counting that time would terminate healthy machines.
      */
-    var listeningSinceMs = startedMs
+    var answeringSinceMs = startedMs
         private set
 
-    /** Restarts the listening period while heartbeats can't be answered. Called once per batch of inputs. */
-    fun updateListeningPeriod() {
-        if (!mayAnswerMachines()) listeningSinceMs = context.now.monotonicMs
+    /** Restarts the answering period while heartbeats can't be answered. Called once per batch of inputs. */
+    fun updateAnsweringPeriod() {
+        if (!mayAnswerMachines()) answeringSinceMs = context.now.monotonicMs
     }
 
     /** Called when the key-value store has extended the lease to [untilMs]. */
@@ -54,5 +54,5 @@
      * this.
      */
     fun isFleetObserved(): Boolean = mayPlaceTasks() &&
-        (isFirstTerm && listeningSinceMs == startedMs || context.now.monotonicMs - listeningSinceMs >= timings.failoverSettleMs)
+        (isFirstTerm && answeringSinceMs == startedMs || context.now.monotonicMs - answeringSinceMs >= timings.failoverSettleMs)
 }
--- a/src/main/kotlin/cleathitch/scheduler/api/SchedulerContext.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerContext.kt
@@ -10,7 +10,7 @@
     val now: ClockReading
 
     /** The time on the monotonic clock since which heartbeats could be answered without interruption. */
-    val listeningSinceMs: Long
+    val answeringSinceMs: Long
 
     /** Whether the leader has ended this term, after which no input is handled. */
     val hasSteppedDown: Boolean
@@ -30,7 +30,7 @@
     /** Whether a commit has been waiting for the key-value store's answer for too long. */
     fun isCommitStalled(): Boolean
 
-    /** Applies the event in memory and queues it for the log; returns the index of the record that will hold it. */
+    /** Applies the event in memory and queues it for the log; returns the index of the record that will contain it. */
     fun append(event: Event): LogIndex
 
     /** Adds an effect to the batch's effects. */
--- a/src/main/kotlin/cleathitch/scheduler/capacity/FleetScaler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/FleetScaler.kt
@@ -39,7 +39,7 @@
     }
 
     private fun scaleIn() {
-        scaleInCandidates.idleMachines(context.now.monotonicMs, context.listeningSinceMs).forEach {
+        scaleInCandidates.idleMachines(context.now.monotonicMs, context.answeringSinceMs).forEach {
             cloudRequests.requestTermination(it.id, TerminationReason.IDLE)
         }
     }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/ScaleInCandidates.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/ScaleInCandidates.kt
@@ -15,26 +15,26 @@
  */
 class ScaleInCandidates(private val deployment: Deployment, private val inventory: Inventory, private val jobTable: JobTable) {
     /**
-     * Machines that have been idle for so long that keeping them isn't economical; [listeningSinceMs] is the time since which
+     * Machines that have been idle for so long that keeping them isn't economical; [answeringSinceMs] is the time since which
      * heartbeats could be answered without interruption.
      */
-    fun idleMachines(nowMs: Long, listeningSinceMs: Long): List<Machine> = inventory.machines.values.filter { machine ->
+    fun idleMachines(nowMs: Long, answeringSinceMs: Long): List<Machine> = inventory.machines.values.filter { machine ->
         val type = machine.type
         type != null &&
             machine.state == MachineState.UP &&
             jobTable.attemptsOn(machine.id).isEmpty() &&
             nowMs - machine.rentedAtMs >= MIN_CHARGED_MS &&
-            nowMs - max(machine.idleSinceMs, listeningSinceMs) >= type.bootS * MS_PER_S * MAX_IDLE_BOOTS
+            nowMs - max(machine.idleSinceMs, answeringSinceMs) >= type.bootS * MS_PER_S * MAX_IDLE_BOOTS
     }
 
     /**
      * Machines whose boot is long overdue. Excludes machines that the cloud provider lists as running, even if this leader hasn't
      * received a heartbeat from them yet, because the failure detector handles those.
      */
-    fun overdueBootingMachines(nowMs: Long, listeningSinceMs: Long): List<Machine> = inventory.machines.values.filter { machine ->
+    fun overdueBootingMachines(nowMs: Long, answeringSinceMs: Long): List<Machine> = inventory.machines.values.filter { machine ->
         machine.state == MachineState.STARTING &&
             !machine.isListedRunning &&
-            nowMs - max(machine.rentedAtMs, listeningSinceMs) >=
+            nowMs - max(machine.rentedAtMs, answeringSinceMs) >=
             (machine.type?.bootS ?: deployment.workerLeaseS) * MS_PER_S * MAX_BOOT_FACTOR
     }
 
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
@@ -48,7 +48,7 @@
     /** Task failures since the last task completion. */
     private var consecutiveFailures = 0
 
-    /** Backoff after a task failure: no task of the job is started before this time of the monotonic clock. */
+    /** Retry delay after a task failure: no task of the job is started before this time of the monotonic clock. */
     var retryNotBeforeMs = 0L
         private set
 
@@ -94,7 +94,7 @@
         retryNotBeforeMs = nowMs + minOf(limitMs, delayMs)
     }
 
-    /** Records a task completion, which resets the backoff delay. */
+    /** Records a task completion, which resets the retry delay. */
     fun recordSuccess() {
         consecutiveFailures = 0
     }
--- a/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
@@ -98,7 +98,7 @@
      * expected, or in which the leader couldn't answer any, doesn't count either.
      */
     private fun timeSinceHeartbeatMs(machine: Machine) =
-        nowMs - maxOf(machine.lastHeartbeatMs ?: machine.expectedSinceMs, context.listeningSinceMs)
+        nowMs - maxOf(machine.lastHeartbeatMs ?: machine.expectedSinceMs, context.answeringSinceMs)
 
     /**
      * Whether heartbeats and replies pass between the machine and the leader, as far as is known. If they don't, the worker's lease
@@ -111,7 +111,7 @@
      * couldn't answer any, doesn't count.
      */
     fun timeSinceContactMs(machine: Machine): Long =
-        nowMs - maxOf(machine.lastContactMs ?: machine.expectedSinceMs, context.listeningSinceMs)
+        nowMs - maxOf(machine.lastContactMs ?: machine.expectedSinceMs, context.answeringSinceMs)
 
     /**
      * Expects heartbeats from a machine that the cloud provider lists as running but that hasn't reported in this term:
--- a/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
@@ -52,7 +52,7 @@
         val archived = jobTable.finalState(spec.id)
         val job = jobTable.job(spec.id)
         when {
-            !context.isLeaseHeld() -> answer(request, UserReply.Unavailable("the leader's lease has expired"))
+            !context.isLeaseHeld() -> answer(request, UserReply.Unavailable("the leader does not hold a valid lease"))
             archived != null -> answer(request, UserReply.Accepted(spec.id, jobState(archived), known = true))
             job != null -> answerAfter(job.acceptedIndex, request, UserReply.Accepted(job.id, committedState(job), known = true))
             else -> submitNew(request, spec)
@@ -95,7 +95,7 @@
     /** Answers with the job's status once the job's acceptance is committed. */
     fun poll(poll: Input.Poll) {
         val (request, id) = poll
-        if (!context.isLeaseHeld()) return answer(request, UserReply.Unavailable("the leader's lease has expired"))
+        if (!context.isLeaseHeld()) return answer(request, UserReply.Unavailable("the leader does not hold a valid lease"))
         answerAfter(acceptanceRecord(id), request, status(id))
     }
 
@@ -104,7 +104,7 @@
      * yet: the polls of a batch share one answer, which must not wait for the commit of a single job.
      */
     fun currentStatus(id: JobId): UserReply {
-        if (!context.isLeaseHeld()) return UserReply.Unavailable("the leader's lease has expired")
+        if (!context.isLeaseHeld()) return UserReply.Unavailable("the leader does not hold a valid lease")
         val isCommitted = acceptanceRecord(id) <= decisionLog.committedIndex
         return if (isCommitted) status(id) else UserReply.Unavailable("the acceptance of job $id isn't committed yet")
     }
@@ -130,7 +130,7 @@
         val archived = jobTable.finalState(id)
         val job = jobTable.job(id)
         when {
-            !context.isLeaseHeld() -> answer(request, UserReply.Unavailable("the leader's lease has expired"))
+            !context.isLeaseHeld() -> answer(request, UserReply.Unavailable("the leader does not hold a valid lease"))
             archived != null -> answer(request, UserReply.Cancelled(id, jobState(archived)))
             job == null -> answer(request, UserReply.NotFound)
             !job.isTerminal && context.isCommitStalled() -> answer(request, UserReply.Unavailable("the key-value store doesn't answer"))
--- a/src/test/kotlin/cleathitch/scheduler/UnreachableMachinesTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/UnreachableMachinesTest.kt
@@ -10,7 +10,7 @@
 
 /** Machines that answer direct calls while their heartbeats reach no controller, and zones that lose their machines. */
 class UnreachableMachinesTest : CombinedFaultsHarness() {
-    /** Direct calls don't renew leases, so tasks started there would be killed when the machine's lease expires. */
+    /** Direct calls don't renew leases, so tasks started there would be killed when the worker's lease expires. */
     @Test
     fun `a machine whose heartbeats are lost gets no new tasks, although it answers probes`() {
         becomeLeaderWithFleet()
--- a/src/test/kotlin/cleathitch/workers/HeartbeatQueueTest.kt
+++ b/src/test/kotlin/cleathitch/workers/HeartbeatQueueTest.kt
@@ -95,7 +95,7 @@
         assertEquals(1, outcomes.size)
     }
 
-    /** A newer leader may have committed changes that the former leader didn't know of when it decided. */
+    /** A newer leader may have committed changes that the earlier leader didn't know of when it decided. */
     @Test
     fun `decisions of a former leader are discarded`() {
         add(heartbeat())
