--- a/src/main/kotlin/cleathitch/controller/BatchForwarder.kt
+++ b/src/main/kotlin/cleathitch/controller/BatchForwarder.kt
@@ -12,7 +12,7 @@
 import cleathitch.peers.PeerRequest
 import cleathitch.peers.PeerResult
 
-/** Sends a follower's batches to the leader and decodes its decisions, which also count as contact with the leader. */
+/** Sends a follower's batches to the leader and decodes the answers. An answer with decisions also counts as contact with the leader. */
 internal class BatchForwarder(
     private val member: String,
     private val peerAddresses: Map<String, Address>,
@@ -26,7 +26,7 @@
         val encoded = processingTimes.measure(ProcessingStage.BATCH_ENCODING) {
             PeerCodec.encode(PeerRequest.FollowerBatch.of(member, batch))
         }
-        return when (val result = client.ask(address, encoded, timeoutMs)) {
+        return when (val result = client.request(address, encoded, timeoutMs)) {
             is PeerResult.Answered -> resultOf(leader, batch, result.reply)
             PeerResult.Unreachable -> BatchResult.Unreachable
             PeerResult.TimedOut -> BatchResult.TimedOut
--- a/src/main/kotlin/cleathitch/controller/ImageCacheHintSharing.kt
+++ b/src/main/kotlin/cleathitch/controller/ImageCacheHintSharing.kt
@@ -25,7 +25,7 @@
 ) {
     private val received = HashMap<MachineId, ImageCache>()
 
-    /** Stores hints that the current leader sent. */
+    /** Stores hints that a leader sent. */
     fun record(hints: PeerRequest.ImageCacheHints) {
         if (received.size > MAX_MACHINES) received.clear()
         received += hints.toImageCaches()
@@ -39,13 +39,16 @@
         scope.launch {
             for (part in PeerRequest.ImageCacheHints.of(images)) {
                 val encoded = processingTimes.measure(ProcessingStage.IMAGE_HINTS_ENCODING) { PeerCodec.encode(part) }
-                peers.map { peer -> launch { client.ask(peer.address, encoded, timeoutMs) } }.joinAll()
+                peers.map { peer -> launch { client.request(peer.address, encoded, timeoutMs) } }.joinAll()
             }
         }
     }
 
     private companion object {
-        /** Bounds the hints about terminated machines. After a clear, the leader's next messages restore those about existing ones. */
+        /**
+         * The map is cleared when it exceeds this size, because hints about terminated machines aren't removed. The leader's next
+         * messages restore those about existing machines.
+         */
         const val MAX_MACHINES = 10_000
     }
 }
--- a/src/main/kotlin/cleathitch/controller/LeaderAnnouncer.kt
+++ b/src/main/kotlin/cleathitch/controller/LeaderAnnouncer.kt
@@ -41,7 +41,7 @@
 
     private suspend fun announce(term: LeaderTerm, peer: Peer) {
         val announcement = PeerRequest.AnnounceLeader(member, member, term.revision)
-        val reply = client.ask(peer.address, announcement, timeoutMs = periodMs).reply ?: return
+        val reply = client.request(peer.address, announcement, timeoutMs = periodMs).reply ?: return
         contacts.recordContact(peer.member)
         if (reply.term > term.revision) role.stepDown(term.term, "newer_term: ${peer.member} knows ${reply.term}")
     }
@@ -49,7 +49,7 @@
     private companion object {
         const val ANNOUNCEMENTS_PER_LEASE = 3
 
-        /** A contact is recent if it was less than the lease duration divided by this ago. */
+        /** A contact counts as recent for the lease duration divided by this. */
         const val RECENT_CONTACT_DIVISOR = 6
     }
 }
--- a/src/main/kotlin/cleathitch/peers/PeerRequest.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerRequest.kt
@@ -14,7 +14,10 @@
 @Serializable
 @Suppress("ArrayInDataClass") // never compared
 sealed interface PeerRequest {
-    /** Announces the leader and the term that the sender [from] knows; also shows that the sender is running. */
+    /**
+     * Announces that the sender [from] is running and is the leader of [term]. [leader] is kept for the message format: it is always
+     * sent as [from], and is ignored on receipt.
+     */
     @Serializable
     @SerialName("leads")
     data class AnnounceLeader(val from: String, val leader: String?, val term: Long) : PeerRequest
@@ -45,7 +48,7 @@
             indexes.filter { it in images.indices && it in sizesGb.indices }.associate { images[it] to sizesGb[it] }
 
         companion object {
-            /** Keeps a message well below [PeerClient.MAX_BODY], and limits how long its encoding blocks the event loop. */
+            /** Keeps a message well below [PeerClient.MAX_BODY_BYTES], and limits how long its encoding blocks the event loop. */
             private const val MACHINES_PER_MESSAGE = 200
 
             /** The messages that together contain [caches]. */
--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -36,8 +36,9 @@
  * The scheduler as a deterministic state machine for one leadership term. [handle] consumes a batch of inputs and returns
  * the effects to execute, in order. It reads no clock, draws no random numbers and does no I/O. Confined to the leader's event loop.
  *
- * Events are applied to the state in memory immediately, but no output that depends on an event is emitted before its record is
- * committed: replies wait in [JobRequests], worker commands in [CommandDispatcher], calls to the cloud provider in [CloudRequests].
+ * Events are applied to the state in memory immediately, but no output that depends on an event is emitted before the event's
+ * record is committed: replies wait in [JobRequests], worker commands in [CommandDispatcher], calls to the cloud provider in
+ * [CloudRequests].
  *
  * This class creates the components and dispatches inputs to them; each component owns its state.
  */
@@ -48,7 +49,7 @@
     recovered: RecoveredState,
     start: ClockReading,
     sizes: SizeEstimator,
-    /** Less important log lines aren't formatted at all: formatting a line for every state change of every task is costly. */
+    /** Log lines less severe than this aren't even formatted, as formatting one for every state change of every task is costly. */
     private val logLevel: LogLevel = LogLevel.DEBUG,
 ) {
     private val effects = ArrayList<Effect>()
@@ -106,7 +107,7 @@
         failureDetector,
         directReachability,
         start,
-        findOverdueBoots = { scaleInCandidates.overdueBootingMachines(this.now.monotonicMs, lease.listeningSinceMs) },
+        findOverdueBootingMachines = { scaleInCandidates.overdueBootingMachines(this.now.monotonicMs, lease.answeringSinceMs) },
         terminate = cloudRequests::requestTermination,
     )
 
@@ -119,7 +120,7 @@
         StateRecovery(jobTable, inventory, decisionLog).restore(recovered, dispatcher.firstToken)
     }
 
-    /** Number of jobs that aren't archived: those that aren't in a terminal state, have live attempts or await compaction. */
+    /** Number of jobs that aren't archived. Compaction archives a job once it is in a terminal state and has no live attempts. */
     val openJobCount: Int get() = jobTable.jobs.size
 
     /** Number of machines known to be rented. */
@@ -132,7 +133,7 @@
     fun handle(batch: List<Input>, now: ClockReading): List<Effect> {
         this.now = now
         effects.clear()
-        lease.updateListeningPeriod()
+        lease.updateAnsweringPeriod()
         for (input in batch) if (!hasSteppedDown) dispatch(input)
         if (!hasSteppedDown) {
             checkFleetIfDue()
@@ -149,10 +150,10 @@
             is Input.Submit -> jobRequests.submit(input)
             is Input.Poll -> jobRequests.poll(input)
             is Input.Cancel -> jobRequests.cancel(input)
-            is Input.HeartbeatReceived -> heartbeatHandler.heartbeatReceived(input)
+            is Input.HeartbeatReceived -> heartbeatHandler.onHeartbeatReceived(input)
             is Input.FollowerBatchReceived -> followerBatchReceived(input)
-            is Input.ProbeAnswered -> heartbeatHandler.probeAnswered(input.heartbeat)
-            is Input.DirectCallUnanswered -> heartbeatHandler.directCallUnanswered(input.machine)
+            is Input.ProbeAnswered -> heartbeatHandler.onProbeAnswered(input.heartbeat)
+            is Input.DirectCallUnanswered -> heartbeatHandler.onDirectCallUnanswered(input.machine)
             is Input.LeaseRenewed -> lease.renew(input.untilMs)
             is Input.CommitSucceeded -> commitSucceeded(input)
             is Input.MachineTypesListed -> cloudInventoryHandler.onMachineTypesListed(input.types)
@@ -167,12 +168,12 @@
     private fun followerBatchReceived(input: Input.FollowerBatchReceived) {
         val decisions = input.heartbeats.map(heartbeatHandler::decideForwarded)
         val statuses = input.polls.map {
-            if (hasSteppedDown) UserReply.Unavailable("not the leader any more") else jobRequests.currentStatus(it)
+            if (hasSteppedDown) UserReply.Unavailable("this controller is no longer the leader") else jobRequests.currentStatus(it)
         }
         effects += Effect.AnswerFollower(input.request, decisions, statuses)
     }
 
-    /** Sends the output that was waiting for the commit. Stops go before replies, because the replies confirm cancellations to users. */
+    /** Sends the output that waited for the commit: stop commands before replies, because replies confirm cancellations to users. */
     private fun commitSucceeded(input: Input.CommitSucceeded) {
         logWriter.recordCommit(input.index)
         dispatcher.recordRevision(input.revision)
@@ -182,7 +183,10 @@
         cloudRequests.sendDue()
     }
 
-    /** Runs the checks that iterate over all machines once per period, so that the cost of a batch depends only on its inputs. */
+    /**
+     * Runs the checks that iterate over all machines. They run once per period and not for every batch, because the cost of a batch
+     * should depend only on its inputs.
+     */
     private fun checkFleetIfDue() {
         if (now.monotonicMs - lastFleetCheckMs < timings.fleetCheckPeriodMs) return
         lastFleetCheckMs = now.monotonicMs
@@ -192,10 +196,10 @@
         imageCacheHints.shareIfDue()
     }
 
-    /** The state of the term that the components share. */
+    /** The part of the term's state that the components share. */
     private inner class Context : SchedulerContext {
         override val now get() = this@Scheduler.now
-        override val listeningSinceMs get() = lease.listeningSinceMs
+        override val answeringSinceMs get() = lease.answeringSinceMs
         override val hasSteppedDown get() = this@Scheduler.hasSteppedDown
 
         override fun isLeaseHeld() = lease.isHeld()
--- a/src/main/kotlin/cleathitch/scheduler/TermLease.kt
+++ b/src/main/kotlin/cleathitch/scheduler/TermLease.kt
@@ -11,22 +11,22 @@
     private val timings: SchedulerTimings,
     private val inventory: Inventory,
     start: ClockReading,
-    /** Whether the cluster never had a leader before, so that there are no machines whose heartbeats to wait for. */
+    /** Whether the cluster never had a leader before. In that case it has no machines yet whose heartbeats to wait for. */
     private val isFirstTerm: Boolean,
 ) {
     private val startedMs = start.monotonicMs
     private var validUntilMs = startedMs
 
     /**
-     * Since when heartbeats are answered without interruption. During an outage of the key-value store that outlasts the grace
-     * period no heartbeat is answered and every machine appears silent; counting that time would terminate healthy machines.
+     * The time since which heartbeats could be answered without interruption. During an outage of the key-value store that outlasts
+     * the grace period no heartbeat is answered and every machine appears silent; counting that time would terminate healthy machines.
      */
-    var listeningSinceMs = startedMs
+    var answeringSinceMs = startedMs
         private set
 
-    /** Restarts the listening period while heartbeats can't be answered. Called once per batch of inputs. */
-    fun updateListeningPeriod() {
-        if (!mayAnswerMachines()) listeningSinceMs = context.now.monotonicMs
+    /** Restarts the answering period while heartbeats can't be answered. Called once per batch of inputs. */
+    fun updateAnsweringPeriod() {
+        if (!mayAnswerMachines()) answeringSinceMs = context.now.monotonicMs
     }
 
     /** Called when the key-value store has extended the lease to [untilMs]. */
@@ -49,7 +49,10 @@
      */
     fun mayPlaceTasks(): Boolean = isHeld() && inventory.types.isNotEmpty()
 
-    /** Whether all machines have had time to send a heartbeat. Decisions that depend on absent machines, such as scaling, wait for this. */
+    /**
+     * Whether all machines have had time to send a heartbeat. Decisions that rely on missing heartbeats, such as scaling in, wait for
+     * this.
+     */
     fun isFleetObserved(): Boolean = mayPlaceTasks() &&
-        (isFirstTerm && listeningSinceMs == startedMs || context.now.monotonicMs - listeningSinceMs >= timings.failoverSettleMs)
+        (isFirstTerm && answeringSinceMs == startedMs || context.now.monotonicMs - answeringSinceMs >= timings.failoverSettleMs)
 }
--- a/src/main/kotlin/cleathitch/scheduler/api/SchedulerContext.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerContext.kt
@@ -9,8 +9,8 @@
     /** The time of the input batch that is being handled. */
     val now: ClockReading
 
-    /** The monotonic-clock time since which heartbeats have been received continuously. */
-    val listeningSinceMs: Long
+    /** The time on the monotonic clock since which heartbeats could be answered without interruption. */
+    val answeringSinceMs: Long
 
     /** Whether the leader has ended this term, after which no input is handled. */
     val hasSteppedDown: Boolean
@@ -30,7 +30,7 @@
     /** Whether a commit has been waiting for the key-value store's answer for too long. */
     fun isCommitStalled(): Boolean
 
-    /** Applies the event in memory and queues it for the log; returns the index of the record that will hold it. */
+    /** Applies the event in memory and queues it for the log; returns the index of the record that will contain it. */
     fun append(event: Event): LogIndex
 
     /** Adds an effect to the batch's effects. */
@@ -39,7 +39,7 @@
     /** Whether log lines of this level are written. */
     fun isLogged(level: LogLevel): Boolean
 
-    /** Ends the term; with [transferLeadership] the next term is left to other controllers. */
+    /** Ends the term; with [transferLeadership] this controller doesn't campaign for some time, so that another one leads. */
     fun stepDown(reason: String, transferLeadership: Boolean = false)
 }
 
--- a/src/main/kotlin/cleathitch/scheduler/capacity/ScaleInCandidates.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/ScaleInCandidates.kt
@@ -9,29 +9,32 @@
 import kotlin.math.max
 
 /**
- * Scale-in: selects idle machines that aren't worth keeping and machines that failed to boot. Time in which the leader couldn't
- * receive heartbeats doesn't count as idle time: after an outage in which all leases expired, most of the fleet looks idle just
+ * Scale-in: selects idle machines that aren't economical to keep and machines that failed to boot. Time in which the leader couldn't
+ * answer heartbeats doesn't count as idle time: after an outage in which all leases expired, most of the fleet looks idle just
  * before its tasks are restarted.
  */
 class ScaleInCandidates(private val deployment: Deployment, private val inventory: Inventory, private val jobTable: JobTable) {
-    /** Machines that have been idle for longer than is worth paying for; heartbeats are received continuously since [listeningSinceMs]. */
-    fun idleMachines(nowMs: Long, listeningSinceMs: Long): List<Machine> = inventory.machines.values.filter { machine ->
+    /**
+     * Machines that have been idle for so long that keeping them isn't economical; [answeringSinceMs] is the time since which
+     * heartbeats could be answered without interruption.
+     */
+    fun idleMachines(nowMs: Long, answeringSinceMs: Long): List<Machine> = inventory.machines.values.filter { machine ->
         val type = machine.type
         type != null &&
             machine.state == MachineState.UP &&
             jobTable.attemptsOn(machine.id).isEmpty() &&
             nowMs - machine.rentedAtMs >= MIN_CHARGED_MS &&
-            nowMs - max(machine.idleSinceMs, listeningSinceMs) >= type.bootS * MS_PER_S * MAX_IDLE_BOOTS
+            nowMs - max(machine.idleSinceMs, answeringSinceMs) >= type.bootS * MS_PER_S * MAX_IDLE_BOOTS
     }
 
     /**
      * Machines whose boot is long overdue. Excludes machines that the cloud provider lists as running, even if this leader hasn't
      * received a heartbeat from them yet, because the failure detector handles those.
      */
-    fun overdueBootingMachines(nowMs: Long, listeningSinceMs: Long): List<Machine> = inventory.machines.values.filter { machine ->
+    fun overdueBootingMachines(nowMs: Long, answeringSinceMs: Long): List<Machine> = inventory.machines.values.filter { machine ->
         machine.state == MachineState.STARTING &&
             !machine.isListedRunning &&
-            nowMs - max(machine.rentedAtMs, listeningSinceMs) >=
+            nowMs - max(machine.rentedAtMs, answeringSinceMs) >=
             (machine.type?.bootS ?: deployment.workerLeaseS) * MS_PER_S * MAX_BOOT_FACTOR
     }
 
@@ -39,7 +42,7 @@
         /** The cloud provider charges at least one minute per machine, however early it is terminated. */
         const val MIN_CHARGED_MS = 60_000L
 
-        /** Idle machines are kept for this many boot times, a fraction of the time that tasks would wait for a replacement. */
+        /** Idle machines are kept for this many nominal boot times: less than tasks would wait for a replacement to boot. */
         const val MAX_IDLE_BOOTS = 0.5
 
         /** All but a few boots take up to 1.5 times the nominal boot time; a boot counts as failed after this many nominal boot times. */
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
@@ -38,18 +38,21 @@
     var cancelledIndex: LogIndex? = null
         private set
 
-    /** The record that contains the completion of the last task, null while tasks are incomplete. */
+    /**
+     * The record that contains the completion of the last task, null while tasks are incomplete. It has no meaning if the job is
+     * cancelled.
+     */
     var completedIndex: LogIndex? = null
         private set
 
     /** Task failures since the last task completion. */
     private var consecutiveFailures = 0
 
-    /** Backoff after a task failure: no task of the job is started before this time of the monotonic clock. */
+    /** Retry delay after a task failure: no task of the job is started before this time of the monotonic clock. */
     var retryNotBeforeMs = 0L
         private set
 
-    /** All tasks below this index have had an attempt or are completed. */
+    /** All tasks with a lower index have had an attempt or are completed. */
     private var nextUnstartedIndex = 0
 
     /** Indexes of tasks that wait for another attempt; these are started before tasks that had none yet. */
@@ -91,7 +94,7 @@
         retryNotBeforeMs = nowMs + minOf(limitMs, delayMs)
     }
 
-    /** Records a task completion, which resets the backoff delay. */
+    /** Records a task completion, which resets the retry delay. */
     fun recordSuccess() {
         consecutiveFailures = 0
     }
--- a/src/main/kotlin/cleathitch/scheduler/machines/FleetMonitor.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/FleetMonitor.kt
@@ -22,7 +22,7 @@
     private val failureDetector: FailureDetector,
     private val directReachability: DirectReachability,
     start: ClockReading,
-    private val findOverdueBoots: () -> List<Machine>,
+    private val findOverdueBootingMachines: () -> List<Machine>,
     private val terminate: (MachineId, TerminationReason) -> Unit,
 ) {
     private val startedMs = start.monotonicMs
@@ -37,7 +37,7 @@
         if (context.hasSteppedDown) return
         failureDetector.terminateUnresponsive()
         failureDetector.terminateMissingReplies()
-        findOverdueBoots().forEach { terminate(it.id, TerminationReason.NEVER_STARTED) }
+        findOverdueBootingMachines().forEach { terminate(it.id, TerminationReason.NEVER_STARTED) }
     }
 
     /** A worker kills its tasks when its lease expires, so they may be started elsewhere from then on. */
@@ -52,9 +52,9 @@
     }
 
     /**
-     * Steps down in favor of another controller if heartbeats arrive through followers but direct commands don't reach the
-     * machines. Otherwise a leader that is connected to the key-value store but cut off from the machines would consider all of
-     * them silent and terminate them.
+     * Steps down in favor of another controller if heartbeats arrive through followers but direct calls don't reach the machines.
+     * Otherwise a leader that is connected to the key-value store but cut off from the machines would get no answer to any probe,
+     * consider machines silent whose heartbeats are only delayed, and terminate them.
      */
     private fun transferLeadershipIfUnreachable() {
         if (!directReachability.isDirectPathDown(context.now.monotonicMs)) return
--- a/src/test/kotlin/cleathitch/http/StubServer.kt
+++ b/src/test/kotlin/cleathitch/http/StubServer.kt
@@ -7,10 +7,10 @@
 import java.util.concurrent.ConcurrentLinkedQueue
 
 /**
- * An HTTP server on loopback that responds at once, late, partially, on demand or not at all, on its own event loop. A request's
- * path selects the behavior, unless [choose] maps the path to another one.
+ * An HTTP server on loopback that responds at once, late, partially, on demand or not at all, on its own event loop. The path of
+ * a request selects the behavior; if [modeForPath] is given, its result for the path selects the behavior instead.
  */
-class StubServer(private val choose: ((String) -> String)? = null) : AutoCloseable {
+class StubServer(private val modeForPath: ((String) -> String)? = null) : AutoCloseable {
     private val vertx = Vertx.vertx()
     private val held = ConcurrentLinkedQueue<HttpServerRequest>()
 
@@ -18,7 +18,7 @@
     val address = Address("127.0.0.1", runBlocking { server.listen(0, "127.0.0.1").coAwait().actualPort() })
 
     private fun receive(request: HttpServerRequest) {
-        when (choose?.invoke(request.path()) ?: request.path()) {
+        when (modeForPath?.invoke(request.path()) ?: request.path()) {
             HELD -> held += request
             LATE -> vertx.setTimer(LATE_MS) { respond(request) }
             RESET -> request.connection().close()
@@ -44,14 +44,14 @@
     }
 
     companion object {
-        const val AT_ONCE = "/at-once"
+        const val IMMEDIATE = "/at-once"
         const val HELD = "/held"
         const val LATE = "/late"
         const val RESET = "/reset"
         const val CUT_OFF = "/cut-off"
-        val TREATMENTS = listOf(AT_ONCE, HELD, LATE, RESET, CUT_OFF)
+        val BEHAVIORS = listOf(IMMEDIATE, HELD, LATE, RESET, CUT_OFF)
 
-        /** The status of all responses, for which no client decodes the body. */
+        /** The status of all responses. No client decodes the body of a response with this status. */
         const val STATUS = 503
         private const val LATE_MS = 15L
     }
--- a/src/test/kotlin/cleathitch/leader/InputQueueTest.kt
+++ b/src/test/kotlin/cleathitch/leader/InputQueueTest.kt
@@ -9,15 +9,15 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Priority classes and limits of [InputQueue] under a flood of requests. */
+/** Priority classes and limits of [InputQueue] under overload. */
 class InputQueueTest {
     private val queue = InputQueue(maxQueuedRequests = 1000)
     private var requests = 0L
 
     private fun request() = RequestId(++requests)
-    private fun submit(job: Int) = Input.Submit(request(), SimulatedCluster.job(job))
-    private fun poll(job: Int) = Input.Poll(request(), SimulatedCluster.job(job).id)
-    private fun cancel(job: Int) = Input.Cancel(request(), SimulatedCluster.job(job).id)
+    private fun submit(job: Int) = Input.Submit(request(), SimulatedCluster.jobSpec(job))
+    private fun poll(job: Int) = Input.Poll(request(), SimulatedCluster.jobSpec(job).id)
+    private fun cancel(job: Int) = Input.Cancel(request(), SimulatedCluster.jobSpec(job).id)
     private fun next(isAwaited: (Input) -> Boolean = { true }) = queue.nextBatch(isAwaited)
 
     @Test
--- a/src/test/kotlin/cleathitch/workers/HeartbeatQueueTest.kt
+++ b/src/test/kotlin/cleathitch/workers/HeartbeatQueueTest.kt
@@ -95,7 +95,7 @@
         assertEquals(1, outcomes.size)
     }
 
-    /** A newer leader may have committed changes that the former leader didn't know of when it decided. */
+    /** A newer leader may have committed changes that the earlier leader didn't know of when it decided. */
     @Test
     fun `decisions of a former leader are discarded`() {
         add(heartbeat())
@@ -103,7 +103,7 @@
         assertEquals(listOf<ForwardOutcome>(ForwardOutcome.Unanswered), outcomes)
     }
 
-    /** For example, if the follower's process was paused between the leader's answer and its own. */
+    /** Decisions may be late, for example, if the follower's process was paused between the leader's answer and its own. */
     @Test
     fun `decisions after the timeout are discarded`() {
         add(heartbeat(), atMs = 0)
@@ -148,7 +148,7 @@
             val batch = queue.nextBatch(9, 0)
             if (batch.isEmpty) break
             seen += batch.heartbeats.map { it.machine }
-            assertTrue(PeerCodec.encode(message(batch)).size <= PeerClient.MAX_BODY)
+            assertTrue(PeerCodec.encode(message(batch)).size <= PeerClient.MAX_BODY_BYTES)
             queue.completeWithDecisions(batch, batch.heartbeats.map { answer }, currentTerm = 9, nowMs = 0)
         }
         assertEquals(machines + 1, seen.size)
