--- a/src/main/kotlin/cleathitch/election/LeaderElection.kt
+++ b/src/main/kotlin/cleathitch/election/LeaderElection.kt
@@ -11,13 +11,15 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Leader election through the leader's key in the key-value store; the key is attached to a lease. This controller campaigns for
- * the key while it is absent, renews the lease while this controller leads, and watches the key otherwise.
+ * Leader election through the leader's key in the key-value store; the key is attached to a lease. If the key does not exist, this
+ * controller campaigns for it. While this controller leads, it renews the lease. While another controller leads, it watches the key.
  *
- * [run] must be given a dedicated event loop. On a shared loop, renewals would queue behind the heartbeats of a large fleet and come
- * too late while the process is still slow after its start. All times are readings of the monotonic clock. The time to live of a
- * lease is counted from just before the request that granted or renewed it was sent, and is reduced by the maximum clock drift. The
- * lease is therefore never assumed to be valid after it has expired in the key-value store.
+ * [run] must be given a dedicated event loop. On a shared loop, renewals would queue behind the heartbeats of a large fleet. Soon
+ * after the start of the process, when it is still slow, they would come too late.
+ *
+ * All times are readings of the monotonic clock. A lease is assumed to be valid for its time to live minus the maximum clock drift.
+ * This period starts just before the request that grants or renews the lease is sent. The lease is therefore never assumed to be
+ * valid after it has expired in the key-value store.
  *
  * @param incarnation distinguishes this process from earlier processes of the same [member]
  * @param ttlMs the lease's time to live, that is, how long it lasts without renewal
@@ -71,8 +73,9 @@
     }
 
     /**
-     * Leads a term that was won by a compare-and-swap whose response was lost. The remaining time of its lease is unknown, and may be
-     * zero if the process was paused, so the lease is renewed first and its validity counted from that renewal, not from the read.
+     * Leads a term that was won by a compare-and-swap whose response was lost. The remaining time of the term's lease is unknown, and
+     * the lease may have expired if the process was paused. It is therefore renewed first, and its validity is counted from that
+     * renewal and not from the read.
      */
     private suspend fun resumeTerm(entry: KeyValueStoreProtocol.Entry, leader: LeaderRecord, listener: ElectionListener) {
         val sentAtMs = monotonicMs()
@@ -84,8 +87,8 @@
 
     /**
      * Revokes the lease of an earlier process of this member, or of a term from which this process resigned, instead of waiting for
-     * it to expire. A term must not be led twice, because its rental request names and fencing tokens are numbered from its start and
-     * would be reused.
+     * it to expire. A term must not be led twice: the names of rental requests and the fencing tokens are numbered from the
+     * start of the term, so those of the first time would be used again.
      */
     private suspend fun revokeFormerLease(entry: KeyValueStoreProtocol.Entry, leader: LeaderRecord) {
         log.info("term={} event=former_lease_revoked", entry.revision)
@@ -136,8 +139,8 @@
     }
 
     /**
-     * Ends the term if the leader's event loop makes no progress. The lease is left to expire instead of being revoked: the stalled
-     * loop may still send a reply to a user, which it is allowed to do until [LeaderLease.validUntilMs].
+     * Ends the term if the leader's event loop makes no progress. The lease is not revoked but left to expire, because the stalled
+     * loop may still reply to users until [LeaderLease.validUntilMs], and no other controller may lead before then.
      */
     private suspend fun endedByStall(lease: LeaderLease, listener: ElectionListener): Boolean {
         if (monotonicMs() - lease.lastProgressMs <= ttlMs * STALL_TIMEOUT_TTLS) return false
@@ -175,12 +178,12 @@
 
         const val RENEWALS_PER_TTL = 4
 
-        /** How often the leader's key is read per lease TTL after a failed request, or while campaigning is not allowed. */
+        /** Number of reads of the leader's key per lease TTL, after a failed request or while campaigning is not allowed. */
         const val RETRIES_PER_TTL = 8
 
         /**
-         * How long this controller does not campaign after handing over leadership, in lease TTLs. An election takes far less
-         * time; if no other controller has won by then, this one may lead again.
+         * Time during which this controller does not campaign after handing over leadership, in lease TTLs. An election takes far
+         * less time; if no other controller has won by then, this one may lead again.
          */
         const val TRANSFER_COOLDOWN_TTLS = 4
 
--- a/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/Scheduler.kt
@@ -49,7 +49,10 @@
     recovered: RecoveredState,
     start: ClockReading,
     sizes: SizeEstimator,
-    /** Log lines less severe than this aren't even formatted, as formatting one for every state change of every task is costly. */
+    /**
+     * The least severe level that is logged. Less severe log lines aren't formatted at all, because formatting one for every state
+     * change of every task is costly.
+     */
     private val logLevel: LogLevel = LogLevel.DEBUG,
 ) {
     private val effects = ArrayList<Effect>()
@@ -173,7 +176,7 @@
         effects += Effect.AnswerFollower(input.request, decisions, statuses)
     }
 
-    /** Sends the output that waited for the commit: stop commands before replies, because replies confirm cancellations to users. */
+    /** Sends the output that waited for the commit. Stops are sent before replies, because a reply may confirm a cancellation. */
     private fun commitSucceeded(input: Input.CommitSucceeded) {
         logWriter.recordCommit(input.index)
         dispatcher.recordRevision(input.revision)
@@ -185,7 +188,7 @@
 
     /**
      * Runs the checks that iterate over all machines. They run once per period and not for every batch, because the cost of a batch
-     * should depend only on its inputs.
+     * should not grow with the number of machines.
      */
     private fun checkFleetIfDue() {
         if (now.monotonicMs - lastFleetCheckMs < timings.fleetCheckPeriodMs) return
--- a/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
+++ b/src/main/kotlin/cleathitch/scheduler/SchedulingRound.kt
@@ -76,7 +76,7 @@
         val candidates = PlacementRound(inventory, jobTable, inventory.machines.values.filter(::isUsable), context.now.monotonicMs)
         val round = Round(candidates)
         val jobs = SchedulingOrder(completionObjectives, quota, context.now.wallMs).order(waiting)
-        // Overdue jobs get their first task before all others, so that every job starts in time however long the queue is.
+        // Overdue jobs come first, with one task each or the whole gang, so that every job starts in time however long the queue is.
         for (job in jobs) if (SchedulingOrder.isOverdue(job, context.now.wallMs)) round.place(job, limit = 1)
         round.unplacedTasks.clear()
         for (job in jobs) round.place(job)
@@ -111,15 +111,18 @@
         }
 
         private fun recordUnplaced(job: Job) {
-            // No machine fits other jobs of this class either, so these aren't tried in this round. With oneZone or spread they are
-            // tried, because the allowed zones then depend on where each job's own attempts run.
+            // No machine fits the other jobs of this class either, so none is sought for them in this round. This doesn't hold with
+            // oneZone or spread: the allowed zones then differ between jobs, depending on where the attempts of each job run.
             if (!job.spec.oneZone && !job.spec.spread) unplaceableClasses += job.spec.placementClass
             val count = minOf(job.waitingTasks, quota.remainingTasks(job.spec))
             val remaining = count - preempt(job, count)
             if (remaining > 0) unplacedTasks += UnplacedTasks(job.spec, remaining)
         }
 
-        /** Preempts lower-priority tasks for up to [count] tasks of a production job; returns how many of these will fit as a result. */
+        /**
+         * Preempts lower-priority tasks to make room for up to [count] tasks of a production job. Returns the number of the job's tasks
+         * that will fit once all stopping tasks have ended.
+         */
         private fun preempt(job: Job, count: Int): Int {
             if (job.spec.priority != Priority.PRODUCTION || !context.isFleetObserved()) return 0
             val plan = candidates.planPreemption(job, count)
@@ -135,7 +138,7 @@
             return plan.tasks
         }
 
-        /** Starts the gang if all its tasks can be placed and no attempt of an earlier start is still live. */
+        /** Starts all tasks of a gang together, provided that all can be placed and no earlier attempts are live. */
         private fun placeGang(job: Job) {
             if (job.liveAttempts.isNotEmpty() || quota.remainingTasks(job.spec) < job.waitingTasks) return
             val machines = candidates.chooseGangMachines(job)
--- a/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/HeartbeatReconciler.kt
@@ -18,8 +18,8 @@
 import cleathitch.scheduler.model.TaskStatus
 
 /**
- * Reconciles the job table with the task statuses in heartbeats: records completed and terminated attempts, and task failures
- * on the machine. Confined to the leader's event loop.
+ * Updates the job table from the task statuses in heartbeats: records which tasks are completed and which attempts have
+ * terminated, and counts the task failures of each machine. Confined to the leader's event loop.
  */
 internal class HeartbeatReconciler(
     private val context: SchedulerContext,
@@ -66,7 +66,8 @@
 
     private fun reconcileMissing(machine: Machine, attempt: Attempt) {
         attempt.observe(null)
-        // An unreachable machine may never receive the start command; the task would wait until the network partition heals.
+        // An attempt on an unreachable machine is abandoned because the machine may never receive the start command. Otherwise the
+        // task would wait until the network partition heals.
         val isAbandoned = attempt.stopCause != null || !failureDetector.isReachable(machine)
         if (isAbandoned && workerReconciler.isTerminationConfirmed(attempt, machine)) recordTermination(attempt)
     }
--- a/src/main/kotlin/cleathitch/storage/LogStorage.kt
+++ b/src/main/kotlin/cleathitch/storage/LogStorage.kt
@@ -18,9 +18,9 @@
  * Reads and writes the decision log in the key-value store during one term. Owned by the leader's term and used on its event
  * loop, with at most one commit in progress.
  *
- * Every commit is a compare-and-swap on the revisions of the leader's key and of the head key, and rewrites the head key. Therefore
- * a deposed leader cannot commit, and a delayed duplicate of a commit is refused even after compaction has deleted the entries that
- * the commit wrote. [monotonicMs] is the monotonic clock.
+ * Every commit is a compare-and-swap on the revisions of the leader's key and of the head key, and rewrites the head key. The check
+ * of the leader's key keeps a deposed leader from committing. The check of the head key keeps a delayed duplicate of a commit from
+ * being applied, even after compaction has deleted the entries that the commit wrote. [monotonicMs] is the monotonic clock.
  */
 class LogStorage(
     private val store: KeyValueStoreClient,
@@ -35,7 +35,7 @@
     private val headKey = keyPrefix + LogKeys.HEAD
     private var headRevision = KEY_ABSENT
 
-    /** The progress of [load], logged to show what a term was doing if it ends before the scheduler is recovered. */
+    /** The progress of [load]. Logged if the term ends before the scheduler is recovered, to show how far the recovery had come. */
     var loadProgress: LoadProgress = LoadProgress.NotStarted
         private set
 
@@ -127,8 +127,8 @@
     }
 
     /**
-     * The revision at which an earlier attempt to write [commit] was applied although its response was lost; null if the head was not
-     * written by this commit.
+     * Returns the revision of [commit] if an earlier attempt to write it was applied and only the response was lost. Returns null if
+     * the head was not written by this commit.
      */
     private suspend fun revisionOfEarlierAttempt(commit: Commit): Long? {
         val entry = readHead() ?: return null
