--- a/src/main/kotlin/cleathitch/scheduler/LogWriter.kt
+++ b/src/main/kotlin/cleathitch/scheduler/LogWriter.kt
@@ -35,7 +35,7 @@
     private var lastWriteMs = 0L
     private var lastCompactionMs = start.monotonicMs
 
-    /** Whether a reply or a command waits for a queued event, so that the event is written without waiting for the next round. */
+    /** Whether queued events are written without waiting for the next round, because a reply or a command waits for one of them. */
     private var isUrgent = false
     private var isCompacting = false
 
@@ -89,7 +89,7 @@
         /** The fraction of the key-value store's write rate limit that the leader may use; the rest is left for elections. */
         const val WRITE_SHARE = 0.8
 
-        /** The minimum number of changes that must be available to compaction; with fewer it isn't worth a commit. */
+        /** Compaction is skipped while fewer changes than this are available to it; a smaller compaction isn't worth a commit. */
         const val MIN_COMPACTION_CHANGES = 4
 
         /** Changes in the smallest commit that contains events: one record and the head. */
--- a/src/main/kotlin/cleathitch/scheduler/TermLease.kt
+++ b/src/main/kotlin/cleathitch/scheduler/TermLease.kt
@@ -5,26 +5,30 @@
 import cleathitch.scheduler.machines.Inventory
 import cleathitch.scheduler.model.ClockReading
 
-/** The leader's lease in this term, what it permits, and since when heartbeats are answered. Confined to the leader's event loop. */
+/**
+ * Tracks the leader's lease in this term, what the lease permits, and the period in which heartbeats could be answered. Confined to the
+ * leader's event loop.
+ */
 internal class TermLease(
     private val context: SchedulerContext,
     private val timings: SchedulerTimings,
     private val inventory: Inventory,
     start: ClockReading,
-    /** Whether the cluster never had a leader before. In that case it has no machines yet whose heartbeats to wait for. */
+    /** Whether the cluster never had a leader before. Such a cluster has no machines yet, so there are no heartbeats to wait for. */
     private val isFirstTerm: Boolean,
 ) {
     private val startedMs = start.monotonicMs
     private var validUntilMs = startedMs
 
     /**
-     * The time since which heartbeats could be answered without interruption. During an outage of the key-value store that outlasts
-     * the grace period no heartbeat is answered and every machine appears silent; counting that time would terminate healthy machines.
+     * The start of the answering period: the period up to now in which heartbeats could be answered without interruption. During an
+     * outage of the key-value store that outlasts the grace period, no heartbeat is answered and every machine appears silent. If that
+     * time counted as silence of the machines, healthy machines would be terminated.
      */
     var answeringSinceMs = startedMs
         private set
 
-    /** Restarts the answering period while heartbeats can't be answered. Called once per batch of inputs. */
+    /** Moves the start of the answering period to the present if heartbeats can't be answered now. Called once per batch of inputs. */
     fun updateAnsweringPeriod() {
         if (!mayAnswerMachines()) answeringSinceMs = context.now.monotonicMs
     }
@@ -44,8 +48,8 @@
     fun mayAnswerMachines(): Boolean = context.now.monotonicMs < validUntilMs + timings.graceMs
 
     /**
-     * Whether tasks may be placed. There is no need to wait for the whole fleet: a machine's first heartbeat in this term and the job
-     * table together show what may be running on it, so tasks may be placed on it from then on.
+     * Whether tasks may be placed. The leader doesn't wait for heartbeats of the whole fleet: once a machine has sent its first
+     * heartbeat in this term, that heartbeat and the job table show what may be running on it, so tasks may be placed on it.
      */
     fun mayPlaceTasks(): Boolean = isHeld() && inventory.types.isNotEmpty()
 
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Attempt.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Attempt.kt
@@ -15,7 +15,7 @@
     var observedState: TaskState? = null
         private set
 
-    /** When this leader first saw that the attempt has its image, null if it hasn't seen that yet. */
+    /** When this leader first saw that the attempt's image had been fetched, null if it hasn't seen that yet. */
     var runningSinceMs: Long? = null
         private set
 
@@ -30,7 +30,10 @@
     /** The fencing token with which this leader last sent the start command, null if it sent none. */
     private var lastSentToken: FencingToken? = null
 
-    /** Commands of earlier terms that are still in flight have tokens below this one; null if the attempt was created in this term. */
+    /**
+     * An exclusive upper bound on the tokens of commands of earlier terms that may still be in flight; null if the attempt was created
+     * in this term.
+     */
     private var inheritedToken: FencingToken? = null
 
     /** Whether the attempt was created in an earlier term. */
@@ -44,7 +47,7 @@
         observedState = state
     }
 
-    /** Records that the attempt has its image. */
+    /** Records that the attempt's image has been fetched. */
     fun recordRunning(nowMs: Long) {
         runningSinceMs = nowMs
     }
--- a/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/Job.kt
@@ -87,7 +87,10 @@
         if (isTerminal) attemptsByTask.values.forEach { it.requestStop(StopCause.CANCELLED) }
     }
 
-    /** Records a task failure: the delay before the next start doubles with each consecutive one, from [firstDelayMs] up to [limitMs]. */
+    /**
+     * Records a task failure and sets the retry delay, which starts at [firstDelayMs] and doubles with each consecutive failure, up to
+     * [limitMs].
+     */
     fun recordFailure(nowMs: Long, firstDelayMs: Long, limitMs: Long) {
         consecutiveFailures++
         val delayMs = firstDelayMs shl minOf(consecutiveFailures - 1, MAX_DELAY_DOUBLINGS)
--- a/src/main/kotlin/cleathitch/scheduler/jobs/StopCause.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/StopCause.kt
@@ -2,15 +2,15 @@
 
 /** Why an attempt is to be stopped. */
 enum class StopCause {
-    /** Its job is in a terminal state: it is stopped without a checkpoint. */
+    /** The attempt's job is in a terminal state. The attempt is stopped without a checkpoint. */
     CANCELLED,
 
-    /** The cloud provider is about to reclaim its machine: it writes a checkpoint first. */
+    /** The cloud provider is about to reclaim the attempt's machine. The attempt writes a checkpoint first. */
     DRAIN,
 
-    /** It is preempted by a job of higher priority: it writes a checkpoint first. */
+    /** A job of higher priority preempts the attempt. The attempt writes a checkpoint first. */
     PREEMPTED,
 
-    /** Its task was completed by another attempt: it is stopped without a checkpoint. */
+    /** Another attempt completed the task. This attempt is stopped without a checkpoint. */
     SUPERSEDED,
 }
--- a/src/main/kotlin/cleathitch/scheduler/log/CompactionPlan.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/CompactionPlan.kt
@@ -7,9 +7,9 @@
  * The compaction that is part of one commit: snapshots, final states of finished jobs, and deletions of the records that they
  * replace. Built by calling [addRecord] for each record, oldest first.
  *
- * Planning doesn't change the state in memory; that is updated only once the commit is applied. If a job were archived in memory
- * earlier, users could be told a final state that isn't stored yet, and the next leader, which wouldn't find it in the key-value
- * store, could contradict it.
+ * Planning doesn't change the state in memory; that is updated only once the commit is applied. Otherwise users could be told the
+ * final state of a job before it is stored. If the commit were lost, the next leader wouldn't find the final state in the key-value
+ * store and could contradict it.
  *
  * @param index the index of the commit; its snapshots include all records up to this one
  * @param stored the snapshots stored by earlier commits
@@ -25,8 +25,8 @@
     /**
      * Limits of one compaction.
      *
-     * @property changes the number of changes at which planning stops; the deletion of an archived job's parts and the chunk of final
-     * states may exceed it
+     * @property changes planning stops once the plan has this many changes; the deletions of an archived job's parts and the chunk of
+     * final states may take the plan beyond it
      * @property totalBytes the maximum number of bytes of all values together
      * @property valueBytes the maximum number of bytes of one part of a job's snapshot
      * @property chunkBytes a chunk of final states larger than this isn't extended; a new one is begun
@@ -63,7 +63,7 @@
         return planned + Mutation.Put(LogKeys.finishedJobs(finishedJobs.number), StoredValue.FinishedJobs(finishedJobs.snapshot))
     }
 
-    /** Plans the deletion of [record] and the snapshots that replace it, within the limits. */
+    /** Plans to write the snapshots that replace [record] and to delete the record, within the limits. */
     fun addRecord(recordIndex: LogIndex, record: RetainedRecord) {
         if (record.hasUnobservedStarts(jobs)) return
         val isReplaced = record.snapshotKeys.all { ensureSnapshot(it, recordIndex) }
@@ -87,7 +87,7 @@
 
     private fun isBelowLimits() = planned.size < limits.changes && plannedBytes < limits.totalBytes
 
-    /** Returns false if the snapshot is too large for what remains of the byte limit. */
+    /** Plans to write the snapshot under [key], or to archive its job; returns false if a job's snapshot exceeds the remaining bytes. */
     private fun addSnapshot(key: String): Boolean {
         if (key == LogKeys.INVENTORY) {
             planned += Mutation.Put(key, StoredValue.Inventory(inventorySnapshot(index)))
@@ -104,7 +104,7 @@
 
     private fun addJobSnapshot(key: String, snapshot: JobSnapshot): Boolean {
         val size = sizes.sizeOf(snapshot)
-        // A snapshot that exceeds the limit on its own is still stored, as the first one of a plan; it could never be stored otherwise.
+        // The first snapshot of a plan may exceed the limit; a snapshot larger than the limit could never be stored otherwise.
         if (plannedBytes > 0 && plannedBytes + size > limits.totalBytes) return false
         plannedBytes += size
         val id = snapshot.spec.id
--- a/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/DecisionLog.kt
@@ -45,8 +45,8 @@
     val pendingRecordCount get() = pendingRecords.size
 
     /**
-     * Whether compaction was requested with the last commit but left records uncompacted, because it reached its limits or was skipped
-     * while records were pending.
+     * Whether the last commit left records uncompacted although compaction was requested: either compaction reached its limits, or it
+     * was skipped because further records were pending.
      */
     var isCompactionIncomplete = false
         private set
@@ -104,7 +104,8 @@
         }
         val records = takePendingRecords()
         val index = records.lastOrNull()?.index ?: nextIndex()
-        // Snapshots capture the state in memory, which is the state as of this commit only if no later record is pending.
+        // Snapshots capture the state in memory, which includes the events of pending records. If records remain pending, a
+        // snapshot would be newer than this commit, so nothing is compacted.
         val canCompact = isCompactionRequested && pendingRecords.isEmpty()
         val compaction = if (canCompact) planCompaction(index, jobs, inventorySnapshot, maxCompactionChanges) else null
         isCompactionIncomplete = compaction?.isIncomplete ?: isCompactionRequested
@@ -188,7 +189,7 @@
         /** The size limit for the records of a commit, and separately for its compaction. */
         const val MAX_COMMIT_BYTES = MAX_TRANSACTION_BYTES * 0.4
 
-        /** The maximum number of records in a commit is the maximum number of operations in a transaction, divided by this. */
+        /** The maximum number of operations in a transaction is divided by this to obtain the maximum number of records in a commit. */
         const val RECORD_OPS_DIVISOR = 4
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/log/Event.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/Event.kt
@@ -51,7 +51,7 @@
     @SerialName("over")
     data class AttemptTerminated(override val job: JobId, val taskIndex: Int, val number: Long) : JobEvent
 
-    /** Task [taskIndex] was completed by attempt [number]; if that is the task's live attempt, it has terminated. */
+    /** Task [taskIndex] was completed by attempt [number]. If that attempt is still live, this event also records its termination. */
     @Serializable
     @CborArray
     @SerialName("done")
--- a/src/main/kotlin/cleathitch/scheduler/log/LoggedJobs.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/LoggedJobs.kt
@@ -5,7 +5,10 @@
 
 /** The view of the jobs that compaction needs. Implemented by the job table. */
 interface LoggedJobs {
-    /** Whether [attempt] is live and its machine's newest heartbeat, if any, doesn't report it. */
+    /**
+     * Whether [attempt] is live but missing from its machine's newest heartbeat. Before the machine's first heartbeat in this
+     * term, every live attempt on it counts as missing.
+     */
     fun isStartUnobserved(attempt: AttemptId): Boolean
 
     /** The form in which compaction stores job [id] as of record [lastIncludedIndex]. */
--- a/src/main/kotlin/cleathitch/scheduler/log/SizeEstimator.kt
+++ b/src/main/kotlin/cleathitch/scheduler/log/SizeEstimator.kt
@@ -1,6 +1,6 @@
 package cleathitch.scheduler.log
 
-/** Estimates stored sizes, erring on the large side. Implemented where the stored encoding is known; the log itself doesn't know it. */
+/** Estimates stored sizes, erring on the large side. Implemented outside the log, which doesn't know the stored encoding. */
 interface SizeEstimator {
     /** The bytes that [event] takes within its record. */
     fun sizeOf(event: Event): Int
--- a/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/requests/JobRequests.kt
@@ -100,8 +100,8 @@
     }
 
     /**
-     * The reply to a poll that was forwarded in a batch. It is given immediately, as unavailable if the job's acceptance isn't committed
-     * yet: the polls of a batch share one answer, which must not wait for the commit of a single job.
+     * The reply to a poll that was forwarded in a batch. The polls of a batch share one answer, which must not wait for the commit of a
+     * single job. A job whose acceptance isn't committed yet is therefore reported as unavailable immediately.
      */
     fun currentStatus(id: JobId): UserReply {
         if (!context.isLeaseHeld()) return UserReply.Unavailable("the leader does not hold a valid lease")
@@ -181,8 +181,8 @@
     }
 
     /**
-     * Logs a final state that a reply contains, because it can't be retracted once a user has seen it. [record] is the record that
-     * establishes the state, null for an archived job; the reply is sent only once that record is committed.
+     * Logs the [state] in a reply if it is final, because a final state can't be retracted once a user has seen it. [record] is the
+     * record that establishes the state, null for an archived job; the reply is sent only once that record is committed.
      */
     private fun logFinalState(id: JobId, state: JobState, record: LogIndex?) {
         if (state != JobState.DONE && state != JobState.CANCELLED) return
