--- a/src/main/kotlin/cleathitch/scheduler/machines/CommandDispatcher.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/CommandDispatcher.kt
@@ -32,7 +32,7 @@
     /** The lowest token of this term: a machine that reports this or a higher one has received a message of this leader. */
     val firstToken = FencingToken.first(term.revision)
 
-    /** The token of the last message with commands, or the first token of the current range if no message has used the range yet. */
+    /** The newest token: that of the last message with commands, or the first one of a range that no message has used yet. */
     var token = firstToken
         private set
 
@@ -40,13 +40,14 @@
     private val pushesAwaitingCommit = HashMap<LogIndex, MutableSet<MachineId>>()
 
     /**
-     * Attempts whose stop commands are sent once a record is committed, by the index of the record. If the stops waited for each
-     * machine's next heartbeat, a task that is fetching its image could start after the user has received the reply to the
-     * cancellation; and if an outage followed immediately, running tasks would only end when the workers' leases expire.
+     * Attempts whose stop commands are sent once a record is committed, by the index of the record. The stop commands don't wait for
+     * the machine's next heartbeat. Otherwise a task that is fetching its image could start after the user has received the reply to
+     * the cancellation, and in an outage that begins before the heartbeat, running tasks would end only when the workers' leases
+     * expire.
      */
     private val stopsAwaitingCommit = TreeMap<LogIndex, MutableList<Attempt>>()
 
-    /** Machines with stop commands that may be sent now; each call of [sendPendingStops] sends commands to a limited number. */
+    /** Machines whose stop commands may be sent now. Each call of [sendPendingStops] contacts only a limited number of them. */
     private val pendingStops = LinkedHashSet<MachineId>()
 
     /** Records the key-value store's revision after a commit, which makes a new range of tokens available. */
@@ -116,7 +117,7 @@
         is WorkerCommand.Forget -> "command=forget attempt=${command.attempt}"
     }
 
-    /** Empty when the current range of tokens is exhausted, because a message without a new token couldn't be fenced. */
+    /** The commands that are due, or none if the range of tokens is exhausted: a message without a new token couldn't be fenced. */
     private fun commandsFor(machine: Machine) = if (token.remainingCount == 0L) emptyList() else workerReconciler.commandsFor(machine)
 
     private fun recordSent(machine: Machine, commands: List<WorkerCommand>) {
--- a/src/main/kotlin/cleathitch/scheduler/machines/DirectReachability.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/DirectReachability.kt
@@ -6,10 +6,10 @@
 /**
  * Detects that direct calls don't reach machines whose heartbeats still arrive through followers.
  *
- * A machine counts as reachable only through followers if a direct call to it wasn't answered and a later forwarded heartbeat
- * reports the token of a message that this leader sent after that call had failed. The machine is then running and connected to
- * the leader through a follower, which indicates that the leader's own network path to the workers is down. Direct contact with
- * any machine clears the suspicion. Confined to the leader's event loop.
+ * A machine counts as reachable only through followers under two conditions: a direct call to it wasn't answered, and a later
+ * heartbeat, forwarded by a follower, reports a newer token than that of the leader's last reply to it before that failure. The
+ * machine is then running and connected to the leader through a follower, which indicates that the leader's own network path to
+ * the workers is down. Direct contact with any machine clears the suspicion. Confined to the leader's event loop.
  */
 internal class DirectReachability(private val timeoutMs: Long) {
     private class UnansweredCall(val sinceMs: Long, val lastReplyToken: FencingToken)
--- a/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/FailureDetector.kt
@@ -39,10 +39,10 @@
     }
 
     /**
-     * Probes machines that miss a heartbeat, and terminates those that don't answer the probes either: once the cloud provider
-     * confirms the termination, their tasks can restart, long before the leases expire. Machines behind a network partition are
-     * kept, because termination would kill tasks that still run. Also terminates machines whose heartbeats don't arrive although
-     * they answer probes, and machines unseen since the failover.
+     * Probes machines that miss a heartbeat, and terminates those that don't answer the probes either. Their tasks can restart as
+     * soon as the cloud provider confirms the termination, which is long before the leases expire. Machines behind a network
+     * partition are kept, because termination would kill tasks that still run. Also terminates machines whose heartbeats don't
+     * arrive although they answer probes, and machines unseen since the failover.
      */
     fun terminateUnresponsive() {
         val up = inventory.machines.values.filter { it.state == MachineState.UP }
@@ -64,8 +64,8 @@
 
     /**
      * Terminates machines that answer probes but whose own heartbeats don't arrive: they have lost their leases, so no task can
-     * run on them. If a majority is affected at the same time, a network partition is assumed, as with silent machines, and they
-     * are terminated only after twice the time.
+     * run on them. If a majority of a zone or of the fleet is affected at the same time, a network partition is assumed, and the
+     * timeout is doubled.
      */
     private fun terminateWithoutHeartbeats(up: List<Machine>) {
         val partition = PartitionDetector(up) { timeSinceHeartbeatMs(it) >= timings.silentAfterMs }
@@ -85,10 +85,10 @@
 
     /** Terminates machines that don't receive the leader's replies: their leases expire repeatedly, which kills their tasks. */
     fun terminateMissingReplies() {
-        // Counts machines that missed even a single reply: machines affected by the same fault reach the limit one after another.
-        // If only machines at the limit were counted, there would be few at a time, and each would be terminated.
+        // Includes machines that have missed only a single reply. Machines affected by the same fault reach the limit one after
+        // another, so a count of the machines at the limit would stay small, and each of them would be terminated.
         val suspects = inventory.machines.values.filter { it.state == MachineState.UP && it.missedReplies > 0 }
-        // If many machines miss replies at the same time, the leader's replies are more likely late than the machines faulty.
+        // If many machines miss replies at the same time, late replies of the leader are a likelier cause than faulty machines.
         if (suspects.size > maxOf(MIN_INDEPENDENT_REPLY_LOSSES, inventory.machines.size / INDEPENDENT_REPLY_LOSS_DIVISOR)) return
         suspects.filter { it.missesReplies }.forEach { terminate(it.id, TerminationReason.MISSES_REPLIES) }
     }
@@ -102,7 +102,7 @@
 
     /**
      * Whether heartbeats and replies pass between the machine and the leader, as far as is known. If they don't, the worker's lease
-     * expires even if direct calls arrive, and the worker then kills the tasks that were started.
+     * expires, and the worker kills its tasks, even those that it was told to start by a direct call.
      */
     fun isReachable(machine: Machine): Boolean = !machine.missesReplies && timeSinceHeartbeatMs(machine) < timings.silentAfterMs
 
@@ -114,10 +114,11 @@
         nowMs - maxOf(machine.lastContactMs ?: machine.expectedSinceMs, context.answeringSinceMs)
 
     /**
-     * Expects heartbeats from a machine that the cloud provider lists as running but that hasn't reported in this term:
-     * immediately if tasks may run on it, otherwise once all machines have had time to report. Must be called
-     * periodically, not only for listed machines: a machine that is reclaimed before its first heartbeat isn't listed again and
-     * would otherwise count as booting forever.
+     * Starts to expect heartbeats from a machine that the cloud provider has listed as running but that hasn't reported in this term.
+     * If tasks may run on the machine, this happens immediately, otherwise once all machines have had time to report.
+     *
+     * Must be called periodically for every machine, whether or not the newest list contains it. A machine that is reclaimed before
+     * its first heartbeat isn't listed again and would otherwise count as booting forever.
      */
     fun expectIfRunning(machine: Machine) {
         if (machine.state != MachineState.STARTING || !machine.isListedRunning) return
@@ -133,8 +134,9 @@
         private const val PROBES_BEFORE_TERMINATION = 2
 
         /**
-         * If more machines miss replies than both the fleet size divided by [INDEPENDENT_REPLY_LOSS_DIVISOR] and
-         * [MIN_INDEPENDENT_REPLY_LOSSES], the fault is attributed to the leader's replies, and none of them is terminated.
+         * Machines that miss replies are terminated only while there are few of them: at most [MIN_INDEPENDENT_REPLY_LOSSES] or the
+         * fleet size divided by [INDEPENDENT_REPLY_LOSS_DIVISOR], whichever is greater. If there are more, the fault is attributed to
+         * the leader's replies.
          */
         private const val INDEPENDENT_REPLY_LOSS_DIVISOR = 10
         private const val MIN_INDEPENDENT_REPLY_LOSSES = 2
--- a/src/main/kotlin/cleathitch/scheduler/machines/FleetMonitor.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/FleetMonitor.kt
@@ -53,8 +53,8 @@
 
     /**
      * Steps down in favor of another controller if heartbeats arrive through followers but direct calls don't reach the machines.
-     * Otherwise a leader that is connected to the key-value store but cut off from the machines would get no answer to any probe,
-     * consider machines silent whose heartbeats are only delayed, and terminate them.
+     * A leader that is connected to the key-value store but cut off from the machines gets no answer to any probe. If it
+     * remained leader, it would mistake machines whose heartbeats are only delayed for silent ones and terminate them.
      */
     private fun transferLeadershipIfUnreachable() {
         if (!directReachability.isDirectPathDown(context.now.monotonicMs)) return
--- a/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Inventory.kt
@@ -56,7 +56,7 @@
         partitionedZones = partitioned
     }
 
-    /** Applies an event that is recorded in the log or queued for it. */
+    /** Applies an event that has been written to the log or is queued to be written. */
     fun apply(event: Event.InventoryEvent) {
         when (event) {
             is Event.RentalRequested -> rentalsByRequest[event.request] = event
--- a/src/main/kotlin/cleathitch/scheduler/machines/Machine.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/Machine.kt
@@ -181,7 +181,7 @@
         state = MachineState.TERMINATING
     }
 
-    /** Records the machine's entry in the cloud provider's list; its [address] is used until a heartbeat contains the worker's own. */
+    /** Records the machine's entry in the cloud provider's list. The listed [address] is used until the first heartbeat replaces it. */
     fun recordListing(isRunning: Boolean, address: String?) {
         isListedRunning = isRunning
         if (this.address == null) this.address = address
--- a/src/main/kotlin/cleathitch/scheduler/machines/MachineRegistry.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/MachineRegistry.kt
@@ -20,7 +20,10 @@
 ) {
     private val terminatedMachines = LinkedHashSet<MachineId>()
 
-    /** Until this time a machine that this leader never answered may still run tasks under a lease granted by an earlier leader. */
+    /**
+     * Upper bound on the end of leases granted by earlier leaders. Until then, even a machine that this leader never answered may run
+     * tasks.
+     */
     val inheritedLeaseEndMs = start.monotonicMs + timings.graceMs + leaseMs()
 
     /** Whether the cloud provider has confirmed the machine's termination. */
@@ -43,7 +46,7 @@
     private fun leaseMs() = (deployment.workerLeaseS * 1000).toLong() + timings.leaseMarginMs
 
     private companion object {
-        /** Number of terminated machines that are remembered to distinguish their delayed heartbeats from those of new machines. */
+        /** Limit on the terminated machines remembered. The delayed heartbeat of a forgotten one looks like that of a new machine. */
         const val MAX_TERMINATED_MACHINES = 4096
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/machines/PartitionDetector.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/PartitionDetector.kt
@@ -4,9 +4,11 @@
  * Decides whether suspected machines have failed or are cut off by a network partition.
  *
  * Single machines, or a rack of them, are considered failed. If more than half of a zone or of the whole fleet is suspected at
- * the same time, a partition is more likely, and the machines continue to run their tasks until their leases expire. All suspects
- * count, not only those due for termination: in a partition the machines of a fleet become silent over the course of a heartbeat
- * period, and if only those due were counted, they would be terminated a few at a time.
+ * the same time, a partition is more likely, and the machines continue to run their tasks until their leases expire.
+ *
+ * All suspects count, not only those due for termination. The machines behind a partition become silent one by one over the course
+ * of a heartbeat period, so only a few become due at a time. If only these were counted, they would not be a majority, and the
+ * machines would be terminated a few at a time.
  */
 class PartitionDetector(up: List<Machine>, isSuspected: (Machine) -> Boolean) {
     /** The suspected machines, in the given order. */
--- a/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/machines/WorkerReconciler.kt
@@ -36,9 +36,10 @@
 
     /**
      * Whether an attempt that the newest heartbeat doesn't report can no longer run. A start command in flight could still start it,
-     * unless the worker has reported a higher token than that of every start command for the attempt, or its incarnation is newer
-     * than the one to which the last start command was sent: workers reject commands for an earlier incarnation. A machine that
-     * receives no messages from the leader can only meet the second condition.
+     * except in two cases, in which the worker rejects the command:
+     * - The worker has reported a higher token than that of every start command for the attempt.
+     * - The worker's incarnation is newer than the one to which the last start command was sent. This is the only case that can apply
+     *   to a machine that receives no messages from the leader.
      */
     fun isTerminationConfirmed(attempt: Attempt, machine: Machine): Boolean {
         val newestStartToken = attempt.newestStartToken ?: return true
--- a/src/main/kotlin/cleathitch/scheduler/placement/AllowedZones.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/AllowedZones.kt
@@ -19,8 +19,8 @@
 
     companion object {
         /**
-         * Evaluates the job's `oneZone` and `spread` constraints. Every attempt that may still be running counts in the zone of its
-         * machine; if the zone of one of these machines is unknown, no zone is allowed.
+         * Evaluates the job's `oneZone` and `spread` constraints. The number of the job's tasks in a zone includes every attempt that
+         * may still be running there. If the zone of such an attempt is unknown, no zone is allowed.
          */
         fun of(job: Job, inventory: Inventory): AllowedZones {
             val spec = job.spec
--- a/src/main/kotlin/cleathitch/scheduler/placement/PlacementCost.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/PlacementCost.kt
@@ -7,8 +7,9 @@
 private const val IMAGE_FETCH_COST = 2.0
 
 /**
- * The cost of placing a task that may run on spot machines on an on-demand one. It exceeds [IMAGE_FETCH_COST], so that on-demand
- * machines stay free for tasks that need them even if the image has to be fetched to a spot machine.
+ * The cost of placing a task that may run on spot machines on an on-demand one. It exceeds [IMAGE_FETCH_COST], so a spot
+ * machine is preferred even if it has to fetch the image, though not necessarily if it is already fetching other images. This
+ * keeps on-demand machines free for tasks that need them.
  */
 private const val ON_DEMAND_PENALTY = 4.0
 
--- a/src/main/kotlin/cleathitch/scheduler/placement/PreemptionPlanner.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/PreemptionPlanner.kt
@@ -8,8 +8,8 @@
 import java.util.PriorityQueue
 
 /**
- * Selects victims for one placement class in one round, machine by machine, in ascending order of the work lost. Resources that
- * stopping tasks are about to free cost nothing and are used first. Only tasks of lower priority are preempted.
+ * Selects victims for one placement class in one round, machine by machine, in ascending order of the work lost. The resources of
+ * tasks that are already stopping cost nothing and are used first. Only tasks of lower priority are preempted.
  */
 internal class PreemptionPlanner(
     private val spec: JobSpec,
@@ -17,7 +17,7 @@
     private val jobTable: JobTable,
     private val nowMs: Long,
 ) {
-    /** A machine on which [tasks] more tasks fit once [removed] have ended; [victims] are the part of [removed] not yet stopping. */
+    /** A machine on which [tasks] more tasks fit once [removed] have ended. Of these, [victims] still have to be stopped. */
     private class Option(
         val machine: Machine,
         val removed: List<Attempt>,
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Selects the victims whose resources let up to [maxTasks] tasks fit in the allowed zones. */
+    /** Selects victims in the allowed zones so that up to [maxTasks] tasks of the class fit there. */
     fun plan(allowedZones: AllowedZones, maxTasks: Int): PreemptionPlan {
         val victims = ArrayList<Attempt>()
         var remaining = maxTasks
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Removes the option with the lowest loss per task in the allowed zones from the queue. */
+    /** Removes and returns the option with the lowest loss per task among those in the allowed zones. */
     private fun pollBest(allowedZones: AllowedZones): Option? {
         val skipped = ArrayList<Option>()
         var option = options.poll()
--- a/src/main/kotlin/cleathitch/scheduler/placement/SchedulingOrder.kt
+++ b/src/main/kotlin/cleathitch/scheduler/placement/SchedulingOrder.kt
@@ -6,9 +6,9 @@
 import cleathitch.scheduler.model.Priority
 
 /**
- * The order in which waiting jobs are scheduled: by priority; within a priority, jobs within their team's guaranteed quota come
- * first; among these and among the others, the order is by submission time plus a delay. The delay depends on the job's size and
- * on the number of completion objectives that it can no longer meet.
+ * The order in which waiting jobs are scheduled. Jobs of higher priority come first. Within a priority, jobs that are within their
+ * team's guaranteed quota come before the others. Within each of these groups, jobs are sorted by their submission time plus a
+ * delay, which depends on the job's size and on the number of completion objectives that it can no longer meet.
  *
  * The delay is bounded, so a stream of other jobs can't starve a job. Plain shortest-job-first would starve the largest arrays
  * for as long as smaller ones arrive.
@@ -51,7 +51,7 @@
         /** The delay of the largest waiting job of a class, as a fraction of the class's shortest completion objective. */
         private const val SIZE_WEIGHT = 0.5
 
-        /** A job has to start within four minutes; half of that leaves time to boot a machine and fetch the image. */
+        /** A job has to start within four minutes. Two of these are reserved for booting a machine and fetching the image. */
         private const val OVERDUE_AFTER_MS = 120_000L
 
         /** Whether the job has waited so long without any attempt that its first task is scheduled before all other jobs. */
