--- a/src/main/kotlin/cleathitch/scheduler/api/Effect.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/Effect.kt
@@ -13,7 +13,7 @@
     /** Answers a user's submission, poll or cancellation. */
     data class Answer(val request: RequestId, val reply: UserReply) : Effect
 
-    /** Answers a worker's heartbeat, which renews its lease, with [commands] under [token]. */
+    /** Answers a worker's heartbeat with [commands] under [token]; this answer renews the worker's lease. */
     data class AnswerHeartbeat(val request: RequestId, val token: FencingToken, val commands: List<WorkerCommand>) : Effect
 
     /** Refuses a worker's heartbeat, so that its lease isn't renewed. */
--- a/src/main/kotlin/cleathitch/scheduler/api/ForwardedHeartbeat.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/ForwardedHeartbeat.kt
@@ -15,8 +15,8 @@
     }
 
     /**
-     * A heartbeat that differs from an earlier one of the same incarnation, its base, only in sequence number, token and preemption
-     * notice. [baseSequenceNumber] is the base's sequence number; this leader has acknowledged the base.
+     * A heartbeat that is sent as its difference from a base: an earlier heartbeat of the same incarnation that this leader has
+     * acknowledged. Only sequence number, token and preemption notice differ. [baseSequenceNumber] is the base's sequence number.
      */
     data class Unchanged(
         override val machine: MachineId,
--- a/src/main/kotlin/cleathitch/scheduler/api/RentalAnswer.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/RentalAnswer.kt
@@ -2,7 +2,7 @@
 
 import cleathitch.scheduler.model.MachineId
 
-/** The cloud provider's answer to a rental request. */
+/** The cloud provider's response to a rental request. */
 sealed interface RentalAnswer {
     /** These machines are rented, possibly fewer than requested. */
     data class Rented(val machines: List<MachineId>) : RentalAnswer
@@ -13,6 +13,6 @@
     /** The cloud provider rejected the request itself, so retrying doesn't help. */
     data object Rejected : RentalAnswer
 
-    /** There was no answer, or it couldn't be parsed; the request is resent under the same name. */
+    /** There was no response, or a malformed or unexpected one; the request is resent under the same name. */
     data object Unknown : RentalAnswer
 }
--- a/src/main/kotlin/cleathitch/scheduler/api/SchedulerContext.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerContext.kt
@@ -27,7 +27,7 @@
     /** Whether all machines have had time to send a heartbeat, so that decisions may rely on missing heartbeats. */
     fun isFleetObserved(): Boolean
 
-    /** Whether a commit has been waiting for the key-value store's answer for too long. */
+    /** Whether a commit has been waiting for the key-value store's response for too long. */
     fun isCommitStalled(): Boolean
 
     /** Applies the event in memory and queues it for the log; returns the index of the record that will contain it. */
--- a/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
+++ b/src/main/kotlin/cleathitch/scheduler/api/SchedulerTimings.kt
@@ -29,7 +29,7 @@
     /** Time to live of the leader's key after its last renewal. */
     val leaderLeaseMs: Long,
 
-    /** Period at which the whole fleet is checked for machines that are silent, have lost their lease or never booted. */
+    /** Period at which the whole fleet is checked for silent machines, expired workers' leases and machines that never booted. */
     val fleetCheckPeriodMs: Long,
 
     /** Time without a heartbeat after which a machine is probed and gets no new tasks; exceeds one period, as some heartbeats are late. */
@@ -41,7 +41,7 @@
     /** Time without a heartbeat or an answer to a probe after which a machine is terminated: two heartbeat periods. */
     val silentAfterMs: Long,
 
-    /** Time without an answered heartbeat after which a machine has certainly lost its lease. */
+    /** Time without an answered heartbeat after which a worker's lease has certainly expired. */
     val leaseLostAfterMs: Long,
 
     /** Minimum time between two termination calls to the cloud provider; terminations requested in between are batched into one call. */
@@ -51,8 +51,9 @@
     val imageHintPeriodMs: Long,
 
     /**
-     * How long a new leader waits before it makes decisions that rely on missing heartbeats, such as rentals and terminations. Longer
-     * than one heartbeat period, so that every live machine has had time to send a heartbeat.
+     * How long a new leader waits before it makes decisions that rely on missing heartbeats, such as terminations. Rentals wait as
+     * well, but only until the cloud provider has listed its machines. Longer than one heartbeat period, so that every live machine
+     * has had time to send a heartbeat.
      */
     val failoverSettleMs: Long,
 
@@ -70,7 +71,7 @@
         private const val MAX_ROUND_MS = 2000.0
         private const val DEFAULT_COMPACTION_MS = 10_000L
 
-        /** Rounds within the shortest start deadline: a failover may skip one round, and starting a task takes time. */
+        /** Number of rounds within the shortest start deadline; several, as a failover may skip one and starting a task takes time. */
         private const val ROUNDS_PER_START_DEADLINE = 4
 
         /** Fleet checks per heartbeat period, so that an overdue heartbeat is detected soon. */
@@ -79,7 +80,7 @@
         /** Key changes that a round writes: its log record and the log's head. */
         private const val CHANGES_PER_ROUND = 2
 
-        /** The fraction of the time between the end of a worker's lease and the cancellation deadline that is used for [graceMs]. */
+        /** [graceMs] as a fraction of the time by which the cancellation deadline exceeds the duration of a worker's lease. */
         private const val GRACE_SHARE = 0.25
 
         /** The bound on the relative drift between two monotonic clocks: twice the bound for one clock. */
@@ -129,7 +130,10 @@
             }
         }.minOrNull()
 
-        /** Cancelled tasks have to end by the cancellation deadline even if an earlier leader answers until its grace period ends. */
+        /**
+         * Short enough for cancelled tasks to end by the cancellation deadline, even if an earlier leader renews workers' leases until the
+         * end of its grace period.
+         */
         private fun graceMs(deployment: Deployment): Long {
             val spareMs = (deployment.cancellationDeadlineS - deployment.workerLeaseS) * MS_PER_S
             return (spareMs * GRACE_SHARE).toLong().coerceAtLeast(0)
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CapacityPlanner.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CapacityPlanner.kt
@@ -9,9 +9,9 @@
 import kotlin.math.min
 
 /**
- * Scale-out: decides which machines to rent for tasks that fit on no existing machine. Demands are first assigned to booting
- * machines and unanswered rentals, so that no machine is rented for them twice; for the rest, the cheapest offers are rented.
- * Keeps no state between calls. Confined to the leader's event loop.
+ * Scale-out: decides which machines to rent for tasks that fit on no existing machine. Tasks are first assigned to booting machines
+ * and to rentals that the cloud provider hasn't answered yet, so that no second machine is rented for the same task. For the
+ * remaining tasks, the cheapest offers are rented. Keeps no state between calls. Confined to the leader's event loop.
  */
 class CapacityPlanner(private val deployment: Deployment, private val inventory: Inventory) {
     /** Plans the rentals for [demands], in the given order, with at most [maxCalls] rental calls. */
@@ -32,7 +32,7 @@
             }
             if (spotAllowed) unmetBySpot += demand.copy(tasks = min(remaining, demand.urgentTasks))
         }
-        // Tasks that may run on spot machines get on-demand ones only if no spot machine is available and they can't wait.
+        // On-demand machines are rented for spot-allowed tasks only if the tasks can't wait and no spot machine is available.
         for (demand in unmetBySpot) rent(demand, demand.tasks, nowMs, plan, spotOnly = false) {}
         return plan.rentals()
     }
@@ -49,7 +49,7 @@
         return capacities
     }
 
-    /** Splits the demand of a spread job, whose tasks need resources in more than one zone, into one demand per zone. */
+    /** Splits the demand of spread jobs into one demand per zone, because the tasks of such a job need resources in several zones. */
     private fun splitByZone(demand: MachineDemand): List<MachineDemand> {
         val placementClass = demand.placementClass
         val zones = inventory.zones
@@ -109,7 +109,7 @@
         type.priceOf(spot) / tasks * (1 + type.bootS / (deployment.workerLeaseS * EXPECTED_LIFETIME_IN_LEASES))
 
     private companion object {
-        /** The expected lifetime of a machine in lease durations, over which its boot time is amortized. */
+        /** The expected lifetime of a machine, as a multiple of [Deployment.workerLeaseS]; its boot time is amortized over it. */
         const val EXPECTED_LIFETIME_IN_LEASES = 6.0
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudInventoryHandler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudInventoryHandler.kt
@@ -22,7 +22,7 @@
     private val failureDetector: FailureDetector,
     private val cloudRequests: CloudRequests,
 ) {
-    /** Whether the cloud provider has listed its machines in this term. */
+    /** Whether the cloud provider's machine list has been received in this term. */
     var areMachinesListed = false
         private set
 
--- a/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/CloudRequests.kt
@@ -21,8 +21,8 @@
 
 /**
  * The rentals and terminations that the leader requests from the cloud provider. Each is recorded in the decision log before it is
- * sent, so that the next leader knows of it. A request is resent until it is answered, a rental under the same request name, so that
- * a lost answer doesn't cause a second rental.
+ * sent, so that the next leader knows of it. A request is resent until the cloud provider answers it. A resent rental keeps its
+ * request name, so that a lost response doesn't cause a second rental.
  */
 internal class CloudRequests(
     private val context: SchedulerContext,
@@ -31,7 +31,7 @@
     private val inventory: Inventory,
     private val decisionLog: DecisionLog,
     term: Term,
-    /** Whether the cloud provider has confirmed the machine's termination; a late answer to its rental may still list it. */
+    /** Whether the cloud provider has confirmed the machine's termination; a delayed rental response may still contain such a machine. */
     private val isTerminated: (MachineId) -> Boolean,
     /** Adds a rented machine to the inventory. */
     private val register: (MachineId, Offer) -> Machine,
@@ -39,7 +39,10 @@
     private val rentalSentMs = HashMap<String, Long>()
     private val terminationSentMs = HashMap<MachineId, Long>()
 
-    /** The log records of this term's rentals, by request, and terminations, by machine; a request waits for its record's commit. */
+    /**
+     * The log records of the rentals and terminations requested in this term, by request name or machine identifier. A request is
+     * sent only once its record is committed.
+     */
     private val recordByRequest = HashMap<String, LogIndex>()
     private val requestPrefix = "r-${term.revision}-"
     private var rentalsRequested = 0L
@@ -54,7 +57,8 @@
 
     /** Records the termination of the machine; the call is made once the record is committed. */
     fun requestTermination(id: MachineId, reason: TerminationReason) {
-        // Unconfirmed terminations have to fit into one stored value; the next round retries.
+        // All unconfirmed terminations have to fit into one stored value. Beyond that no termination is requested; the caller
+        // requests it again in its next round.
         if (inventory.terminatingMachines.size >= deployment.maxStoredValueBytes / BYTES_PER_TERMINATION) return
         recordByRequest[id.text] = context.append(Event.MachineTerminationRequested(id))
         context.logEvent(LogLevel.INFO) { "event=termination_requested machine=$id reason=${reason.logName}" }
@@ -77,7 +81,10 @@
         }
     }
 
-    /** The cloud provider may rent out fewer machines than requested; the missing ones aren't requested again under this name. */
+    /**
+     * Records the rented machines. The cloud provider may rent out fewer than requested; the rental counts as completed nevertheless,
+     * so the missing machines aren't requested again under its request name.
+     */
     private fun recordRented(rental: Event.RentalRequested, rented: List<MachineId>) {
         rented.filter { !isTerminated(it) }.forEach { register(it, rental.offer).confirmExistence() }
         if (rented.size < rental.count) inventory.recordRefusal(rental.offer, context.now.monotonicMs)
@@ -131,7 +138,10 @@
         return sentMs == null || context.now.monotonicMs - sentMs >= retryAfterMs
     }
 
-    /** Whether the request's record is committed. Requests of earlier terms have no entry here; their records are committed. */
+    /**
+     * Whether the request's record is committed. Requests of earlier terms have no entry in [recordByRequest], because their records
+     * were already committed when this term started.
+     */
     private fun isCommitted(request: String) = (recordByRequest[request] ?: LogIndex.NONE) <= decisionLog.committedIndex
 
     private companion object {
@@ -139,8 +149,8 @@
         const val MAX_TERMINATIONS_PER_CALL = 100
 
         /**
-         * Unconfirmed terminations share one stored value with the pending rentals; a machine's identifier takes up about half of
-         * this many bytes there.
+         * Number of bytes of a stored value that are allowed for each unconfirmed termination: about twice the size of a machine's
+         * identifier there, because the pending rentals are stored in the same value.
          */
         const val BYTES_PER_TERMINATION = 27
     }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/DemandForecast.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/DemandForecast.kt
@@ -23,8 +23,8 @@
         if (unplaced.isEmpty()) return emptyList()
         val freedCpusPerS = freedCpusPerS()
         val shortages = LinkedHashMap<PlacementClass, Shortage>()
-        // CPUs that running tasks will free in time but that are already reserved for earlier entries of the list: within half of an
-        // entry's slack, and within all of it.
+        // Each entry reserves CPUs that running tasks free in time, so that later entries don't count on them too. CPUs that are freed
+        // within half of an entry's slack and CPUs that are freed within all of it are counted separately.
         var reservedInHalfSlack = 0.0
         var reservedInSlack = 0.0
         for (tasks in unplaced) {
@@ -48,8 +48,8 @@
         .sumOf { it.liveAttempts.size * it.spec.cpus / it.spec.estimatedRunS }
 
     /**
-     * How long a task may wait in the queue: the first objective of its class that it can meet, less its run time and the time to
-     * fetch its image. For a task that can't meet any objective it is the whole last objective, because a new machine wouldn't help.
+     * How long a task may wait in the queue: the shortest objective of its class that it can meet, less its run time and the time to
+     * fetch its image. If it can't meet any, a new machine wouldn't help; it may then wait for the full time of the longest objective.
      */
     private fun slackS(spec: JobSpec): Double {
         if (spec.kind != JobKind.ARRAY) return 0.0
@@ -60,7 +60,7 @@
         return if (reachableS != null) reachableS - spec.estimatedRunS - fetchS else objectivesS.last()
     }
 
-    /** The tasks of a placement class for which running tasks don't free enough resources in time. */
+    /** The tasks of one placement class that can't be placed in time because running tasks free too few resources. */
     private class Shortage {
         private var tasks = 0
         private var meanSlackS = 0.0
--- a/src/main/kotlin/cleathitch/scheduler/capacity/FleetScaler.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/FleetScaler.kt
@@ -26,8 +26,8 @@
     }
 
     /**
-     * The cloud provider's machine list is as good a basis for scaling out as heartbeats are: listed machines without a
-     * heartbeat count as booting.
+     * Scaling out needs either heartbeats or the cloud provider's machine list: listed machines without a heartbeat count as booting,
+     * so no machine is rented in their place.
      */
     private fun mayScaleOut() = context.isFleetObserved() || (context.mayPlaceTasks() && cloudInventoryHandler.areMachinesListed)
 
@@ -45,7 +45,7 @@
     }
 
     private companion object {
-        /** About the shortest period in which the cloud provider's machine list can change. */
+        /** The minimum time between two changes of the cloud provider's machine list is about this long. */
         const val SCALING_PERIOD_MS = 1000L
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/capacity/MachineDemand.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/MachineDemand.kt
@@ -8,7 +8,7 @@
     val placementClass: PlacementClass,
     /** The number of tasks that need a new machine. */
     val tasks: Int,
-    /** The number of these tasks for which running tasks don't free enough resources within the whole slack either. */
+    /** The number of these tasks that can't wait: running tasks free too few resources for them even within their whole slack. */
     val urgentTasks: Int,
     /** How long the tasks may wait, including the boot time, and still meet their objective. */
     val slackS: Double = 0.0,
--- a/src/main/kotlin/cleathitch/scheduler/capacity/RentalPlan.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/RentalPlan.kt
@@ -3,7 +3,10 @@
 import cleathitch.scheduler.model.Offer
 import kotlin.math.min
 
-/** The machines to rent, by offer, batched into as few calls as the cloud provider's limit per call allows, and at most [maxCalls]. */
+/**
+ * The machines to rent, by offer. They are batched into as few calls as the cloud provider's limit on machines per call allows;
+ * [maxCalls] limits the number of calls.
+ */
 internal class RentalPlan(private val maxCalls: Int) {
     private val machinesByOffer = LinkedHashMap<Offer, Int>()
 
--- a/src/main/kotlin/cleathitch/scheduler/capacity/ScaleInCandidates.kt
+++ b/src/main/kotlin/cleathitch/scheduler/capacity/ScaleInCandidates.kt
@@ -10,8 +10,8 @@
 
 /**
  * Scale-in: selects idle machines that aren't economical to keep and machines that failed to boot. Time in which the leader couldn't
- * answer heartbeats doesn't count as idle time: after an outage in which all leases expired, most of the fleet looks idle just
- * before its tasks are restarted.
+ * answer heartbeats doesn't count as idle time: after an outage in which all workers' leases expired, most machines have no tasks
+ * until the tasks are restarted.
  */
 class ScaleInCandidates(private val deployment: Deployment, private val inventory: Inventory, private val jobTable: JobTable) {
     /**
@@ -42,10 +42,10 @@
         /** The cloud provider charges at least one minute per machine, however early it is terminated. */
         const val MIN_CHARGED_MS = 60_000L
 
-        /** Idle machines are kept for this many nominal boot times: less than tasks would wait for a replacement to boot. */
+        /** Idle machines are kept for this many nominal boot times, which is less time than tasks would wait for a replacement to boot. */
         const val MAX_IDLE_BOOTS = 0.5
 
-        /** All but a few boots take up to 1.5 times the nominal boot time; a boot counts as failed after this many nominal boot times. */
+        /** A boot counts as failed after this many nominal boot times; nearly all boots take at most 1.5 nominal boot times. */
         const val MAX_BOOT_FACTOR = 2.5
     }
 }
--- a/src/main/kotlin/cleathitch/scheduler/model/Deployment.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/Deployment.kt
@@ -11,7 +11,7 @@
     val heartbeatPeriodS: Double,
     /** Lease duration of a worker, in seconds: how long it runs its tasks without a new reply to its heartbeats. */
     val workerLeaseS: Double,
-    /** Seconds from the confirmed cancellation of a job until none of its tasks may run any more; longer than [workerLeaseS]. */
+    /** Seconds after the confirmation of a job's cancellation by which all its tasks must have ended; longer than [workerLeaseS]. */
     val cancellationDeadlineS: Double,
     /** Rate limit of the key-value store, in requests per second. */
     val storeRequestsPerS: Double,
--- a/src/main/kotlin/cleathitch/scheduler/model/ExitReason.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/ExitReason.kt
@@ -11,10 +11,10 @@
     /** The task itself failed with an error. */
     ERROR,
 
-    /** The machine had too few free resources for the task. */
+    /** The machine had too few free resources for the task, so the leader considers it full for one heartbeat period. */
     NO_ROOM,
 
-    /** The resources that it needs were still in use on the machine. */
+    /** The resources for the task were still in use on the machine; unlike after [NO_ROOM], the machine doesn't count as full. */
     BUSY,
 
     /** The worker doesn't know why it ended. */
--- a/src/main/kotlin/cleathitch/scheduler/model/Heartbeat.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/Heartbeat.kt
@@ -1,6 +1,9 @@
 package cleathitch.scheduler.model
 
-/** A worker's heartbeat with the status of its tasks. A heartbeat with a larger ([incarnation], [sequenceNumber]) is newer. */
+/**
+ * A worker's heartbeat with the status of its tasks. A heartbeat is newer than another one of the same machine if its [incarnation] is
+ * larger, or if the incarnations are equal and its [sequenceNumber] is larger.
+ */
 data class Heartbeat(
     val machine: MachineId,
     /** Address at which the worker accepts direct commands, as `host:port`. */
--- a/src/main/kotlin/cleathitch/scheduler/model/Identifiers.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/Identifiers.kt
@@ -17,7 +17,7 @@
     override fun toString() = text
 }
 
-/** The identifier of a task: its job and its index there. */
+/** The identifier of a task: its job and its index within the job. */
 @Serializable
 data class TaskId(val job: JobId, val index: Int) {
     override fun toString() = "$job/$index"
@@ -32,7 +32,9 @@
     override fun toString() = "$task#$number"
 }
 
-/** A leader's term, identified by the key-value store's revision at which the leader's key was created; increases with every leader. */
+/**
+ * A leader's term, identified by the key-value store's revision at the creation of the leader's key. Later terms have larger revisions.
+ */
 @JvmInline
 value class Term(val revision: Long)
 
--- a/src/main/kotlin/cleathitch/scheduler/model/Objective.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/Objective.kt
@@ -1,6 +1,6 @@
 package cleathitch.scheduler.model
 
-/** A service-level objective: at least the fraction [share] of the cases has to meet the deadline of [deadlineS] seconds. */
+/** A service-level objective: at least the fraction [share] of its jobs or tasks has to meet the deadline of [deadlineS] seconds. */
 sealed interface Objective {
     val deadlineS: Double
     val share: Double
--- a/src/main/kotlin/cleathitch/scheduler/model/PlacementClass.kt
+++ b/src/main/kotlin/cleathitch/scheduler/model/PlacementClass.kt
@@ -52,7 +52,7 @@
     fun fittingTasks(type: MachineType): Int = fittingTasks(type.cpus, type.gpus, type.memoryGb)
 
     private companion object {
-        /** Upper bound of the result, which applies to tasks that request no resources; far above what a machine can run. */
+        /** Upper bound on the number of fitting tasks; returned for tasks that request no resources. Far above what a machine can run. */
         const val MAX_FITTING_TASKS = 1e6
     }
 }
