--- a/src/main/kotlin/cleathitch/controller/ControllerRole.kt
+++ b/src/main/kotlin/cleathitch/controller/ControllerRole.kt
@@ -40,11 +40,17 @@
     var leader: String? = null
         private set
 
-    /** The newest term of which this controller has learned, or a later revision of the key-value store that had no leader key. */
+    /**
+     * The newest term known to this controller, or the newest known revision of the key-value store at which no controller held the
+     * leader key, whichever is later.
+     */
     var leaderTerm = 0L
         private set
 
-    /** When another controller was last known to be alive as leader; null if none ever was. */
+    /**
+     * The time of the last evidence that another controller is the leader: a new holder of the leader key, or a message from the
+     * leader. Null if there was none.
+     */
     var lastLeaderContactMs: Long? = null
         private set
 
--- a/src/main/kotlin/cleathitch/controller/HeartbeatRouter.kt
+++ b/src/main/kotlin/cleathitch/controller/HeartbeatRouter.kt
@@ -30,7 +30,8 @@
 ) {
     /** Answers the heartbeat in the request body [body]. */
     suspend fun handle(body: ByteArray): HttpResponse {
-        // Right after an election all workers send heartbeats at once, so one that can't be answered is rejected before decoding.
+        // Right after an election, all workers send heartbeats at once. A heartbeat that can't be answered is therefore rejected
+        // without being decoded.
         if (role.activeTerm?.isReady == false || role.activeTerm == null && role.leader == null) return HttpResponse(503)
         if (role.activeTerm == null && batcher.isLeaderUnreachable) return redirectTo(role.leader)
         val heartbeat = try {
--- a/src/main/kotlin/cleathitch/controller/ImageCacheHintSharing.kt
+++ b/src/main/kotlin/cleathitch/controller/ImageCacheHintSharing.kt
@@ -31,7 +31,7 @@
         received += hints.toImageCaches()
     }
 
-    /** A copy of the hints received from other leaders. */
+    /** A copy of the hints that leaders have sent to this controller. */
     fun snapshot(): Map<MachineId, ImageCache> = HashMap(received)
 
     /** Sends the hints to all peers in several messages, so that other work can run on this event loop in between. */
--- a/src/main/kotlin/cleathitch/controller/LeaderAnnouncer.kt
+++ b/src/main/kotlin/cleathitch/controller/LeaderAnnouncer.kt
@@ -11,7 +11,7 @@
 
 /**
  * Announces this controller to its peers while it is the leader, so that they know the leader even if the key-value store is
- * unavailable. Each call runs in its own coroutine of [scope], so that one slow peer doesn't delay the others.
+ * unavailable. Each announcement is sent in its own coroutine of [scope], so that a slow peer doesn't delay those to other peers.
  */
 internal class LeaderAnnouncer(
     private val member: String,
--- a/src/main/kotlin/cleathitch/controller/Readiness.kt
+++ b/src/main/kotlin/cleathitch/controller/Readiness.kt
@@ -4,8 +4,8 @@
 
 /**
  * Whether this controller can serve requests, itself or through the leader. The load balancer waits longer after each failed
- * check before it uses a controller again. Transient conditions therefore don't make a controller unready: an election, or an
- * outage of the key-value store that affects the other controllers too.
+ * check before it uses a controller again. A controller therefore stays ready under transient conditions: during an election, or
+ * during an outage of the key-value store that also affects the other controllers.
  */
 internal class Readiness(
     private val role: ControllerRole,
@@ -25,7 +25,8 @@
 
     private fun isReadyAsFollower(): Boolean {
         val silentMs = monotonicMs() - (role.lastLeaderContactMs ?: return false)
-        // The leader key expires with the lease, so no leader means an election. Otherwise the leader is alive, but slow or partitioned.
+        // The leader key is deleted when the leader's lease expires. If nobody holds the key, an election is in progress; if somebody
+        // does, the leader is alive, but slow or separated by a network partition.
         return silentMs < leaderLeaseMs * if (role.leader == null) ELECTION_LEASES else LEADER_SILENCE_LEASES
     }
 
--- a/src/main/kotlin/cleathitch/controller/UserRequestRouter.kt
+++ b/src/main/kotlin/cleathitch/controller/UserRequestRouter.kt
@@ -11,14 +11,17 @@
 import cleathitch.scheduler.api.UserReply
 import cleathitch.scheduler.model.JobId
 
-/** Answers users' requests: the leader itself, a follower through the leader. Confined to the controller's event loop. */
+/** Answers users' requests; a follower passes them on to the leader. Confined to the controller's event loop. */
 internal class UserRequestRouter(
     private val role: ControllerRole,
     private val batcher: LeaderBatcher,
     private val client: PeerClient,
     private val peerAddresses: Map<String, Address>,
 ) {
-    /** Answers one request. If a peer [forwarded] it, it isn't forwarded again: it could loop while two peers disagree on the leader. */
+    /**
+     * Answers one request. A request that a peer has [forwarded] isn't forwarded again, because it could go back and forth between
+     * two controllers that disagree on the leader.
+     */
     suspend fun handle(method: String, path: String, body: ByteArray, forwarded: Boolean): HttpResponse =
         when (val request = UserRequest.parse(method, path, body)) {
             UserRequest.MethodNotAllowed -> HttpResponse(405)
--- a/src/main/kotlin/cleathitch/election/ElectionListener.kt
+++ b/src/main/kotlin/cleathitch/election/ElectionListener.kt
@@ -9,8 +9,8 @@
     fun onTermEnded(lease: LeaderLease, reason: TermEndReason)
 
     /**
-     * Another controller, [member], leads in [term]. If [member] is null there is no leader, or the leader's record is malformed;
-     * without a leader, [term] is the latest known revision of the key-value store.
+     * Another controller, [member], leads in [term]. [member] is null if the leader's record is malformed, or if there is no leader.
+     * If there is no leader, [term] is the latest known revision of the key-value store.
      */
     fun onLeaderObserved(member: String?, term: Long)
 }
--- a/src/main/kotlin/cleathitch/leader/Clocks.kt
+++ b/src/main/kotlin/cleathitch/leader/Clocks.kt
@@ -5,7 +5,8 @@
 
 /**
  * The clocks of this process. Leases, timeouts and periods use the monotonic clock, which never jumps. The wall clock is used
- * only for the times in stored records and for comparisons with them, because these times have to be comparable across processes.
+ * only to set the times in stored records and to compare with them: other processes read the records too, and monotonic readings of
+ * different processes are not comparable.
  */
 class Clocks {
     /** The monotonic clock in milliseconds; its readings are comparable only within this process. */
--- a/src/main/kotlin/cleathitch/leader/DeploymentPeriods.kt
+++ b/src/main/kotlin/cleathitch/leader/DeploymentPeriods.kt
@@ -10,7 +10,7 @@
 /** How long a worker's lease is valid after its last renewal. */
 val Deployment.workerLeaseMs get() = toMs(workerLeaseS)
 
-/** How far the cloud provider's list of machines may lag behind its actual state. */
+/** The maximum time by which the cloud provider's list of machines lags behind the actual state of the machines. */
 val Deployment.machineListLagMs get() = toMs(machineListLagS)
 
 private fun toMs(seconds: Double) = (seconds * 1000).toLong()
--- a/src/main/kotlin/cleathitch/leader/EffectExecutor.kt
+++ b/src/main/kotlin/cleathitch/leader/EffectExecutor.kt
@@ -19,7 +19,7 @@
  * Executes the scheduler's effects and returns their results to it as inputs through [enqueue]. Runs on the event loop; the
  * coroutines that it launches belong to [scope] and are cancelled at the end of the term. [monotonicMs] is the monotonic clock.
  */
-// Each parameter is the target of one kind of effect; grouping them would only add types without a meaning of their own.
+// Most parameters serve one kind of effect each; a class that groups them would have no meaning of its own.
 @Suppress("LongParameterList")
 internal class EffectExecutor(
     private val scope: CoroutineScope,
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Whether a reply to a user may be sent. After the scheduler decided on the reply, the process may have been paused for longer
-     * than the lease; another controller may lead by now, and the reply could contradict its replies.
+     * Whether a reply to a user may be sent. The process may have been paused for longer than the lease since the scheduler decided
+     * on the reply. Another controller may then be the leader, and the reply could contradict the replies of that leader.
      */
     private fun isLeaseValid() = monotonicMs() < lease.validUntilMs
 
--- a/src/main/kotlin/cleathitch/leader/InputQueue.kt
+++ b/src/main/kotlin/cleathitch/leader/InputQueue.kt
@@ -8,7 +8,8 @@
  *
  * Requests beyond [maxQueuedRequests] are refused, which bounds memory and latency under overload. The results of probes and direct
  * command calls count as requests. Each batch takes a bounded number of inputs of each class except the first, so that no class
- * starves another. Requests about the same job stay in order, and so do heartbeats of the same machine.
+ * starves another. A poll or cancellation does not overtake an earlier submission of the same job; only a poll in a follower's batch
+ * may do so. Heartbeats of the same machine stay in order.
  */
 class InputQueue(private val maxQueuedRequests: Int) {
     /** The priority classes, in the order in which their inputs are placed in a batch. */
@@ -25,7 +26,7 @@
 
     private val queued = PriorityClass.entries.associateWith { ArrayDeque<Input>() }
 
-    /** The number of queued submissions of each job; later requests about the job must not overtake them. */
+    /** The number of queued submissions of each job. Later polls and cancellations of the job are queued behind them. */
     private val queuedSubmissions = HashMap<JobId, Int>()
 
     /** The number of queued requests of all classes. */
--- a/src/main/kotlin/cleathitch/leader/PendingRequests.kt
+++ b/src/main/kotlin/cleathitch/leader/PendingRequests.kt
@@ -6,8 +6,8 @@
 /**
  * The requests of one kind that await the scheduler's answer, oldest first. Confined to the event loop.
  *
- * Requests are timed out by [expire], which the term's periodic tick calls. A timer for each request would cost a tenth of the
- * work of handling a heartbeat.
+ * Requests are timed out by [expire], which the term's periodic tick calls. A separate timer for each request would cost a tenth
+ * as much as handling a heartbeat.
  */
 internal class PendingRequests<T>(private val monotonicMs: () -> Long) {
     private class Pending<T>(val sinceMs: Long) {
--- a/src/main/kotlin/cleathitch/leader/TermRequests.kt
+++ b/src/main/kotlin/cleathitch/leader/TermRequests.kt
@@ -102,7 +102,7 @@
             UserReply.Unavailable("this controller is no longer the leader")
     }
 
-    /** The estimated time until the queued requests are handled and the queue has room again, at the rate of the last batch. */
+    /** The estimated time until all queued requests are handled, at the rate of the last batch; the queue has room again by then. */
     private fun estimatedDrainSeconds(): Int =
         (queue.queuedRequests * lastBatchMsPerInput / MS_PER_SECOND).toInt().coerceIn(1, MAX_RETRY_AFTER_S)
 
@@ -112,7 +112,7 @@
         /** The maximum Retry-After that the protocol allows, in seconds. */
         const val MAX_RETRY_AFTER_S = 30
 
-        /** Longer than the scheduler's own time limit for a request, so that it takes effect only if the scheduler stalls. */
+        /** Longer than the scheduler's own time limit for an answer, so that requests time out here only if the scheduler stalls. */
         const val REQUEST_TIMEOUT_MS = 3000L
     }
 }
--- a/src/main/kotlin/cleathitch/storage/LoadProgress.kt
+++ b/src/main/kotlin/cleathitch/storage/LoadProgress.kt
@@ -7,7 +7,10 @@
         override fun toString() = "log not read yet"
     }
 
-    /** Waiting for [page], counted from 1, after [entries] entries from the previous pages, in the given [attempt] to read all pages. */
+    /**
+     * Waiting for a page of the log. [page] is its number, [entries] the number of entries on the pages before it, and [attempt] the
+     * number of the attempt to read the whole log. Pages and attempts are counted from 1.
+     */
     data class ReadingPage(val page: Int, val entries: Int, val attempt: Int) : LoadProgress {
         override fun toString() = "reading log page=$page entries=$entries attempt=$attempt"
     }
