--- a/src/main/kotlin/cleathitch/cli/ClassArchiveTraining.kt
+++ b/src/main/kotlin/cleathitch/cli/ClassArchiveTraining.kt
@@ -32,8 +32,8 @@
 
 /**
  * Runs a controller as leader on loopback for a short time, with a platform that accepts every request, and exits. The build
- * runs it so that the JVM can archive the loaded classes (class data sharing): on a third of a core, loading them takes a
- * controller seconds after each restart. Everything that it starts ends with the process.
+ * runs it so that the JVM can archive the loaded classes (class data sharing): without the archive, a controller with a third of
+ * a core spends seconds after each restart on loading them. Everything that it starts ends with the process.
  */
 @Command(name = "train-class-archive", hidden = true, description = ["Loads the classes of a controller for the build's class archive."])
 class ClassArchiveTraining : Runnable {
--- a/src/main/kotlin/cleathitch/http/CallOutcome.kt
+++ b/src/main/kotlin/cleathitch/http/CallOutcome.kt
@@ -10,7 +10,7 @@
         override val metricTag = "answered"
     }
 
-    /** The server is overloaded or failing, so a retry may succeed, unlike after any other error status. */
+    /** The server is overloaded or failing. A retry may succeed, which isn't expected after any other error status. */
     data class Refused(val status: Int) : CallOutcome {
         override val metricTag get() = "refused"
     }
--- a/src/main/kotlin/cleathitch/http/ClientMeters.kt
+++ b/src/main/kotlin/cleathitch/http/ClientMeters.kt
@@ -25,7 +25,7 @@
         waiting.incrementAndGet()
     }
 
-    /** Records that an acquisition has succeeded or failed, even if the call that requested it has already ended. */
+    /** Records that an acquisition has succeeded or failed. The call that requested it may have ended earlier. */
     fun recordAcquisitionEnd(succeeded: Boolean) {
         waiting.decrementAndGet()
         if (succeeded) inUse.incrementAndGet()
--- a/src/main/kotlin/cleathitch/peers/BatchResult.kt
+++ b/src/main/kotlin/cleathitch/peers/BatchResult.kt
@@ -8,7 +8,10 @@
     /** The leader's decisions about the batch's heartbeats and its answers to the polls, each in the order of the batch. */
     data class Answered(val decisions: List<HeartbeatDecision>, val statuses: List<UserReply>) : BatchResult
 
-    /** The receiving controller isn't the leader of the batch's term or isn't ready yet, or sending failed within this controller. */
+    /**
+     * The receiving controller isn't the leader of the batch's term or isn't ready yet. Also returned if this controller doesn't know
+     * the leader's address or an exception was thrown while it sent the batch.
+     */
     data object NotLeading : BatchResult
 
     /** The connection failed, or the answer isn't a valid peer reply. */
--- a/src/main/kotlin/cleathitch/peers/PeerClient.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerClient.kt
@@ -20,7 +20,7 @@
     suspend fun request(peer: Address, request: PeerRequest, timeoutMs: Long): PeerResult =
         request(peer, PeerCodec.encode(request), timeoutMs)
 
-    /** Sends a request that is already encoded, so that one for several peers is encoded only once. */
+    /** Sends a request that is already encoded, so that a request to several peers is encoded only once. */
     suspend fun request(peer: Address, encoded: ByteArray, timeoutMs: Long): PeerResult =
         when (val result = client.call(peer, HttpMethod.POST, PATH, encoded, timeoutMs)) {
             is CallResult.Answered -> if (result.status == OK) decode(peer, result) else PeerResult.Unreachable
@@ -42,8 +42,8 @@
         const val PATH = "/peer"
 
         /**
-         * The maximum size of a request's body, in bytes. Batches are far smaller: each of their parts is limited, or is a single message
-         * of at most [MessageCodec.MAX_BODY_BYTES].
+         * The maximum size of a request's body, in bytes. Batches are far smaller: each of their lists is limited. A heartbeat that
+         * exceeds the limit of its list is the only one in the list, and has at most [MessageCodec.MAX_BODY_BYTES].
          */
         const val MAX_BODY_BYTES = 4 * MessageCodec.MAX_BODY_BYTES
 
--- a/src/main/kotlin/cleathitch/peers/PeerRequest.kt
+++ b/src/main/kotlin/cleathitch/peers/PeerRequest.kt
@@ -15,8 +15,8 @@
 @Suppress("ArrayInDataClass") // never compared
 sealed interface PeerRequest {
     /**
-     * Announces that the sender [from] is running and is the leader of [term]. [leader] is kept for the message format: it is always
-     * sent as [from], and is ignored on receipt.
+     * Announces that the sender [from] is running and is the leader of [term]. [leader] exists only because it is part of the message
+     * format: senders set it to the same value as [from], and receivers ignore it.
      */
     @Serializable
     @SerialName("leads")
@@ -81,7 +81,10 @@
             fullHeartbeats.map { ForwardedHeartbeat.Full(it.toHeartbeat()) } + unchangedHeartbeats.map { it.toHeartbeat() }
 
         companion object {
-            /** The message for [batch]. Full heartbeats come first in both, so the leader's decisions are in the order of the batch. */
+            /**
+             * The message for [batch]. Full heartbeats precede unchanged ones in the batch and in the message, so the leader's decisions
+             * are in the order of the batch.
+             */
             fun of(from: String, batch: OutgoingBatch): FollowerBatch {
                 val heartbeats = batch.heartbeats.heartbeats
                 return FollowerBatch(
--- a/src/main/kotlin/cleathitch/peers/PollQueue.kt
+++ b/src/main/kotlin/cleathitch/peers/PollQueue.kt
@@ -13,8 +13,8 @@
     private val waiting = LinkedHashMap<JobId, MutableList<PendingPoll>>()
 
     /**
-     * Polls that have been sent to the leader. A poll for the same job that arrives later isn't added to these: their answer may
-     * be older than a state that its user has already seen.
+     * Polls that have been sent to the leader. A poll for the same job that arrives later doesn't share their answer, which may
+     * be older than a state that the later poll's user has already seen.
      */
     private val inFlight = HashMap<JobId, List<PendingPoll>>()
 
@@ -26,7 +26,7 @@
         waiting.getOrPut(job) { ArrayList() } += PendingPoll(nowMs, complete)
     }
 
-    /** Marks the polls for the longest-waiting jobs, at most [limit] jobs, as in flight and returns these jobs. */
+    /** Marks the polls for at most [limit] jobs, starting with the longest-waiting job, as in flight. Returns these jobs. */
     fun take(limit: Int): List<JobId> {
         val jobs = waiting.keys.take(limit)
         jobs.forEach { inFlight[it] = waiting.remove(it).orEmpty() }
--- a/src/main/kotlin/cleathitch/peers/WorkerCommandDelivery.kt
+++ b/src/main/kotlin/cleathitch/peers/WorkerCommandDelivery.kt
@@ -12,9 +12,9 @@
  * workers, or directly. Connections to all workers would cost the leader more than all its other work.
  *
  * Followers only relay commands. A delivery that a follower delays is as harmless as one that the network delays: workers check the
- * incarnation and the fencing token, and followers check the term. A result is ignored unless its command was sent less than
- * [resultTimeoutMs] ago: a later one doesn't show that the machine is still alive. Confined to the leader's event loop; results are
- * passed to [enqueue].
+ * incarnation and the fencing token, and followers check the term. A follower's result is ignored if it arrives
+ * [resultTimeoutMs] or more after the command was sent: such a late result doesn't show that the machine is still alive. Confined to
+ * the leader's event loop; results are passed to [enqueue].
  */
 class WorkerCommandDelivery(
     private val routes: WorkerCommandRoutes,
--- a/src/main/kotlin/cleathitch/protocol/KeyValueStoreProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/KeyValueStoreProtocol.kt
@@ -41,7 +41,7 @@
     /** Decodes the id of a new lease. */
     fun lease(body: ByteArray): Long = MessageCodec.decodeMap(body).requiredLong("arriendo")
 
-    /** Decodes the response to a rejected transaction: the keys whose guards did not hold. */
+    /** Decodes the response to a rejected transaction: the keys that didn't have the expected revision. */
     fun failedKeys(body: ByteArray): List<String> = MessageCodec.decodeMap(body).requiredTexts("failed")
 
     /** Decodes the reason for which a request was rejected; null if the store gave none. */
--- a/src/main/kotlin/cleathitch/protocol/MessageFields.kt
+++ b/src/main/kotlin/cleathitch/protocol/MessageFields.kt
@@ -4,8 +4,8 @@
 
 /*
  * Typed access to the fields of a message. A `required...` function throws MalformedMessageException if the field is missing or
- * null. A function for one type of value, required or optional, also throws it if the value is of another type. The exception
- * names the field.
+ * null. Both `required...` and `optional...` functions for values of one type also throw it if the value is of another type. The
+ * exception names the field.
  */
 
 /** The maximum length of received text that an error message quotes. */
--- a/src/main/kotlin/cleathitch/protocol/UserProtocol.kt
+++ b/src/main/kotlin/cleathitch/protocol/UserProtocol.kt
@@ -18,7 +18,7 @@
     private const val MAX_NAME_LENGTH = 256
     private const val MAX_MACHINE_TYPES = 256
 
-    /** Larger amounts are taken for mistakes. Up to this bound, sums over all tasks are precise enough in floating point. */
+    /** Larger amounts are rejected as mistakes. Up to this bound, sums over all tasks are precise enough in floating point. */
     private const val MAX_AMOUNT = 1e9
 
     private const val OK = 200
--- a/src/main/kotlin/cleathitch/workers/HeartbeatQueue.kt
+++ b/src/main/kotlin/cleathitch/workers/HeartbeatQueue.kt
@@ -8,10 +8,10 @@
 /**
  * The heartbeats that a follower has received and on which the leader is to decide.
  *
- * At most one heartbeat per machine is queued: a worker has only one request in flight, so an older one has timed out at the
- * worker. A heartbeat with the same content as one that the leader acknowledged in its current term is forwarded as
- * [ForwardedHeartbeat.Unchanged]. The queue has no clock, does no I/O, and never renews a worker's lease on its own. Confined to
- * the event loop of its owner.
+ * At most one heartbeat per machine is queued: a worker has only one request in flight, so when a newer heartbeat arrives, the
+ * older one has timed out at the worker. A heartbeat with the same content as one that the leader acknowledged in its current
+ * term is forwarded as [ForwardedHeartbeat.Unchanged]. The queue has no clock, does no I/O, and never renews a worker's lease on
+ * its own. Confined to the event loop of its owner.
  */
 class HeartbeatQueue(private val answerTimeoutMs: Long) {
     internal class PendingHeartbeat(val heartbeat: Heartbeat, val arrivedMs: Long, val complete: (ForwardOutcome) -> Unit)
@@ -158,14 +158,14 @@
         const val MAX_HEARTBEATS_PER_BATCH = 400
 
         /**
-         * Half the maximum body size of a worker's request, because sizes are estimates. A larger heartbeat is sent alone, and fits into a
-         * peer request.
+         * Half the maximum body size of a worker's request, because the sizes of heartbeats are only estimated. A heartbeat
+         * that exceeds this limit is the only one in its batch, and fits into a peer request.
          */
         private const val MAX_BATCH_BYTES = 32 * 1024
 
         /**
-         * The map is cleared when it exceeds this size, because entries of terminated machines aren't removed during a term. Clearing it
-         * costs one full heartbeat per existing machine.
+         * The map of acknowledged heartbeats is cleared when it exceeds this size, because entries of terminated machines aren't removed
+         * during a term. Clearing it costs one full heartbeat per existing machine.
          */
         private const val MAX_ACKNOWLEDGED = 10_000
 
--- a/src/main/kotlin/cleathitch/workers/WorkerClient.kt
+++ b/src/main/kotlin/cleathitch/workers/WorkerClient.kt
@@ -23,7 +23,7 @@
  *
  * Connections aren't kept alive, and at most [maxConcurrentCalls] are open at once. In a large fleet, one open connection per
  * machine, in addition to the one on which it sends its heartbeats, would exhaust the sockets of the process, which then couldn't
- * renew its lease. A command that is delayed by this limit is also part of the answer to the machine's next heartbeat.
+ * renew its lease. A command that is delayed by this limit is also part of the response to the machine's next heartbeat.
  */
 class WorkerClient(
     vertx: Vertx,
--- a/src/main/kotlin/cleathitch/workers/WorkerDistribution.kt
+++ b/src/main/kotlin/cleathitch/workers/WorkerDistribution.kt
@@ -5,9 +5,10 @@
 /**
  * Redirects workers from the leader to its followers, which forward heartbeats in batches.
  *
- * The rate of redirects to each follower is limited: a follower that has just started is slow, and all workers whose heartbeats
- * time out there would return to the leader at once. A worker that returns soon after a redirect couldn't reach that follower; the
- * leader serves it for a while, and then redirects it to another one. Confined to the leader's event loop.
+ * The rate of redirects to each follower is limited, because a follower that has just started is slow. Without the limit, the
+ * heartbeats of many workers would time out there, and all these workers would return to the leader at once. A worker
+ * that returns soon after a redirect couldn't reach that follower; the leader serves it for a while, and then redirects it to
+ * another one. Confined to the leader's event loop.
  */
 class WorkerDistribution(private val heartbeatPeriodMs: Long) {
     private class Redirect(val follower: String, val atMs: Long)
@@ -53,8 +54,8 @@
         const val LEADER_SHARE_DIVISOR = 3
 
         /**
-         * The map is cleared when it exceeds this size, because entries of terminated machines aren't removed. Clearing it costs at most
-         * one more redirect per existing machine.
+         * The map of redirects is cleared when it exceeds this size, because entries of terminated machines aren't removed. Clearing it
+         * costs at most one more redirect per existing machine.
          */
         const val MAX_REDIRECTS = 100_000
     }
