--- a/src/test/kotlin/cleathitch/scheduler/CancellationFaultsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/CancellationFaultsTest.kt
@@ -15,9 +15,9 @@
 /** Cancellations combined with failovers, outages of the key-value store, lost commands and completing tasks. */
 class CancellationFaultsTest : CombinedFaultsHarness() {
     /**
-     * A leader's grace period begins when its lease expires, which is before its successor can confirm a cancellation. The leader's
-     * last answer to a heartbeat in the grace period may renew a worker's lease. A cancelled task has certainly stopped only when
-     * that lease has expired too.
+     * A successor can confirm a cancellation only after the earlier leader's lease has expired, that is, after that leader's grace
+     * period began. At the end of its grace period the earlier leader may answer a heartbeat and so renew the worker's lease. A
+     * cancelled task has certainly stopped only when the worker's lease has expired too.
      */
     @Test
     fun `grace period, worker lease and margin end before the cancellation deadline at every heartbeat period`() {
@@ -80,7 +80,7 @@
         assertEquals(emptyList<AttemptId>(), machine.sendHeartbeat().stoppedAttempts())
     }
 
-    /** The worker rejects the delayed start command, as its fencing token is older than that of the stop command. */
+    /** The delayed start command has an older fencing token than the stop command, so the worker rejects it. */
     @Test
     fun `a start command that arrives after its job's cancellation starts nothing`() {
         becomeLeaderWithFleet()
@@ -108,7 +108,7 @@
     }
 
     @Test
-    fun `a job that is cancelled, polled and submitted again as its last task completes is reported as done, after the commit only`() {
+    fun `a cancellation, poll or submission in one batch with its job's last completion reports the job as done only after the commit`() {
         becomeLeaderWithFleet()
         startJob(1)
         machine.completeTasks()
@@ -148,7 +148,7 @@
         assertTrue(confirmsCancellation(cancel(1)))
     }
 
-    /** Otherwise the next leader, which doesn't recover the uncommitted record, would contradict a reply that was sent. */
+    /** The next leader doesn't recover an uncommitted record and would contradict a reply that was based on it. */
     @Test
     fun `no leader reports a completion or a cancellation that isn't committed`() {
         becomeLeaderWithFleet()
--- a/src/test/kotlin/cleathitch/scheduler/CommitVisibilityTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/CommitVisibilityTest.kt
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** State that a commit records isn't visible to users or followers before the commit succeeds, as the leader may fail before that. */
+/** Users and followers see a job's new state only after the commit that records it, as the leader may fail before the commit succeeds. */
 class CommitVisibilityTest : CombinedFaultsHarness() {
     private val job get() = taskId(1).job
 
--- a/src/test/kotlin/cleathitch/scheduler/FailoverFaultsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FailoverFaultsTest.kt
@@ -49,7 +49,7 @@
     }
 
     @Test
-    fun `after all controllers were down for longer than a worker's lease, an attempt is restarted on its machine, once`() {
+    fun `an attempt is restarted exactly once, on its machine, after all controllers were down for longer than a worker's lease`() {
         becomeLeaderWithFleet()
         val (attempt) = startJob(1)
         advanceTo(nowMs + (deployment.workerLeaseS * 1500).toLong())
@@ -94,7 +94,7 @@
         assertEquals(attempt.task, effects.startedAttempts().firstOrNull()?.task)
     }
 
-    /** The heartbeats report the task as running: the worker's lease, which the old leader renewed, may not have expired yet. */
+    /** The earlier leader renewed the worker's lease. Until that expires, the task may run, and the heartbeats report it as running. */
     @Test
     fun `a task on a machine that misses the new leader's replies isn't started elsewhere while it runs`() {
         becomeLeaderWithFleet()
@@ -109,7 +109,7 @@
         assertEquals(emptyList<AttemptId>(), effects.startedAttempts().filter { it.task == attempt.task && it != attempt })
     }
 
-    /** If the machine kept counting as starting, its capacity would prevent other machines from being rented. */
+    /** If the machine counted as starting forever, its expected capacity would keep the leader from renting other machines. */
     @Test
     fun `a machine that is listed after a failover and never sends a heartbeat is terminated`() {
         becomeLeaderWithFleet()
--- a/src/test/kotlin/cleathitch/scheduler/FailoverTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FailoverTest.kt
@@ -21,7 +21,7 @@
 
 /** A new leader in term 9 recovers a log in which a task was started on machine 1. It has no heartbeat from that machine yet. */
 class FailoverTest : SchedulerHarness(term = 9, recovered = recoveredState()) {
-    /** The old leader may have renewed the worker's lease until the end of its grace period. */
+    /** The earlier leader may have renewed the worker's lease as late as the end of its grace period. */
     @Test
     fun `a silent machine keeps its task until grace period, worker lease and margin are over`() {
         becomeLeader()
--- a/src/test/kotlin/cleathitch/scheduler/FailureDetectorTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/FailureDetectorTest.kt
@@ -53,7 +53,7 @@
         assertEquals(emptyList<Effect>(), effects.stepDowns())
     }
 
-    /** Those machines have stopped or miss all replies, so another leader couldn't reach them either. */
+    /** Machines that don't report the leader's tokens have stopped or miss all replies, so another leader couldn't reach them either. */
     @Test
     fun `a leader doesn't step down when direct calls are lost to machines that don't report its fencing tokens`() {
         becomeLeaderWithBusyFleet()
@@ -80,8 +80,8 @@
     }
 
     /**
-     * The machines still run their tasks until their leases expire, and the tasks of jobs that spread over zones can't be started in
-     * the other zone anyway.
+     * The machines still run their tasks until their leases expire. Even if they were terminated, the tasks of jobs that spread
+     * over zones couldn't be started in the other zone.
      */
     @Test
     fun `the machines of a partitioned zone aren't terminated, and new ones are rented in the other zone`() {
--- a/src/test/kotlin/cleathitch/scheduler/ForwardedHeartbeatsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/ForwardedHeartbeatsTest.kt
@@ -17,7 +17,7 @@
 
 /**
  * The leader handles a heartbeat that a follower forwards exactly like one that it receives directly. An unchanged heartbeat
- * is an abbreviation of the full one that it is based on.
+ * is sent as its difference from an earlier one, its base.
  */
 class ForwardedHeartbeatsTest : SchedulerHarness() {
     @Test
@@ -78,7 +78,7 @@
 
     /** The worker's lease begins when it sends the heartbeat. The leader knows only the later time of arrival and must count from that. */
     @Test
-    fun `tasks of a machine aren't started elsewhere before a full lease duration has passed since its delayed heartbeat arrived`() {
+    fun `once a delayed heartbeat arrives, its machine's tasks aren't started elsewhere for a full lease duration`() {
         startOneTask()
         advanceTo(nowMs + workerLeaseMs / 2)
         forward(unchanged(0, sequenceNumber = 3, baseSequenceNumber = 2))
@@ -96,7 +96,7 @@
         }
     }
 
-    /** A leader without a valid lease answers heartbeats only for a bounded time, also those forwarded by followers. */
+    /** Once its lease has expired, a leader answers heartbeats only for a bounded time, whether they are forwarded or direct. */
     @Test
     fun `forwarded heartbeats are refused once the leader's grace period is over`() {
         becomeLeaderWithFleet(machines = 1, leaseUntilMs = 1000)
--- a/src/test/kotlin/cleathitch/scheduler/LargeFleetTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/LargeFleetTest.kt
@@ -14,8 +14,9 @@
 import org.junit.jupiter.api.Test
 
 /**
- * Checks, at 4,000 machines and under the limits of a small key-value store, the part of a failover that grows with the fleet: the
- * work between an election and the first answers. Times and memory are printed but not checked: `mvn -Dtest=LargeFleetTest test`.
+ * Checks the part of a failover that grows with the fleet, which is the work between an election and the first answers. The fleet
+ * has 4,000 machines, and the limits are those of a small key-value store. Times and memory are only printed; to see them, run
+ * `mvn -Dtest=LargeFleetTest test`.
  */
 class LargeFleetTest : SchedulerHarness() {
     @Test
@@ -120,8 +121,8 @@
         const val MAX_PAGE_BYTES = 512 * 1024L
 
         /**
-         * A page takes a few milliseconds, occasionally some hundred, so a replay takes far less than the four lease times after
-         * which a leader without progress is deposed.
+         * Reading a page takes a few milliseconds, occasionally a few hundred. A replay of this many pages takes far less than four
+         * lease durations, after which a leader that makes no progress is deposed.
          */
         const val MAX_PAGES = 8
 
--- a/src/test/kotlin/cleathitch/scheduler/QuotaFaultsTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/QuotaFaultsTest.kt
@@ -6,7 +6,10 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A team's limit of two tasks combined with failovers and lost replies: a task counts until it certainly isn't running any more. */
+/**
+ * A team's limit of two tasks, combined with failovers and lost replies. A task counts against the limit until it has certainly
+ * stopped.
+ */
 class QuotaFaultsTest : CombinedFaultsHarness(maxCpus = 4.0) {
     /** The machine of the cancelled tasks sends no heartbeat after the failover, so only the passage of time frees the team's quota. */
     @Test
@@ -28,7 +31,7 @@
 
     /** The machine may still execute the start commands until it reports a higher fencing token than theirs. */
     @Test
-    fun `starts of a cancelled job that no heartbeat reports count against the limit until the machine reports a higher fencing token`() {
+    fun `unreported starts of a cancelled job count against the limit until the machine reports a higher fencing token`() {
         becomeLeaderWithFleet()
         submit(1, tasks = 2)
         runRounds(2)
--- a/src/test/kotlin/cleathitch/scheduler/ScalabilityTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/ScalabilityTest.kt
@@ -66,7 +66,7 @@
         assertEquals(1, runRounds(2).count { it is Effect.SendCommands })
     }
 
-    /** After the outage every machine's last answered heartbeat is older than its lease; that time doesn't count as silence. */
+    /** After the outage, each machine's last answered heartbeat is older than its lease, but an outage doesn't count as silence. */
     @Test
     fun `after a long outage of the key-value store no machine is terminated as silent`() {
         becomeLeaderWithFleet(machines = 20, leaseUntilMs = 1000)
@@ -80,7 +80,7 @@
         assertEquals(emptySet<MachineId>(), afterOutage.terminatedMachines())
     }
 
-    /** Without the probe, starts that the old leader didn't deliver and new tasks would have to wait for the machine's next heartbeat. */
+    /** Without the probe, new tasks and starts not delivered by the earlier leader would have to wait for the machine's next heartbeat. */
     @Test
     fun `after a failover a machine that the cloud provider lists is probed, and its answer suffices to place tasks there`() {
         becomeLeader()
--- a/src/test/kotlin/cleathitch/scheduler/UnreachableMachinesTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/UnreachableMachinesTest.kt
@@ -21,7 +21,7 @@
         assertEquals(emptyList<AttemptId>(), effects.startedAttempts())
     }
 
-    /** The loss of all machines' heartbeats is treated as a network partition, like the silence of all machines. */
+    /** If all machines' heartbeats are lost, a network partition is assumed as for a silent fleet, although the machines answer probes. */
     @Test
     fun `a fleet whose heartbeats are lost isn't terminated when its leases expire`() {
         val fleet = fleet(12)
--- a/src/test/kotlin/cleathitch/scheduler/capacity/CapacityPlannerTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/capacity/CapacityPlannerTest.kt
@@ -80,7 +80,7 @@
     }
 
     @Test
-    fun `tasks that can't get spot machines get on-demand ones only if they can't wait`() {
+    fun `if spot machines are refused, on-demand ones are rented only for urgent tasks`() {
         inventory.recordRefusal(offer("a", spot = true), nowMs = 0)
         inventory.recordRefusal(offer("b", spot = true), nowMs = 0)
         assertEquals(emptyList<PlannedRental>(), plan(demand(4, urgentTasks = 0, spotAllowed = true)))
--- a/src/test/kotlin/cleathitch/scheduler/placement/PlacementRoundTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/placement/PlacementRoundTest.kt
@@ -96,7 +96,7 @@
     }
 
     @Test
-    fun `a spread job's attempts that may still be running count towards the limit of their zone`() {
+    fun `attempts that may still be running count towards a spread job's limit in their zone`() {
         val inA = machine("m-1", zone = "a")
         machine("m-2", zone = "b")
         val job = accept(spec("j-1", tasks = 2, cpus = 1.0, spread = true))
@@ -105,7 +105,7 @@
     }
 
     @Test
-    fun `preemption stops only tasks of lower priority and counts resources of tasks that are already being stopped`() {
+    fun `preemption stops only tasks of lower priority, and none if tasks already being stopped free enough resources`() {
         val machine = machine("m-1")
         val low = accept(spec("j-1", priority = Priority.LOW))
         val equal = accept(spec("j-2", priority = Priority.PRODUCTION))
--- a/src/test/kotlin/cleathitch/scheduler/placement/SchedulingOrderTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/placement/SchedulingOrderTest.kt
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** The order of waiting jobs, the bounds on the delays in it, and when a job counts as overdue. */
+/** The order of waiting jobs, the bound on how long it delays a job, and when a job counts as overdue. */
 class SchedulingOrderTest {
     private val teams = mapOf("red" to Team("red", 4.0, null, 0.0, null), "blue" to Team("blue", 0.0, null, 0.0, null))
     private val quota = Quota(teams, JobTable())
@@ -33,7 +33,7 @@
         assertEquals(listOf(1, 2, 4, 3), order(10, large, small, guaranteed, service))
     }
 
-    /** Under plain shortest-job-first, that is, if the delay in virtualSubmissionMs were unbounded, the large job would never be first. */
+    /** If the delay in virtualSubmissionMs were unbounded, as in plain shortest-job-first, the large job would never be first. */
     @Test
     fun `a stream of small jobs doesn't starve a large one`() {
         val large = job(1, submittedS = 0, tasks = 100)
@@ -49,7 +49,7 @@
     }
 
     @Test
-    fun `a job that has had no attempt two minutes after its submission is overdue`() {
+    fun `a job is overdue if it has had no attempt within two minutes of its submission`() {
         val waiting = job(1, submittedS = 0, tasks = 5)
         assertFalse(SchedulingOrder.isOverdue(waiting, 119_000))
         assertTrue(SchedulingOrder.isOverdue(waiting, 120_000))
