--- a/src/test/kotlin/cleathitch/architecture/DocumentedNamesTest.kt
+++ b/src/test/kotlin/cleathitch/architecture/DocumentedNamesTest.kt
@@ -83,7 +83,7 @@
         val CODE_SPAN = Regex("""`([^`\n]+)`""")
         val CAMEL_CASE = Regex("""\b(?:[A-Z][a-z]+){2,}\b""")
 
-        /** `Type`, `Type.Nested` or `Type.member`, but not a constant such as LOG_LEVEL or a single-letter rate such as G. */
+        /** `Type`, `Type.Nested` or `Type.member`, but not a constant such as LOG_LEVEL or the single-letter name of a rate such as G. */
         val QUALIFIED_TYPE = Regex("""[A-Z][a-zA-Z]*[a-z][a-zA-Z]*(\.\w+)*""")
         val HTTP_PATH = Regex("""((GET|POST) )?/[a-z][a-z/]*""")
 
--- a/src/test/kotlin/cleathitch/architecture/WireNamesTest.kt
+++ b/src/test/kotlin/cleathitch/architecture/WireNamesTest.kt
@@ -5,7 +5,10 @@
 import java.nio.file.Path
 import kotlin.io.path.readText
 
-/** Only the package `protocol` maps the protocol's themed field names to the code's terms. docs/glossary.md explains them. */
+/**
+ * Checks that only the package `protocol`, which maps the protocol's field names to the code's terms, contains those names that differ
+ * from the terms, and that docs/glossary.md explains these names.
+ */
 class WireNamesTest {
     private val protocolFiles = SourceTree.main.filter { it.packageName == PROTOCOL }
     private val otherFiles = SourceTree.main - protocolFiles.toSet()
--- a/src/test/kotlin/cleathitch/loopback/FaultyProxy.kt
+++ b/src/test/kotlin/cleathitch/loopback/FaultyProxy.kt
@@ -87,7 +87,10 @@
         return true
     }
 
-    /** Waits so that the client can read the response and discards its remaining data. Returns false: the caller closes the connection. */
+    /**
+     * Waits until the client has had time to read the response, then discards the rest of its request. Returns false, because the
+     * connection must be closed.
+     */
     private fun drain(input: InputStream): Boolean {
         Thread.sleep(RESPONSE_READ_MS)
         input.skip(input.available().toLong())
--- a/src/test/kotlin/cleathitch/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/cleathitch/loopback/LoopbackCluster.kt
@@ -117,7 +117,7 @@
         private const val POLL_MS = 100L
         private const val LOG_TAIL_CHARS = 3000
 
-        /** The JVM options of the deployed service, as far as they work with the classes under test. */
+        /** Those JVM options of the deployed service that also work when it runs from the classes under test. */
         private val JVM_OPTIONS = listOf("-Xmx128m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1")
     }
 }
--- a/src/test/kotlin/cleathitch/loopback/LoopbackHttp.kt
+++ b/src/test/kotlin/cleathitch/loopback/LoopbackHttp.kt
@@ -10,12 +10,12 @@
 import java.net.http.HttpResponse
 import java.time.Duration
 
-/** A controller's reply to a user or worker. [body] is null if the reply has no body. */
+/** A controller's response to a user or worker. [body] is null if the response has no body. */
 class ControllerReply(val status: Int, val body: JsonNode?) {
-    /** The job's state if the reply is about a job, otherwise null. */
+    /** The job's state if the response is about a job, otherwise null. */
     val jobState: String? get() = body?.get("estado")?.textValue()
 
-    /** Whether a submission is accepted (201, or 200 if it was accepted before) or a poll is answered with the job's state (200). */
+    /** Whether a submission is accepted (201, or 200 if it was accepted before) or a poll returns the job's state (200). */
     val isSuccess get() = status == 200 || status == 201
 }
 
@@ -25,7 +25,7 @@
     private val CALL_TIMEOUT = Duration.ofSeconds(4)
     private val client: HttpClient = HttpClient.newBuilder().connectTimeout(CONNECT_TIMEOUT).build()
 
-    /** The reply of the server at [port], or null if the connection fails or the call times out. */
+    /** The response of the server at [port], or null if the connection fails or the call times out. */
     fun callOrNull(port: Int, method: String, path: String, body: JsonNode? = null): ControllerReply? =
         sendOrNull(port, method, path, body)?.let { response ->
             ControllerReply(response.statusCode(), response.body().takeIf { it.isNotEmpty() }?.let(MessageCodec::decodeMap))
--- a/src/test/kotlin/cleathitch/loopback/LoopbackTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/LoopbackTest.kt
@@ -30,7 +30,7 @@
         worker.use {
             cluster.submit(0, "j-000001")
             cluster.awaitDone(1, "j-000001")
-            val unknown = cluster.await("reply about an unknown job") {
+            val unknown = cluster.await("response about an unknown job") {
                 LoopbackHttp.callOrNull(cluster.port(2), "GET", "/submissions/j-000099")
             }
             assertEquals(404, unknown.status)
@@ -47,6 +47,6 @@
             assertEquals(200, cluster.submit(killed, "j-000001").status)
         }
         assertEquals(9, worker.starts.size)
-        assertTrue(worker.starts.values.all { it == 1 }) { "${worker.starts}" }
+        assertTrue(worker.starts.values.all { it == 1 }) { "each task must be started once, starts by task: ${worker.starts}" }
     }
 }
--- a/src/test/kotlin/cleathitch/loopback/NetworkFault.kt
+++ b/src/test/kotlin/cleathitch/loopback/NetworkFault.kt
@@ -16,6 +16,6 @@
     /** A connection is reset as soon as data is sent on it. */
     RESET,
 
-    /** Each request is answered with status 503, and its connection is closed. */
+    /** Each request gets a response with status 503, and its connection is closed. */
     SERVICE_UNAVAILABLE,
 }
--- a/src/test/kotlin/cleathitch/loopback/SimulatedKeyValueStore.kt
+++ b/src/test/kotlin/cleathitch/loopback/SimulatedKeyValueStore.kt
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode
 import java.util.TreeMap
 
-/** The reply of a simulated service. */
+/** The response of a simulated service. */
 class SimulatedReply(val status: Int, val body: ObjectNode)
 
 /**
@@ -29,7 +29,7 @@
     @Synchronized
     fun valueOrNull(key: String): JsonNode? = entries[key]?.data
 
-    /** The reply to a request for [path], or null if the key-value store does not serve [path]. */
+    /** The response to a request for [path], or null if the key-value store does not serve [path]. */
     @Synchronized
     fun handleOrNull(method: String, path: String, query: Map<String, String>, body: JsonNode?): SimulatedReply? {
         expireLeases()
@@ -46,7 +46,7 @@
         }
     }
 
-    /** A new reply body with the field that every reply has. */
+    /** A new response body with the current revision, which every response contains. */
     private fun newReplyBody() = MessageCodec.newMap().put("asiento", revision)
 
     private fun list(prefix: String, afterKey: String?): SimulatedReply {
--- a/src/test/kotlin/cleathitch/loopback/SimulatedPlatform.kt
+++ b/src/test/kotlin/cleathitch/loopback/SimulatedPlatform.kt
@@ -10,8 +10,8 @@
 import java.util.concurrent.Executors
 
 /**
- * Serves the parts of the key-value store's and the cloud's HTTP APIs that a small deployment uses, on 127.0.0.1. The cloud
- * lists the machines added by [addMachine] and rejects every rental.
+ * An HTTP server on 127.0.0.1 for the key-value store and the cloud provider. It serves those parts of their APIs that a small
+ * deployment uses. The cloud provider lists the machines added by [addMachine] and rejects every rental.
  */
 class SimulatedPlatform : AutoCloseable {
     /** The key-value store, which holds the leader key and the log. */
@@ -28,7 +28,7 @@
     /** The member that holds the leader key, or null if there is none. */
     fun leader(): String? = store.valueOrNull("leader/cleathitch")?.get("member")?.textValue()
 
-    /** Adds a running machine to the cloud's list. Its worker receives commands at [address]. */
+    /** Adds a running machine to the cloud provider's list. Its worker receives commands at [address]. */
     fun addMachine(machine: String, address: String) {
         machineAddresses[machine] = address
     }
@@ -78,7 +78,7 @@
     private companion object {
         const val BACKLOG = 50
 
-        /** Every watch is answered after this time, without changes. */
+        /** After this time every watch gets a response without changes. */
         const val WATCH_TIMEOUT_MS = 100L
     }
 }
--- a/src/test/kotlin/cleathitch/loopback/SimulatedUser.kt
+++ b/src/test/kotlin/cleathitch/loopback/SimulatedUser.kt
@@ -9,7 +9,7 @@
  * A user that submits jobs with one task each and polls accepted jobs, each time at a random controller, until [close].
  * Job ids are numbered from [firstJob]. After [maxJobs] jobs the same submissions are repeated.
  *
- * Checks each reply against the earlier ones: an accepted job must stay known, and a job that was done must stay done.
+ * Checks each response against the earlier ones: an accepted job must stay known, and a job that was done must stay done.
  */
 class SimulatedUser(
     private val cluster: LoopbackCluster,
@@ -29,7 +29,7 @@
     /** Jobs that a controller has confirmed as accepted. */
     val accepted: Set<String> get() = acceptedJobs
 
-    /** Descriptions of the replies that contradict an earlier reply. */
+    /** Descriptions of the responses that contradict an earlier response. */
     val violations: Set<String> get() = foundViolations
 
     private fun runRequests() {
@@ -44,11 +44,11 @@
 
     private fun randomNode() = random.nextInt(LoopbackCluster.NODES)
 
-    /** The reply of [node] about the accepted job [id], or null if the poll was not answered successfully. */
+    /** The response of [node] to a poll of the accepted job [id], or null if there is no successful response. */
     fun pollOrNull(node: Int, id: String) = request(node, "GET", "/submissions/$id", id)
 
     private fun request(node: Int, method: String, path: String, id: String, body: JsonNode? = null): ControllerReply? {
-        // Read before the call: a poll that is sent before the first reply with the state `done` arrives may return an earlier state.
+        // Read before the call: if another response reports the job as done only during the call, this one may have an earlier state.
         val wasDone = id in doneJobs
         val reply = LoopbackHttp.callOrNull(cluster.port(node), method, path, body) ?: return null
         if (reply.status == 404) foundViolations += "$id: n$node replied 404 to $method $path"
--- a/src/test/kotlin/cleathitch/loopback/SimulatedWorker.kt
+++ b/src/test/kotlin/cleathitch/loopback/SimulatedWorker.kt
@@ -7,7 +7,7 @@
 import kotlin.concurrent.thread
 
 /**
- * The worker of one machine: sends heartbeats to the controllers, executes the commands in their replies and follows their
+ * The worker of one machine: sends heartbeats to the controllers, executes the commands in their responses and follows their
  * redirects. A task runs for [taskMs], and longer while [isHeld] returns true for its id. [close] stops the heartbeats.
  */
 class SimulatedWorker(
--- a/src/test/kotlin/cleathitch/loopback/SoakTest.kt
+++ b/src/test/kotlin/cleathitch/loopback/SoakTest.kt
@@ -10,8 +10,8 @@
 
 /**
  * Injects faults between three controller processes and the key-value store, in an order given by a seed: the connections of
- * one or all controllers stall, slow down or are reset, or their requests are answered with status 503. Afterwards every accepted
- * job must be done in time, no reply may have contradicted an earlier one, and no HTTP client may have leaked a connection.
+ * one or all controllers stall, slow down or are reset, or their requests get responses with status 503. Afterwards every
+ * accepted job must be done in time, no response may have contradicted an earlier one, and no HTTP client may have leaked a connection.
  *
  * For a longer run: `mvn -Dtest=SoakTest -Dsoak.seconds=1200 -Dsoak.seed=7 test`.
  */
@@ -64,12 +64,15 @@
         Thread.sleep(random.nextLong(MIN_PAUSE_MS, MAX_PAUSE_MS))
     }
 
-    /** The time limit for the first reply about each job starts when the last fault has ended. */
+    /**
+     * Checks that for each accepted job a poll gets a response within [REPLY_TIMEOUT_MS] of the end of the last fault, and that the job
+     * is then done in time.
+     */
     private fun assertAcceptedJobsDone(user: SimulatedUser) {
         val lastFaultEndMs = nowMs()
         for (id in user.accepted.toList()) {
             val remainingMs = lastFaultEndMs + REPLY_TIMEOUT_MS - nowMs()
-            cluster.await("reply about $id", remainingMs) { user.pollOrNull(randomNode(), id) }
+            cluster.await("response about $id", remainingMs) { user.pollOrNull(randomNode(), id) }
         }
         for (id in user.accepted.toList()) cluster.awaitDone(randomNode(), id)
     }
@@ -105,7 +108,7 @@
         const val MIN_PAUSE_MS = 200L
         const val MAX_PAUSE_MS = 3000L
 
-        /** The HTTP clients that do not constantly have a call in progress while there is no fault. */
+        /** The HTTP clients that become idle when there is no fault. */
         val IDLE_CLIENTS = listOf("state", "lease", "cloud", "workers")
     }
 }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/FairnessTest.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/FairnessTest.kt
@@ -71,7 +71,7 @@
     }
 
     private companion object {
-        /** In this time about one and a half times as much work is submitted as 24 machines complete. */
+        /** In this time users submit about one and a half times the work that 24 machines can complete. */
         const val OVERLOAD_PHASE_S = 400
         const val LARGE_JOB_INTERVAL_S = 16
         const val SMALL_JOB_TASKS = 5
--- a/src/test/kotlin/cleathitch/scheduler/simulation/FaultInjector.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/FaultInjector.kt
@@ -11,8 +11,8 @@
     private val store = cluster.store
 
     /**
-     * Schedules all faults. The order of the calls is part of what a seed reproduces: it determines which of two events at the same
-     * time runs first.
+     * Schedules all faults. Events at the same time run in the order in which they were scheduled, so another order of these calls
+     * changes the run that a seed reproduces.
      */
     fun start() {
         injectPeriodically(faults.leaderKillEveryS) { cluster.leader?.kill() }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/FaultSchedule.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/FaultSchedule.kt
@@ -19,7 +19,7 @@
     val machineLossEveryS: Double = 0.0,
     /** Makes a machine hang for up to 40 s. */
     val machineHangEveryS: Double = 0.0,
-    /** Share of heartbeats of which a duplicate arrives, delayed by up to twice a worker's lease. */
+    /** Share of heartbeats that are delivered a second time, up to twice the duration of a worker's lease later. */
     val delayedHeartbeatDuplicates: Double = 0.0,
     /** Permanently drops everything sent to a machine, while its heartbeats still arrive. */
     val permanentReplyLossEveryS: Double = 0.0,
@@ -33,7 +33,7 @@
     val controllerPauseEveryS: Double = 0.0,
     /** Killed controllers restart within 0.4 s, and their successor may be killed within the time to live of the leader's lease. */
     val quickRestarts: Boolean = false,
-    /** Share of compare-and-swaps that are applied 2 to 12 s late and get no answer. */
+    /** Share of compare-and-swaps that are applied 2 to 12 s late and get no response. */
     val lateCommits: Double = 0.0,
     /** Makes the key-value store unavailable for a few seconds, occasionally for longer than a worker's lease. */
     val storeOutageEveryS: Double = 0.0,
@@ -54,7 +54,7 @@
      * cancel jobs, and then the store is unavailable for longer than `cancellationDeadlineS`.
      */
     val failoverThenOutageAtS: Double = 0.0,
-    /** Share of job-archiving commits that are never sent; the leader is killed within the time to live of its lease instead. */
+    /** Share of job-archiving commits that are held back until the leader is killed, within the time to live of its lease. */
     val leaderKillsBeforeArchival: Double = 0.0,
     /** Seconds between log compactions; null for the default. */
     val compactionEveryS: Double? = null,
--- a/src/test/kotlin/cleathitch/scheduler/simulation/InvariantChecker.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/InvariantChecker.kt
@@ -7,8 +7,8 @@
 import cleathitch.scheduler.simulation.SimulatedUsers.ObservedState
 
 /**
- * Properties that must hold under every combination of faults. If the protocol documentation names the violation of a property,
- * [meaning] begins with that name.
+ * Properties that must hold under every combination of faults. [meaning] begins with the protocol documentation's name for the
+ * violation, if it has one.
  */
 enum class Invariant(private val meaning: String) {
     NO_DUPLICATE_EXECUTION("ran_twice: no task runs on two machines at the same time"),
@@ -17,7 +17,7 @@
     PLACEMENT_CONSTRAINTS("wrong_place: tasks run only where their job allows it"),
     ACCEPTED_JOBS_RETAINED("forgotten: an accepted job is never lost"),
     FINAL_STATES_IMMUTABLE("went_back: a final state never changes, and a job is cancelled only by its user"),
-    DONE_JOBS_COMPLETE("not_done: a job is done only with the results of all tasks"),
+    DONE_JOBS_COMPLETE("not_done: a job is reported as done only if the results of all its tasks exist"),
     UNSATISFIABLE_JOBS_REFUSED("a job that can never run is refused"),
     NO_UNNECESSARY_WAIT("once faults end, no job waits long while a machine has room for it"),
     ;
@@ -65,20 +65,23 @@
 
     fun checkUnsatisfiableJobIsRefused(reply: UserReply) {
         if (reply !is UserReply.Unsatisfiable && reply !is UserReply.Unavailable) {
-            violate(Invariant.UNSATISFIABLE_JOBS_REFUSED, "answered with $reply")
+            violate(Invariant.UNSATISFIABLE_JOBS_REFUSED, "the submission of a job that can never run was answered with $reply")
         }
     }
 
-    /** Checks [reply], which says that [job] does not exist or can never run. */
+    /**
+     * Checks [reply], which says that [job] does not exist or can never run. The first is a violation if the user knew that the job was
+     * accepted; the second always is, because every job in [SimulatedUsers.submitted] can run.
+     */
     fun checkJobIsRetained(job: SubmittedJob, reply: UserReply, observed: ObservedState) {
         if (reply is UserReply.Unsatisfiable || observed.isAccepted) {
-            violate(Invariant.ACCEPTED_JOBS_RETAINED, "${job.spec.id} answered with $reply")
+            violate(Invariant.ACCEPTED_JOBS_RETAINED, "a request about ${job.spec.id} was answered with $reply")
         }
     }
 
     /**
-     * Checks that [state], the answer to a request sent when the user had observed [observed], does not revert a final state, and that
-     * a cancelled job was cancelled by its user.
+     * Checks that [state] does not contradict a final state that the user already knew when sending the request, as given by
+     * [observed], and that a cancelled job was cancelled by its user.
      */
     fun checkFinalState(job: SubmittedJob, state: JobState, observed: ObservedState) {
         val id = job.spec.id
--- a/src/test/kotlin/cleathitch/scheduler/simulation/PendingRequests.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/PendingRequests.kt
@@ -11,7 +11,7 @@
     private val heartbeatCallbacks = HashMap<RequestId, (Effect.AnswerHeartbeat) -> Unit>()
     private val followerBatchCallbacks = HashMap<RequestId, (Effect.AnswerFollower) -> Unit>()
 
-    /** Returns the id of a new request. The answer is dropped unless a callback is added for this id. */
+    /** Returns a new request id. A request that uses it directly has no callback, so its answer is dropped. */
     fun newRequestId() = RequestId(++lastNumber)
 
     fun addUserRequest(onReply: (UserReply) -> Unit) = newRequestId().also { userCallbacks[it] = onReply }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedCluster.kt
@@ -14,9 +14,9 @@
 import kotlin.random.Random
 
 /**
- * Deterministic simulation in virtual time of real schedulers with simulated controllers, workers, cloud provider, key-value store,
- * network and users. The [seed] determines every random draw and therefore the whole run. [InvariantChecker] checks the invariants
- * after each event, and the run stops at the first violation.
+ * Deterministic simulation of a cluster in virtual time. The schedulers are the production code; controllers, workers, cloud provider,
+ * key-value store, network and users are simulated. The [seed] determines every random draw and therefore the whole run.
+ * [InvariantChecker] checks the invariants after each event, and the run stops at the first violation.
  */
 class SimulatedCluster(
     private val seed: Long,
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedHeartbeatForwarder.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedHeartbeatForwarder.kt
@@ -11,7 +11,7 @@
     private var queue = HeartbeatQueue(FORWARD_TIMEOUT_MS)
     private var batchInFlight: HeartbeatQueue.Batch? = null
 
-    /** Discards all queued heartbeats, as they are lost when the follower's process is killed. */
+    /** Discards all queued heartbeats. Called when the follower's process is killed. */
     fun reset() {
         queue = HeartbeatQueue(FORWARD_TIMEOUT_MS)
         batchInFlight = null
@@ -22,7 +22,7 @@
 
     fun forward() {
         if (batchInFlight != null) return
-        // A follower may still consider a deposed controller the leader.
+        // This may be a deposed controller, because a follower may not know yet that the leader has changed.
         val leader = cluster.randomLeader() ?: return queue.completeAllUnanswered()
         val batch = queue.nextBatch(leader.term, follower.monotonicMs())
         if (batch.isEmpty) return
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedKeyValueStore.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedKeyValueStore.kt
@@ -24,7 +24,7 @@
     val isUnavailable get() = nowMs() < unavailableUntilMs
     val isLeaderless get() = leaderTerm == null
 
-    /** Refuses all requests for [durationMs]. The leader's lease has its full time to live after that. */
+    /** Refuses all requests for [durationMs]. After the outage the leader's lease has its full time to live again. */
     fun startOutage(durationMs: Long) {
         unavailableUntilMs = maxOf(unavailableUntilMs, nowMs() + durationMs)
         leaseEndMs = unavailableUntilMs + leaseTtlMs
@@ -62,7 +62,7 @@
 
     /**
      * Applies [commit] if [term] holds the leader's key and the revision of the log's head is [head]. Returns the revision at which
-     * the commit was applied, by this request or by an earlier duplicate of it, or null if it was refused.
+     * the commit was applied, also if an earlier duplicate of this request applied it, or null if the commit is refused.
      */
     fun compareAndSwap(term: Long, head: Long, commit: Commit): Long? {
         expireLease()
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedLogStorage.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedLogStorage.kt
@@ -4,12 +4,12 @@
 import cleathitch.scheduler.log.Commit
 import cleathitch.scheduler.log.LogKeys
 
-/** Sends a leader's commits to the key-value store and retries each until it is answered or the term ends. */
+/** Sends a leader's commits to the key-value store, and repeats each until the store responds or the term ends. */
 class SimulatedLogStorage(private val cluster: SimulatedCluster, private val leader: SimulatedController) {
     private var headRevision = 0L
     private var inFlight: Commit? = null
 
-    /** Begins a new term, whose first commit expects the log's head at [headRevision]. */
+    /** Begins a new term. Its first commit is applied only if the revision of the log's head is [headRevision]. */
     fun startTerm(headRevision: Long) {
         this.headRevision = headRevision
         inFlight = null
@@ -35,7 +35,7 @@
         cluster.events.schedule(RETRY_INTERVAL_MS) { sendUntilAnswered(commit, term, expectedHead) }
     }
 
-    /** Sends a compare-and-swap. A late one may be applied after its leader was deposed, and its answer is lost. */
+    /** Sends a compare-and-swap. If it is late, it may be applied after its leader was deposed, and its response is lost. */
     private fun send(commit: Commit, term: Long, expectedHead: Long) {
         val isLate = !cluster.faultsEnded && cluster.random.nextDouble() < cluster.faults.lateCommits
         cluster.network.send(if (isLate) cluster.random.nextLong(2000, 12_000) else 0) {
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedNetwork.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedNetwork.kt
@@ -2,7 +2,7 @@
 
 import kotlin.random.Random
 
-/** Delays, duplicates or drops messages according to the fault schedule, and records until when zones are partitioned. */
+/** Delays, duplicates or drops messages according to the fault schedule, and records when the partition of each zone ends. */
 class SimulatedNetwork(
     private val events: EventQueue,
     private val random: Random,
@@ -11,7 +11,7 @@
 ) {
     private val partitionedUntilMs = HashMap<String, Long>()
 
-    /** Sends a message, which [deliver] delivers after at least [minDelayMs]. */
+    /** Sends a message: [deliver] runs after at least [minDelayMs], twice if the message is duplicated and never if it is lost. */
     fun send(minDelayMs: Long = 0, deliver: () -> Unit) {
         if (drawMessageLoss()) return
         val isDelayed = !faultsEnded() && random.nextDouble() < faults.messageDelay
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedTask.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedTask.kt
@@ -14,7 +14,7 @@
 
     fun status() = TaskStatus(id, state, exitReason)
 
-    /** Whether the task runs, which it does from the time its image is ready until it exits. */
+    /** Whether the task runs. It runs from the time its image is ready until it exits. */
     fun isRunning(nowMs: Long) = imageReadyAtMs <= nowMs && !hasExited
 
     /** Updates the state to [nowMs]. Returns true if the task has completed by this call. */
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedUsers.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedUsers.kt
@@ -86,7 +86,7 @@
         val id = task.job
         val job = jobs.getValue(id)
         if (missingResults(job.spec) > 0) return
-        // Polls the job many times from its completion on, to detect a new leader that contradicts an answer of the previous one.
+        // Polls the job many times after its completion, to detect a new leader that contradicts an answer of an earlier leader.
         if (cluster.faults.leaderKillsBeforeArchival > 0) {
             repeat(POLLS_AFTER_COMPLETION) {
                 events.schedule(random.nextLong(4 * SimulatedCluster.LEASE_TTL_MS)) { request(job) { Input.Poll(it, id) } }
--- a/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedWorker.kt
+++ b/src/test/kotlin/cleathitch/scheduler/simulation/SimulatedWorker.kt
@@ -162,14 +162,20 @@
         }
     }
 
-    /** Whether the worker accepts an answer to [heartbeat], which was sent at [sentMs]: in time, and by the same incarnation. */
+    /**
+     * Whether the worker accepts an answer to [heartbeat], which was sent at [sentMs]. It drops an answer that is too old or meant for
+     * an earlier incarnation, and every answer while it hangs or loses replies or once its machine is terminated.
+     */
     private fun isAnswerAccepted(heartbeat: Heartbeat, sentMs: Long) = !losesReplies &&
         cluster.cloud.machines[id] === this &&
         heartbeat.incarnation == incarnation &&
         nowMs - sentMs < MAX_ANSWER_AGE_MS &&
         !isHanging
 
-    /** Renews the lease from [sentMs], the time at which the heartbeat was sent, not from the time of the answer. */
+    /**
+     * Renews the lease and executes [commands], unless [newToken] is older than the worker's token. The lease runs from [sentMs], when
+     * the heartbeat was sent, and not from when the answer arrived.
+     */
     private fun receiveAnswer(newToken: FencingToken, commands: List<WorkerCommand>, sentMs: Long) {
         if (newToken < token) return
         advance()
@@ -190,7 +196,7 @@
         val imageReadyAtMs = nowMs + random.nextLong(0, MAX_IMAGE_FETCH_MS)
         val runMs = when {
             specOf(attempt.task.job).kind == JobKind.SERVICE -> null
-            // The result of an earlier attempt already exists.
+            // An earlier attempt has already produced the task's result, so this one completes at once.
             cluster.users.isCompleted(attempt.task) -> 0L
             cluster.faults.shortTasks -> random.nextLong(100, 1500)
             else -> random.nextLong(2000, 15_000)
