--- a/src/test/kotlin/cleathitch/config/SettingsTest.kt
+++ b/src/test/kotlin/cleathitch/config/SettingsTest.kt
@@ -26,7 +26,7 @@
     private fun file(text: String): Path = Files.writeString(folder.resolve("f"), text)
 
     @Test
-    fun `settings are read, unknown keys and kinds of objectives are ignored, a maximum of 0 means no limit`() {
+    fun `settings are read, ignoring unknown keys and unknown kinds of objectives, and a maximum of 0 means no limit`() {
         val settings = Settings.read(file(valid))
         assertEquals("n0", settings.member)
         assertEquals(null, settings.deployment.teams.getValue("t").maxCpus)
--- a/src/test/kotlin/cleathitch/controller/ControllerRoleTest.kt
+++ b/src/test/kotlin/cleathitch/controller/ControllerRoleTest.kt
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A follower's known leader, and its readiness. */
+/** The leader that a follower knows, and the follower's readiness. */
 class ControllerRoleTest {
     private val leaderLeaseMs = 1000L
     private var nowMs = 5000L
@@ -40,7 +40,7 @@
     }
 
     @Test
-    fun `a controller is never its own known leader`() {
+    fun `the known leader is never the controller itself`() {
         role.onLeaderObserved("n0", 7)
         assertEquals(null, role.knownLeader())
     }
@@ -52,7 +52,7 @@
     }
 
     @Test
-    fun `a follower is ready until it has had no contact with the leader for three leases`() {
+    fun `a follower is ready until it has had no contact with the leader for three lease durations`() {
         assertFalse(readiness.isReady())
         role.onLeaderAnnouncement("n1", 7)
         nowMs += 3 * leaderLeaseMs - 1
@@ -64,7 +64,7 @@
     }
 
     @Test
-    fun `a new holder of the leader key counts as leader contact, the same holder observed again doesn't`() {
+    fun `observing a new holder of the leader key counts as contact with the leader, but observing the same holder again doesn't`() {
         role.onLeaderObserved("n1", 7)
         nowMs += 3 * leaderLeaseMs
         role.onLeaderObserved("n1", 7)
--- a/src/test/kotlin/cleathitch/controller/FollowerContactsTest.kt
+++ b/src/test/kotlin/cleathitch/controller/FollowerContactsTest.kt
@@ -21,7 +21,7 @@
     }
 
     @Test
-    fun `a contact counts within the given time, and an unknown follower had none`() {
+    fun `a contact counts only if it was within the given time, and an unknown follower never had one`() {
         contacts.recordContact("n1")
         nowMs += 10
         assertTrue(contacts.hadContact("n1", withinMs = 11))
--- a/src/test/kotlin/cleathitch/controller/UserRequestTest.kt
+++ b/src/test/kotlin/cleathitch/controller/UserRequestTest.kt
@@ -21,7 +21,7 @@
     }
 
     @Test
-    fun `a malformed submission gives the reason`() {
+    fun `the parse result of a malformed submission contains the reason`() {
         val request = parse("POST", "/submissions")
         assertTrue(request is UserRequest.Malformed && "nameId" in request.reason) { "$request" }
     }
--- a/src/test/kotlin/cleathitch/election/LeaderElectionTest.kt
+++ b/src/test/kotlin/cleathitch/election/LeaderElectionTest.kt
@@ -51,9 +51,9 @@
         ?: throw AssertionError("no leader was elected within $ELECTION_TIMEOUT_S s")
 
     /**
-     * Within a term, rental requests are numbered from 0 and fencing tokens from the term's initial token, so leading a term twice would
-     * reuse both. A controller that resigned but failed to revoke its lease still holds the leader's key, and must not resume the
-     * term because of it.
+     * Within a term, rental requests are numbered from 0, and fencing tokens from the term's initial token. A controller that led the
+     * same term twice would reuse both. A controller that has resigned but failed to revoke its lease still holds the leader's key,
+     * but must not resume the term.
      */
     @Test
     fun `a controller does not resume a term from which it resigned`() {
@@ -62,7 +62,7 @@
         platform.store.rejectsLeaseRevocations = true
         first.resign("for the test", transferLeadership = false)
         val second = awaitElection()
-        assertTrue(second.term.revision > first.term.revision) { "${second.term} after ${first.term}" }
+        assertTrue(second.term.revision > first.term.revision) { "elected for ${second.term}, which is not newer than ${first.term}" }
     }
 
     /** If a stalled leader went on renewing its lease, no other controller could be elected. */
--- a/src/test/kotlin/cleathitch/http/HttpEndpointTest.kt
+++ b/src/test/kotlin/cleathitch/http/HttpEndpointTest.kt
@@ -128,7 +128,7 @@
      * be served one after the other, because each response closes its connection.
      */
     @Test
-    fun `above the keep-alive limit each response closes its connection, and makes room for the next`() {
+    fun `above the keep-alive limit each response closes its connection, so that another can be opened`() {
         val kept = openKeptAlive()
         repeat(max) {
             val extra = open()
@@ -144,7 +144,8 @@
 
     /**
      * Without a limit, the idle connections of a whole fleet exhaust the sockets, and the controller can't connect to the key-value
-     * store. Pending requests occupy the last connections here, so that none is closed while further clients try to connect.
+     * store. Here, the connections above the keep-alive limit have pending requests, so that none of them is closed while further
+     * clients try to connect.
      */
     @Test
     fun `at the maximum each new connection is closed without a response, until an open connection ends`() {
@@ -176,9 +177,12 @@
         assertEquals(-1, socket.readOrEnd())
     }
 
-    /** Connections that are closed or reset before, during or after a request must not stay counted: the count would reach the limit. */
+    /**
+     * If connections that are closed or reset before, during or after a request stayed in the count, it would eventually reach the
+     * limit.
+     */
     @Test
-    fun `connections aren't counted after their end, however they end`() {
+    fun `a connection is no longer counted after its end, however it ends`() {
         val random = Random(SEED)
         repeat(ENDED_CONNECTIONS) {
             val socket = open()
--- a/src/test/kotlin/cleathitch/http/PooledHttpClientTest.kt
+++ b/src/test/kotlin/cleathitch/http/PooledHttpClientTest.kt
@@ -44,7 +44,8 @@
             delay(10)
         }
         throw AssertionError(
-            "$description: not within $TIMEOUT_MS ms; in use ${gauge("http.client.in_use")}, waiting ${gauge("http.client.waiting")}",
+            "$description: condition not met within $TIMEOUT_MS ms; " +
+                "in use ${gauge("http.client.in_use")}, waiting ${gauge("http.client.waiting")}",
         )
     }
 
@@ -60,7 +61,7 @@
     }
 
     @Test
-    fun `a connection that becomes free after its call timed out returns to the pool`(): Unit = runBlocking {
+    fun `a connection that becomes free after the call waiting for it timed out returns to the pool`(): Unit = runBlocking {
         holdAllConnections()
         val timedOut = List(CONNECTIONS) { call(StubServer.IMMEDIATE, timeoutMs = 50) }
         timedOut.forEach { assertEquals(CallResult.Failed(CallFailure.NO_CONNECTION_IN_TIME), it.await()) }
@@ -70,7 +71,7 @@
 
     /** All calls of a term are cancelled when the term ends. */
     @Test
-    fun `a connection that becomes free after its call was cancelled returns to the pool`(): Unit = runBlocking {
+    fun `a connection that becomes free after the call waiting for it was cancelled returns to the pool`(): Unit = runBlocking {
         holdAllConnections()
         val cancelled = List(CONNECTIONS) { call(StubServer.IMMEDIATE, timeoutMs = TIMEOUT_MS.toLong()) }
         awaitCondition("all calls wait") { gauge("http.client.waiting") == CONNECTIONS }
@@ -79,7 +80,7 @@
         assertAllConnectionsFree()
     }
 
-    /** Happens in a network partition that drops packets: the connection opens when TCP retransmits the SYN a second later. */
+    /** Occurs if a network partition drops packets: the connection opens only when TCP retransmits the SYN, one second later. */
     @Test
     fun `a connection that opens after its call timed out returns to the pool`(): Unit = runBlocking {
         ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { listener ->
--- a/src/test/kotlin/cleathitch/leader/InputQueueTest.kt
+++ b/src/test/kotlin/cleathitch/leader/InputQueueTest.kt
@@ -21,7 +21,7 @@
     private fun next(isAwaited: (Input) -> Boolean = { true }) = queue.nextBatch(isAwaited)
 
     @Test
-    fun `lease renewals and commits come first in the next batch during a flood of submissions`() {
+    fun `lease renewals and successful commits come before queued submissions in the next batch`() {
         repeat(1000) { queue.offer(submit(it)) }
         next()
         queue.offer(Input.LeaseRenewed(5))
@@ -38,12 +38,12 @@
     }
 
     @Test
-    fun `a batch is bounded and contains inputs of every queued priority class`() {
+    fun `a batch is bounded and takes inputs from every priority class that has some queued`() {
         repeat(400) { queue.offer(submit(it)) }
         repeat(400) { queue.offer(poll(1000 + it)) }
         queue.offer(Input.Tick)
         val batch = next()
-        assertTrue(batch.size < 300) { "${batch.size}" }
+        assertTrue(batch.size < 300) { "the batch contains ${batch.size} inputs, not fewer than 300" }
         assertTrue(batch.any { it is Input.Submit } && batch.any { it is Input.Poll } && Input.Tick in batch)
     }
 
@@ -68,7 +68,7 @@
     }
 
     @Test
-    fun `requests whose sender no longer awaits an answer are dropped and free capacity`() {
+    fun `requests whose sender no longer awaits an answer are dropped, which frees capacity`() {
         repeat(1000) { queue.offer(submit(it)) }
         var batches = 0
         while (!queue.isEmpty) {
--- a/src/test/kotlin/cleathitch/leader/PendingRequestsTest.kt
+++ b/src/test/kotlin/cleathitch/leader/PendingRequestsTest.kt
@@ -43,7 +43,7 @@
     }
 
     @Test
-    fun `requests time out after the timeout, more recent ones stay pending`() = runBlocking {
+    fun `requests expire once the timeout has passed, and more recent ones stay pending`() = runBlocking {
         val old = awaiting(first)
         nowMs += 1
         val young = awaiting(second)
--- a/src/test/kotlin/cleathitch/leader/TermRequestsTest.kt
+++ b/src/test/kotlin/cleathitch/leader/TermRequestsTest.kt
@@ -22,7 +22,7 @@
     private fun CoroutineScope.polling() = async(start = CoroutineStart.UNDISPATCHED) { requests.poll(job) }
 
     @Test
-    fun `requests are refused with a reason and not queued until the log has been replayed`() = runBlocking {
+    fun `until the log has been replayed, requests are refused with a reason and not queued`() = runBlocking {
         assertEquals(UserReply.Unavailable("the leader is recovering its state"), requests.poll(job))
         assertEquals(RequestOutcome.Unanswered(UnansweredReason.RECOVERING), requests.followerBatch(emptyList(), listOf(job)))
         assertTrue(queue.isEmpty)
@@ -39,7 +39,7 @@
     }
 
     @Test
-    fun `at the end of the term pending requests end and no more are accepted`() = runBlocking {
+    fun `when the term ends, pending requests are completed and no more are accepted`() = runBlocking {
         requests.open()
         val poll = polling()
         requests.close()
@@ -61,7 +61,7 @@
     }
 
     @Test
-    fun `a request is awaited until its sender cancels it and other inputs are always awaited`() = runBlocking {
+    fun `a request is awaited until its sender cancels it, and other inputs are always awaited`() = runBlocking {
         requests.open()
         val poll = polling()
         val input = queue.nextBatch { true }.single()
--- a/src/test/kotlin/cleathitch/peers/LeaderBatcherTest.kt
+++ b/src/test/kotlin/cleathitch/peers/LeaderBatcherTest.kt
@@ -38,7 +38,7 @@
     }
 
     @Test
-    fun `callers of a failed batch are unanswered, and the next batch is sent`() = withRunningBatcher {
+    fun `callers whose batch fails get an unanswered outcome, and the next batch is sent`() = withRunningBatcher {
         send = { throw IllegalArgumentException("malformed") }
         coroutineScope {
             val status = async { batcher.forwardPoll(job) }
@@ -51,7 +51,7 @@
     }
 
     @Test
-    fun `without a leader all waiting callers are unanswered at once`() = withRunningBatcher {
+    fun `without a leader all waiting callers get an unanswered outcome immediately`() = withRunningBatcher {
         leader = null
         assertEquals(PollOutcome.Unanswered(PollOutcome.Reason.NO_LEADER), batcher.forwardPoll(job))
         assertEquals(ForwardOutcome.Unanswered, batcher.forwardHeartbeat(heartbeat))
--- a/src/test/kotlin/cleathitch/peers/PollQueueTest.kt
+++ b/src/test/kotlin/cleathitch/peers/PollQueueTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A follower's polls are completed with the leader's answer if it is in time, or else with the reason for its absence. */
+/** Each poll in a follower's queue is completed with the leader's answer or, if none arrives in time, with the reason. */
 class PollQueueTest {
     private val queue = PollQueue(answerTimeoutMs = 1800)
     private val job = JobId("j-000001")
@@ -25,9 +25,9 @@
         assertEquals(List(3) { PollOutcome.Answered(running) }, outcomes)
     }
 
-    /** The leader may have answered before this poll was made, with a state older than one that the user has already seen. */
+    /** The answer to the earlier poll may predate the later one, and contain an older state than the user has already seen. */
     @Test
-    fun `a poll that arrives while another for its job is in flight isn't completed with that one's answer`() {
+    fun `a poll that arrives while another for the same job is in flight waits for an answer of its own`() {
         add(job)
         queue.take(limit = 10)
         add(job, atMs = 5)
@@ -45,7 +45,7 @@
     }
 
     @Test
-    fun `polls with no answer, or too few answers, are unanswered with the reason`() {
+    fun `polls are completed with the reason if there is no answer or it has too few statuses`() {
         add(job)
         add(other)
         queue.completeAnswered(queue.take(limit = 10), listOf(running), nowMs = 0)
--- a/src/test/kotlin/cleathitch/peers/WorkerCommandDeliveryTest.kt
+++ b/src/test/kotlin/cleathitch/peers/WorkerCommandDeliveryTest.kt
@@ -66,7 +66,7 @@
     private fun result(id: Long, machine: Int) = DeliveryResultMessage(id, FullHeartbeatMessage.of(heartbeat(MachineId("vm-$machine"))))
 
     @Test
-    fun `commands go through the followers that forward the workers' heartbeats, in one request each`() {
+    fun `commands go through the followers that forward the workers' heartbeats, in one request per follower`() {
         deliver(commandTo(1), commandTo(2), commandTo(3))
         assertEquals(mapOf("n1" to 2, "n2" to 1), sentToFollowers.associate { it.first to it.second.size })
         assertEquals(emptyList<MachineId>(), sentDirectly)
@@ -80,7 +80,7 @@
     }
 
     @Test
-    fun `commands that a follower doesn't accept go directly`() {
+    fun `commands that a follower doesn't accept go directly to the workers`() {
         followersAcceptCommands = false
         deliver(commandTo(1), commandTo(2))
         assertEquals(listOf("vm-1", "vm-2"), sentDirectly.map { it.text })
@@ -101,7 +101,7 @@
         assertEquals(listOf<Input>(Input.ProbeAnswered(heartbeat(MachineId("vm-1")))), enqueued)
     }
 
-    /** A delayed batch doesn't show that the machine is still alive. */
+    /** An answer that arrives late in a follower's batch doesn't show that the machine is still alive. */
     @Test
     fun `an answer after the timeout is ignored`() {
         deliver(commandTo(1))
@@ -111,7 +111,7 @@
         assertEquals(emptyList<Input>(), enqueued)
     }
 
-    /** A machine whose heartbeats are overdue may have lost the connection to its follower, so probes don't depend on one route. */
+    /** A machine whose heartbeats are overdue may have lost the connection to its follower, so probes don't all take the same route. */
     @Test
     fun `probes rotate among the followers and the direct route`() {
         repeat(3) { deliver(Effect.Probe(MachineId("vm-1"), "10.0.0.1:9000")) }
--- a/src/test/kotlin/cleathitch/protocol/ProtocolCodecTest.kt
+++ b/src/test/kotlin/cleathitch/protocol/ProtocolCodecTest.kt
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.TestFactory
 
-/** Messages of workers, cloud and key-value store are decoded as the protocol defines, and malformed ones are rejected. */
+/** Messages of workers, cloud provider and key-value store are decoded as the protocol defines, and malformed ones are rejected. */
 class ProtocolCodecTest {
     private val json = ObjectMapper()
     private fun node(text: String) = json.readTree(text) as ObjectNode
--- a/src/test/kotlin/cleathitch/protocol/ResponseDecodingTest.kt
+++ b/src/test/kotlin/cleathitch/protocol/ResponseDecodingTest.kt
@@ -22,7 +22,7 @@
     }
 
     @Test
-    fun `every failure has its reason`() {
+    fun `each kind of failure is returned with its reason`() {
         val failed = decode(CallResult.Failed(CallFailure.CONNECT_FAILED))
         assertEquals(failure(ServiceError.NoResponse(CallFailure.CONNECT_FAILED)), failed)
         assertEquals(failure(ServiceError.UnexpectedStatus(503)), decode(CallResult.Answered(503, body)))
--- a/src/test/kotlin/cleathitch/workers/HeartbeatQueueTest.kt
+++ b/src/test/kotlin/cleathitch/workers/HeartbeatQueueTest.kt
@@ -72,7 +72,7 @@
     }
 
     @Test
-    fun `a refused or undecided heartbeat is no base for unchanged ones`() {
+    fun `a heartbeat that follows a refused or unanswered one is forwarded in full`() {
         add(heartbeat(sequenceNumber = 1))
         queue.completeWithDecisions(batch(), listOf(HeartbeatDecision.Refuse), currentTerm = 9, nowMs = 0)
         add(heartbeat(sequenceNumber = 2))
@@ -85,7 +85,7 @@
     }
 
     @Test
-    fun `a heartbeat is forwarded again, in full, if the leader lacks its base`() {
+    fun `a heartbeat is forwarded again in full if the leader doesn't have the heartbeat that it is based on`() {
         addAcknowledged(heartbeat(sequenceNumber = 1))
         add(heartbeat(sequenceNumber = 2))
         queue.completeWithDecisions(batch(), listOf(HeartbeatDecision.RequestFull), currentTerm = 9, nowMs = 0)
@@ -95,15 +95,15 @@
         assertEquals(1, outcomes.size)
     }
 
-    /** A newer leader may have committed changes that the earlier leader didn't know of when it decided. */
+    /** The current leader may have committed changes that the earlier leader didn't know of when it decided. */
     @Test
-    fun `decisions of a former leader are discarded`() {
+    fun `decisions of an earlier leader are discarded`() {
         add(heartbeat())
         queue.completeWithDecisions(batch(), listOf(answer), currentTerm = 10, nowMs = 0)
         assertEquals(listOf<ForwardOutcome>(ForwardOutcome.Unanswered), outcomes)
     }
 
-    /** Decisions may be late, for example, if the follower's process was paused between the leader's answer and its own. */
+    /** Decisions may be late, for example if the follower's process was paused between the leader's answer and the follower's. */
     @Test
     fun `decisions after the timeout are discarded`() {
         add(heartbeat(), atMs = 0)
@@ -119,7 +119,7 @@
         assertEquals(listOf<ForwardOutcome>(ForwardOutcome.Unanswered), outcomes)
     }
 
-    /** A worker has only one request in flight, so it no longer waits for the answer to the older one. */
+    /** A worker has only one request in flight: once it sends a newer heartbeat, it no longer waits for the answer to the older one. */
     @Test
     fun `a newer heartbeat of the same machine replaces the older one`() {
         add(heartbeat(sequenceNumber = 1))
@@ -137,9 +137,9 @@
         assertEquals(List(2) { ForwardOutcome.Unanswered }, outcomes)
     }
 
-    /** One and a half times the machines of the largest deployment, all at once and each with many tasks. */
+    /** The fleet is one and a half times as large as the largest deployment, and all heartbeats arrive at once, each with many tasks. */
     @Test
-    fun `batches of a large fleet fit into a request body, and together contain every heartbeat`() {
+    fun `each batch of a large fleet fits into a request body, and the batches together contain every heartbeat`() {
         val machines = 2200
         repeat(machines) { add(heartbeat(machine = it, tasks = 8)) }
         add(heartbeat(machine = machines, tasks = 900))
@@ -155,7 +155,7 @@
     }
 
     @Test
-    fun `unchanged and full heartbeats in one batch each get their own decision`() {
+    fun `each heartbeat of a batch gets its own decision, whether forwarded as unchanged or in full`() {
         addAcknowledged(heartbeat(machine = 1, sequenceNumber = 1))
         val perMachine = HashMap<Int, ForwardOutcome>()
         queue.add(heartbeat(machine = 1, sequenceNumber = 2), 0) { perMachine[1] = it }
--- a/src/test/kotlin/cleathitch/workers/WorkerDistributionTest.kt
+++ b/src/test/kotlin/cleathitch/workers/WorkerDistributionTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Redirects of workers that send a heartbeat to the leader every 6 s. */
+/** Redirects from the leader to followers, for workers that send a heartbeat every 6 s. */
 class WorkerDistributionTest {
     private val distribution = WorkerDistribution(heartbeatPeriodMs = 6000)
     private val followers = listOf("n1", "n2", "n3")
@@ -25,7 +25,9 @@
         val atOnce = (1..1000).mapNotNull { distribution.followerFor(machine(it), followers, nowMs = 0) }
         assertEquals(followers, atOnce.sorted())
         val inOnePeriod = (1..1000).mapNotNull { distribution.followerFor(machine(it), followers, nowMs = 6000L + it * 6) }
-        assertTrue(inOnePeriod.size in 400..450) { "${inOnePeriod.size}" }
+        assertTrue(inOnePeriod.size in 400..450) {
+            "${inOnePeriod.size} workers were redirected within one heartbeat period, not 400 to 450"
+        }
     }
 
     @Test
@@ -44,6 +46,6 @@
     @Test
     fun `with only one follower the leader keeps some of the workers`() {
         val kept = (1..300).count { distribution.followerFor(machine(it), listOf("n1"), nowMs = it * 100L) == null }
-        assertTrue(kept in 50..150) { "$kept" }
+        assertTrue(kept in 50..150) { "the leader kept $kept of 300 workers, not 50 to 150" }
     }
 }
