--- a/src/main/kotlin/cleathitch/scheduler/jobs/StopCause.kt
+++ b/src/main/kotlin/cleathitch/scheduler/jobs/StopCause.kt
@@ -11,6 +11,6 @@
     /** A job of higher priority preempts the attempt. The attempt writes a checkpoint first. */
     PREEMPTED,
 
-    /** Another attempt completed the task. This attempt is stopped without a checkpoint. */
+    /** Another attempt completed the task. This attempt is stopped without a checkpoint because its progress is no longer of use. */
     SUPERSEDED,
 }
